--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,15 +1,15 @@
-// Package admission decides which request may run now, which waits, and which
-// is refused at once.
+// Package admission decides which requests run immediately, which wait, and which are
+// refused.
 //
-// Waiters that can still be answered within their class's objective go before
-// those that cannot. Each of the two kinds is ordered by priority, then by the
-// moment at which the answer is wanted, then by arrival. Every eighth slot given to
-// a waiter goes to the one of the same kind that has waited longest, so that a low
-// priority keeps a small share under any load and the others lose no more than that.
-// Those that are late take the slots that nobody needs who can be in time.
+// Waiters that can still be answered within the latency objective of their class are served
+// before those that cannot. Each of the two groups is ordered by priority, then by the time
+// at which the answer is due, then by arrival. Every eighth slot granted from the queue
+// goes to the waiter of the same group that has waited longest, so that a low priority
+// keeps a small share under any load and the others lose no more than that share. Late
+// waiters get the slots that no waiter still within its objective needs.
 //
-// Lock order: Controller.mu is the only lock; nothing is called under it but
-// the clock, the random source and the metrics.
+// Lock order: Controller.mu is the only lock. Only the clock, the random source and the
+// metrics are called while it is held.
 package admission
 
 import (
@@ -17,26 +17,26 @@
 	"time"
 )
 
-// Request describes who asks for a slot.
+// Request describes a request for a slot.
 type Request struct {
 	Class string
-	// Priority orders waiters; 1 goes first, 9 last.
+	// Priority orders waiters; 1 is the highest, 9 the lowest.
 	Priority int
-	// MaxQueue bounds the waiters of the class.
+	// MaxQueue bounds the number of waiters of the class.
 	MaxQueue int
 	// Deadline is the caller's deadline.
 	Deadline time.Time
-	// WantedBy is when the class's objective for the answer is over; zero where the
-	// class has none.
+	// WantedBy is the time by which the class's objective requires the answer; zero if the
+	// class has no objective.
 	WantedBy time.Time
-	// Member is the address of the member that the request goes to, for gates that
-	// keep slots for each.
+	// Member is the address of the member that the request is for. Gates with separate
+	// slots for each member use it.
 	Member string
 }
 
-// Gate hands out the slots of one group.
+// Gate grants the slots of one group.
 type Gate interface {
-	// Enter waits for a slot. Errors are *result.Error of the did-not-run family with
+	// Enter waits for a slot. Errors are *result.Error of the did-not-run family and carry
 	// a retry-after.
 	Enter(ctx context.Context, r Request) (*Slot, error)
 }
--- a/internal/admission/burst_test.go
+++ b/internal/admission/burst_test.go
@@ -17,11 +17,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		before, after := replay(7, false, burstPhases), replay(7, true, burstPhases)
-		report(t, "deadlines alone", before)
-		report(t, "objectives", after)
-		is.True(after[0].part(after[0].inTime) >= 0.98)
+		logTallies(t, "deadlines alone", before)
+		logTallies(t, "objectives", after)
+		is.True(after[0].fraction(after[0].inTime) >= 0.98)
 		// Three fifths of what the member can do in that time at least.
-		is.True(after[1].part(after[1].inTime) >= 0.6/1.5)
+		is.True(after[1].fraction(after[1].inTime) >= 0.6/1.5)
 		is.True(after[1].inTime > before[1].inTime)
 		is.True(after[3].inTime > before[3].inTime)
 	})
@@ -34,8 +34,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		after := replay(7, true, burstPhases)
-		report(t, "objectives", after)
-		is.True(after[3].part(after[3].inTime) >= 0.95)
+		logTallies(t, "objectives", after)
+		is.True(after[3].fraction(after[3].inTime) >= 0.95)
 	})
 }
 
@@ -47,12 +47,12 @@
 	for seed := range uint64(16) {
 		synctest.Test(t, func(t *testing.T) {
 			all := replay(seed, true, burstPhases)
-			behind.asked += all[3].asked
+			behind.requests += all[3].requests
 			behind.inTime += all[3].inTime
 		})
 	}
-	t.Logf("%d asked, in time %.3f", behind.asked, behind.part(behind.inTime))
-	is.True(behind.part(behind.inTime) >= 0.95)
+	t.Logf("%d asked, in time %.3f", behind.requests, behind.fraction(behind.inTime))
+	is.True(behind.fraction(behind.inTime) >= 0.95)
 }
 
 // A group has lost a member, and this one has to do a quarter more than it can for ten
@@ -61,9 +61,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		before, after := replay(7, false, lostReplicaPhases), replay(7, true, lostReplicaPhases)
-		report(t, "deadlines alone", before)
-		report(t, "objectives", after)
-		is.True(after[1].part(after[1].inTime) >= 0.6/1.25)
+		logTallies(t, "deadlines alone", before)
+		logTallies(t, "objectives", after)
+		is.True(after[1].fraction(after[1].inTime) >= 0.6/1.25)
 		is.True(after[1].inTime > before[1].inTime)
 	})
 }
@@ -74,8 +74,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		before, after := replay(7, false, slowPhases), replay(7, true, slowPhases)
-		report(t, "deadlines alone", before)
-		report(t, "objectives", after)
+		logTallies(t, "deadlines alone", before)
+		logTallies(t, "objectives", after)
 		is.True(after[1].inTime > before[1].inTime)
 		is.True(after[2].inTime > before[2].inTime)
 	})
@@ -87,8 +87,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		after := replay(7, true, slowPhases)
-		report(t, "objectives", after)
-		is.True(after[3].part(after[3].inTime) >= 0.98)
+		logTallies(t, "objectives", after)
+		is.True(after[3].fraction(after[3].inTime) >= 0.98)
 	})
 }
 
@@ -99,10 +99,10 @@
 		is := is.New(t)
 		phases := []phase{{5 * time.Second, 0.5, 1}, {20 * time.Second, 0.9, 1}}
 		before, after := replay(7, false, phases), replay(7, true, phases)
-		report(t, "deadlines alone", before)
-		report(t, "objectives", after)
-		is.True(after[1].part(after[1].inTime+after[1].late) >= 0.98)
-		is.True(after[1].part(after[1].inTime) >= before[1].part(before[1].inTime)-0.02)
+		logTallies(t, "deadlines alone", before)
+		logTallies(t, "objectives", after)
+		is.True(after[1].fraction(after[1].inTime+after[1].late) >= 0.98)
+		is.True(after[1].fraction(after[1].inTime) >= before[1].fraction(before[1].inTime)-0.02)
 	})
 }
 
@@ -113,9 +113,9 @@
 	for seed := range uint64(16) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			before, after := replay(seed, true, burstPhases), replayKnown(seed, burstPhases)
-			report(t, "known", after)
-			is.True(after[3].part(after[3].inTime) >= 0.95)
+			before, after := replay(seed, true, burstPhases), replayWithFirstTry(seed, burstPhases)
+			logTallies(t, "known", after)
+			is.True(after[3].fraction(after[3].inTime) >= 0.95)
 			is.True(after[1].inTime >= before[1].inTime)
 			is.True(after[2].inTime >= before[2].inTime)
 		})
--- a/internal/admission/burstload_test.go
+++ b/internal/admission/burstload_test.go
@@ -29,9 +29,9 @@
 // phase is a time of constant load, as a part of the member's capacity; slow is how many
 // times their usual time statements take meanwhile.
 type phase struct {
-	length time.Duration
-	load   float64
-	slow   float64
+	duration time.Duration
+	load     float64
+	slowdown float64
 }
 
 // The loads that are replayed: what comes before, the trouble, and what comes behind it.
@@ -42,33 +42,33 @@
 )
 
 // tally counts what became of the requests that began in one phase.
-type tally struct{ asked, inTime, late, refused int }
+type tally struct{ requests, inTime, late, refused int }
 
 // burst replays phases against homes that share a member.
-type burst struct {
+type burstLoad struct {
 	homes  []*PerMember
 	member chan struct{}
 	// known says that homes are told when a caller tried first.
-	known bool
+	firstTryKnown bool
 
 	mu      sync.Mutex
 	tallies []tally
 }
 
 // visit is one try of a caller: at which home, and how long the statement takes.
-type visit struct {
+type attemptPlan struct {
 	home int
 	work time.Duration
 }
 
 // visits draws all that a caller may need when it comes, so that what it meets does not
 // change what others are given.
-func visits(random *rand.Rand, slow float64) []visit {
-	all := make([]visit, 1+burstRetries)
+func drawAttempts(random *rand.Rand, slow float64) []attemptPlan {
+	all := make([]attemptPlan, 1+burstRetries)
 	for i := range all {
 		// Lognormal with the mean of burstWork.
 		work := math.Exp(0.7*random.NormFloat64()-0.245) * slow * float64(burstWork)
-		all[i] = visit{home: random.IntN(burstHomes), work: time.Duration(work)}
+		all[i] = attemptPlan{home: random.IntN(burstHomes), work: time.Duration(work)}
 	}
 	return all
 }
@@ -76,28 +76,28 @@
 // replay runs phases. Without objectives, and with all connections at work, the homes
 // decide as if they knew no more than deadlines.
 func replay(seed uint64, objectives bool, phases []phase) []tally {
-	return replayOn(&burst{}, seed, objectives, phases)
+	return replayLoad(&burstLoad{}, seed, objectives, phases)
 }
 
-// replayKnown is replay with objectives where homes are told when a caller tried first.
-func replayKnown(seed uint64, phases []phase) []tally {
-	return replayOn(&burst{known: true}, seed, true, phases)
+// replayWithFirstTry is replay with objectives where homes are told when a caller tried first.
+func replayWithFirstTry(seed uint64, phases []phase) []tally {
+	return replayLoad(&burstLoad{firstTryKnown: true}, seed, true, phases)
 }
 
-func replayOn(b *burst, seed uint64, objectives bool, phases []phase) []tally {
+func replayLoad(b *burstLoad, seed uint64, objectives bool, phases []phase) []tally {
 	b.member, b.tallies = make(chan struct{}, burstSlots), make([]tally, len(phases))
 	for k := range burstHomes {
 		p := NewPerMember(Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(k))), Slots: burstHomes})
 		if !objectives {
-			p.gate("m").limit.adaptive = false
+			p.gateFor("m").concurrency.adaptive = false
 		}
 		b.homes = append(b.homes, p)
 	}
 	var all sync.WaitGroup
 	began := time.Now()
-	for _, a := range arrivals(seed, phases) {
+	for _, a := range drawArrivals(seed, phases) {
 		_ = clock.Sleep(context.Background(), clock.System{}, a.at-time.Since(began))
-		all.Go(func() { b.caller(a.phase, a.visits, objectives) })
+		all.Go(func() { b.runCaller(a.phase, a.attempts, objectives) })
 	}
 	all.Wait()
 	return b.tallies
@@ -105,31 +105,31 @@
 
 // arrival is a caller that comes at a time from the start on.
 type arrival struct {
-	at     time.Duration
-	phase  int
-	visits []visit
+	at       time.Duration
+	phase    int
+	attempts []attemptPlan
 }
 
 // arrivals draws the callers of all phases, in the order in which they come.
-func arrivals(seed uint64, phases []phase) []arrival {
+func drawArrivals(seed uint64, phases []phase) []arrival {
 	random := rand.New(rand.NewPCG(seed, 8))
 	var all []arrival
 	at := time.Duration(0)
 	for k, p := range phases {
-		for end := at + p.length; at < end; {
+		for end := at + p.duration; at < end; {
 			at += time.Duration(random.ExpFloat64() / (burstCapacity * p.load) * float64(time.Second))
-			all = append(all, arrival{at, k, visits(random, p.slow)})
+			all = append(all, arrival{at, k, drawAttempts(random, p.slowdown)})
 		}
 	}
 	return all
 }
 
 // caller asks one home after the other until it is served.
-func (b *burst) caller(k int, mine []visit, objectives bool) {
+func (b *burstLoad) runCaller(k int, mine []attemptPlan, objectives bool) {
 	began := time.Now()
 	served := false
 	for _, v := range mine {
-		after, ok := b.try(v, objectives, began)
+		after, ok := b.attempt(v, objectives, began)
 		if ok {
 			served = true
 			break
@@ -139,7 +139,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := &b.tallies[k]
-	t.asked++
+	t.requests++
 	switch {
 	case !served:
 		t.refused++
@@ -152,12 +152,12 @@
 
 // try asks a home once for a caller that tried first when it began. A refusal tells when to come
 // back.
-func (b *burst) try(v visit, objectives bool, began time.Time) (time.Duration, bool) {
+func (b *burstLoad) attempt(v attemptPlan, objectives bool, began time.Time) (time.Duration, bool) {
 	r := Request{Class: "read", Priority: 2, MaxQueue: 500, Member: "m", Deadline: time.Now().Add(burstTimeout)}
 	if objectives {
 		r.WantedBy = time.Now().Add(burstObjective)
 	}
-	if b.known {
+	if b.firstTryKnown {
 		r.WantedBy = began.Add(burstObjective)
 	}
 	slot, err := b.homes[v.home].Enter(context.Background(), r)
@@ -173,12 +173,12 @@
 }
 
 // part is n of the tally's requests.
-func (t tally) part(n int) float64 { return float64(n) / float64(max(t.asked, 1)) }
+func (t tally) fraction(n int) float64 { return float64(n) / float64(max(t.requests, 1)) }
 
 // report logs a replay.
-func report(t *testing.T, name string, tallies []tally) {
+func logTallies(t *testing.T, name string, tallies []tally) {
 	t.Helper()
 	for k, y := range tallies {
-		t.Logf("%s, phase %d: %d asked, in time %.2f, late %.2f, refused %.2f", name, k, y.asked, y.part(y.inTime), y.part(y.late), y.part(y.refused))
+		t.Logf("%s, phase %d: %d asked, in time %.2f, late %.2f, refused %.2f", name, k, y.requests, y.fraction(y.inTime), y.fraction(y.late), y.fraction(y.refused))
 	}
 }
--- a/internal/admission/clairvoyant_test.go
+++ b/internal/admission/clairvoyant_test.go
@@ -11,12 +11,12 @@
 // clairvoyant schedules the callers of some phases at the member with all of them known in
 // advance: whoever can be in time and is wanted first goes next, and nobody else is served.
 // No schedule that knows less has more of them in time.
-func clairvoyant(seed uint64, phases []phase) []tally {
+func optimalSchedule(seed uint64, phases []phase) []tally {
 	tallies := make([]tally, len(phases))
 	free := make([]time.Duration, burstSlots)
-	waiting := arrivals(seed, phases)
+	waiting := drawArrivals(seed, phases)
 	for _, a := range waiting {
-		tallies[a.phase].asked++
+		tallies[a.phase].requests++
 	}
 	for len(waiting) > 0 {
 		slices.Sort(free)
@@ -26,7 +26,7 @@
 			if a.at > now {
 				break
 			}
-			if now+a.visits[0].work <= a.at+burstObjective {
+			if now+a.attempts[0].work <= a.at+burstObjective {
 				next = k
 				break
 			}
@@ -37,7 +37,7 @@
 			continue
 		}
 		tallies[waiting[next].phase].inTime++
-		free[0] = now + waiting[next].visits[0].work
+		free[0] = now + waiting[next].attempts[0].work
 		waiting = slices.Delete(waiting, next, next+1)
 	}
 	return tallies
@@ -48,10 +48,10 @@
 // miss is theirs.
 func TestClairvoyantScheduleMeetsTheBounds(t *testing.T) {
 	is := is.New(t)
-	burst := clairvoyant(7, burstPhases)
-	report(t, "clairvoyant, burst", burst)
-	is.True(burst[3].part(burst[3].inTime) >= 0.95)
-	slow := clairvoyant(7, slowPhases)
-	report(t, "clairvoyant, slow member", slow)
-	is.True(slow[3].part(slow[3].inTime) >= 0.98)
+	burst := optimalSchedule(7, burstPhases)
+	logTallies(t, "clairvoyant, burst", burst)
+	is.True(burst[3].fraction(burst[3].inTime) >= 0.95)
+	slow := optimalSchedule(7, slowPhases)
+	logTallies(t, "clairvoyant, slow member", slow)
+	is.True(slow[3].fraction(slow[3].inTime) >= 0.98)
 }
--- a/internal/admission/class.go
+++ b/internal/admission/class.go
@@ -6,58 +6,57 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// averageWeight is the weight of one more service time in the moving average,
-// as the divisor of its difference from it.
-const averageWeight = 8
+// averageDivisor is the inverse of the weight of a new sample in the moving averages.
+const averageDivisor = 8
 
-// class is what the controller keeps of one class of requests.
+// class holds the state of one request class in a controller.
 type class struct {
 	name    string
 	waiting int
-	// service is the moving average of the time from admission to the answer; zero
-	// while nothing was answered.
-	service time.Duration
-	// held is the moving average of the time from admission to release of slots that
-	// were held on behind their answer, by transactions; zero while there was none.
-	held time.Duration
-	// usual is the slow average of the same times, over answers, and unloaded the
-	// lowest that it was: what an answer takes when the member is idle.
-	usual    time.Duration
-	unloaded time.Duration
-	answers  int
-	admitted prometheus.Counter
-	wait     prometheus.Observer
+	// serviceTime is the moving average of the time from admission to the answer; zero
+	// before the first answer.
+	serviceTime time.Duration
+	// holdTime is the moving average of the time from admission to release, over slots that
+	// transactions kept after the answer; zero before the first such slot.
+	holdTime time.Duration
+	// slowAverage is an average of the service time over more answers. unloadedTime is the
+	// lowest value it has had: the service time when the member is idle.
+	slowAverage  time.Duration
+	unloadedTime time.Duration
+	answerCount  int
+	admitted     prometheus.Counter
+	waitTime     prometheus.Observer
 }
 
-// average returns a moving average with one more time in it; zero is an average of none.
-func average(of, d time.Duration) time.Duration {
-	if of == 0 {
-		return d
+// movingAverage adds a sample to a moving average. An average of zero has no samples yet.
+func movingAverage(average, sample time.Duration) time.Duration {
+	if average == 0 {
+		return sample
 	}
-	return of + (d-of)/averageWeight
+	return average + (sample-average)/averageDivisor
 }
 
 const (
-	// usualWeight is the weight of one more answer in the slow average, as a divisor.
-	// Work differs by a factor of two or three from one statement to the next; over
-	// this many the average's lowest is some ten percent below its mean.
-	usualWeight = 64
-	// usualLeast is how many answers make an average that is worth a comparison.
-	usualLeast = 16
-	// unloadedRise is how much the unloaded time may rise with an answer. Work that
-	// has become longer for good is taken for the usual one after a minute or so of
-	// load; a queue of some seconds is not.
-	unloadedRise = 1.0005
+	// slowAverageDivisor is the inverse of the weight of a new answer in slowAverage.
+	// Service times differ by a factor of two or three between statements; over this many
+	// answers the lowest average is about ten percent below the mean.
+	slowAverageDivisor = 64
+	// minAnswers is the number of answers needed before slowAverage is used for comparison.
+	minAnswers = 16
+	// unloadedGrowth bounds the growth of unloadedTime per answer. Statements that take
+	// longer permanently become the new baseline after about a minute of load; a queue that
+	// lasts a few seconds does not.
+	unloadedGrowth = 1.0005
 )
 
-// stretchOf returns how many times its unloaded time an answer took.
-func (c *class) stretchOf(took time.Duration) float64 {
-	c.answers++
-	c.usual += (took - c.usual) / time.Duration(min(c.answers, usualWeight))
-	if c.answers < usualLeast {
-		c.unloaded = c.usual
+// recordSlowdown records a service time and returns its ratio to the unloaded service time.
+func (c *class) recordSlowdown(took time.Duration) float64 {
+	c.answerCount++
+	c.slowAverage += (took - c.slowAverage) / time.Duration(min(c.answerCount, slowAverageDivisor))
+	if c.answerCount < minAnswers {
+		c.unloadedTime = c.slowAverage
 		return 1
 	}
-	c.unloaded = min(time.Duration(float64(c.unloaded)*unloadedRise), c.usual)
-	return float64(took) / float64(max(c.unloaded, 1))
+	c.unloadedTime = min(time.Duration(float64(c.unloadedTime)*unloadedGrowth), c.slowAverage)
+	return float64(took) / float64(max(c.unloadedTime, 1))
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// DefaultMaxQueue bounds a class's waiters when the request states no bound.
+	// DefaultMaxQueue bounds the waiters of a class when the request sets no bound.
 	DefaultMaxQueue = 100
-	// DefaultMaxWait bounds the wait of a request without a deadline.
+	// DefaultMaxWait is the deadline of a request that has none, counted from its arrival.
 	DefaultMaxWait = 30 * time.Second
-	// fairEvery is how often a slot goes to the waiter that waited longest.
-	fairEvery = 8
-	// waitMargin is the part of the expected wait that is added to it when it is
-	// held against the deadline. Requests of higher priority that arrive later
-	// lengthen the wait, and without the margin the queue fills up to the
-	// length at which a large part of it times out.
-	waitMargin = 2
-	// minRetryAfter is the shortest retry-after told to a caller.
+	// longestWaitInterval: one in this many slots granted from the queue goes to the waiter
+	// that has waited longest.
+	longestWaitInterval = 8
+	// waitMarginDivisor: the expected wait divided by this is added to the expected wait
+	// before it is compared with the deadline. Later requests of higher priority lengthen
+	// the wait; without the margin the queue fills to a length at which a large part of it
+	// times out.
+	waitMarginDivisor = 2
+	// minRetryAfter is the shortest retry-after returned to a caller.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Config is what a Controller is made of. Group, Clock and Rand are required.
+// Config configures a Controller. Group, Clock and Rand are required.
 type Config struct {
 	Group string
 	Clock clock.Clock
-	// Rand is used under the controller's lock only; it must not be shared.
+	// Rand is used only under the controller's lock and must not be shared.
 	Rand    *rand.Rand
 	Logger  hclog.Logger
 	Metrics *Metrics
-	// Slots is how many requests may run at once at first.
+	// Slots is the initial number of requests that may run at once.
 	Slots int
-	// Adaptive bounds the requests at work by how long answers take, where slots are
-	// connections to a member that has a queue of its own.
+	// Adaptive limits the requests in flight according to how long answers take. It is
+	// meant for slots that are connections to a member with a queue of its own.
 	Adaptive bool
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -24,7 +24,7 @@
 }
 
 // enter takes a slot or ends the test.
-func enter(t *testing.T, c *Controller, r Request) func() {
+func mustEnter(t *testing.T, c *Controller, r Request) func() {
 	t.Helper()
 	release, err := c.Enter(t.Context(), r)
 	if err != nil {
@@ -35,15 +35,15 @@
 
 // hold takes a slot and gives it back after d, so that the class's service time
 // is known.
-func hold(t *testing.T, c *Controller, r Request, d time.Duration) {
+func occupySlot(t *testing.T, c *Controller, r Request, d time.Duration) {
 	t.Helper()
-	release := enter(t, c, r)
+	release := mustEnter(t, c, r)
 	_ = clock.Sleep(t.Context(), clock.System{}, d)
 	release()
 }
 
-// queueUp enters in the background and reports the class on got.
-func queueUp(c *Controller, r Request, got chan<- string) {
+// enterInBackground enters in the background and reports the class on got.
+func enterInBackground(c *Controller, r Request, got chan<- string) {
 	go func() {
 		release, err := c.Enter(context.Background(), r)
 		if err == nil {
@@ -60,10 +60,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		release := enter(t, c, lookup)
+		release := mustEnter(t, c, lookup)
 		got := make(chan string, 2)
-		queueUp(c, lookup, got)
-		queueUp(c, renewal, got)
+		enterInBackground(c, lookup, got)
+		enterInBackground(c, renewal, got)
 		release()
 		is.Equal(<-got, "renewal")
 		is.Equal(<-got, "lookup")
@@ -76,18 +76,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		release := enter(t, c, lookup)
+		release := mustEnter(t, c, lookup)
 		got := make(chan string, 20)
-		queueUp(c, lookup, got)
+		enterInBackground(c, lookup, got)
 		for range 10 {
-			queueUp(c, renewal, got)
+			enterInBackground(c, renewal, got)
 		}
 		release()
 		before := 0
 		for class := <-got; class != "lookup"; class = <-got {
 			before++
 		}
-		is.Equal(before, fairEvery-1)
+		is.Equal(before, longestWaitInterval-1)
 	})
 }
 
@@ -98,15 +98,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
-		first := enter(t, c, lookup)
-		second := enter(t, c, lookup)
+		first := mustEnter(t, c, lookup)
+		second := mustEnter(t, c, lookup)
 		got := make(chan string, 6)
 		for range 5 {
-			queueUp(c, lookup, got)
+			enterInBackground(c, lookup, got)
 		}
 		time.AfterFunc(20*time.Millisecond, first)
 		began := time.Now()
-		release := enter(t, c, renewal)
+		release := mustEnter(t, c, renewal)
 		is.Equal(time.Since(began), 20*time.Millisecond)
 		is.Equal(len(got), 0)
 		release()
@@ -124,8 +124,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
-		enter(t, c, renewal)()
-		first, second := enter(t, c, lookup), enter(t, c, lookup)
+		mustEnter(t, c, renewal)()
+		first, second := mustEnter(t, c, lookup), mustEnter(t, c, lookup)
 		is.Equal(c.Stats().Running, 2)
 		first()
 		second()
@@ -157,7 +157,7 @@
 		time.AfterFunc(100*time.Millisecond, first.Release)
 		r := lookup
 		r.Deadline = time.Now().Add(350 * time.Millisecond)
-		enter(t, c, r)()
+		mustEnter(t, c, r)()
 		second.Release()
 	})
 }
@@ -168,8 +168,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		hold(t, c, lookup, time.Second)
-		release := enter(t, c, lookup)
+		occupySlot(t, c, lookup, time.Second)
+		release := mustEnter(t, c, lookup)
 		r := lookup
 		r.Deadline = time.Now().Add(500 * time.Millisecond)
 		began := time.Now()
@@ -189,15 +189,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		release := enter(t, c, lookup)
+		release := mustEnter(t, c, lookup)
 		got := make(chan string, 2)
 		bounded := lookup
 		bounded.MaxQueue = 1
-		queueUp(c, bounded, got)
+		enterInBackground(c, bounded, got)
 		_, err := c.Enter(t.Context(), bounded)
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.QueueFull)
-		queueUp(c, renewal, got)
+		enterInBackground(c, renewal, got)
 		is.Equal(c.Stats().Waiting, 2)
 		release()
 		is.Equal(<-got, "renewal")
@@ -211,7 +211,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		release := enter(t, c, lookup)
+		release := mustEnter(t, c, lookup)
 		r := renewal
 		r.Deadline = time.Now().Add(time.Second)
 		began := time.Now()
@@ -230,8 +230,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		hold(t, c, lookup, 90*time.Millisecond)
-		release := enter(t, c, lookup)
+		occupySlot(t, c, lookup, 90*time.Millisecond)
+		release := mustEnter(t, c, lookup)
 		late := lookup
 		late.WantedBy = time.Now()
 		late.Deadline = time.Now().Add(400 * time.Millisecond)
@@ -268,9 +268,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
-		release := enter(t, c, lookup)
+		release := mustEnter(t, c, lookup)
 		got := make(chan string, 1)
-		queueUp(c, renewal, got)
+		enterInBackground(c, renewal, got)
 		drained := make(chan error, 1)
 		go func() { drained <- c.Drain(context.Background()) }()
 		synctest.Wait()
@@ -290,7 +290,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
-		first, second := enter(t, c, lookup), enter(t, c, lookup)
+		first, second := mustEnter(t, c, lookup), mustEnter(t, c, lookup)
 		c.SetSlots(1)
 		settled := make(chan error, 1)
 		go func() { settled <- c.Settle(context.Background()) }()
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -6,115 +6,117 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// dispatch gives free slots to waiters. It runs under the lock after every
-// change of the tables.
+// dispatch grants free slots to waiters. It is called with the lock held after every change
+// to the slots or the queue.
 func (c *Controller) dispatch() {
-	c.sortOutLate()
-	for c.free() {
-		w := c.next()
+	c.updateLateWaiters()
+	for c.canAdmit() {
+		w := c.nextWaiter()
 		if w == nil {
 			break
 		}
-		c.waiting.Remove(w)
+		c.queue.Remove(w)
 		w.class.waiting--
-		if err := c.tooLate(w); err != nil {
-			w.granted <- grant{err: err}
+		if err := c.checkDeadline(w); err != nil {
+			w.grants <- grant{err: err}
 			continue
 		}
-		c.contended++
+		c.queuedGrants++
 		c.admit(w)
 	}
-	c.running.Set(float64(len(c.inUse)))
-	c.waits.Set(float64(c.waiting.Len()))
+	c.runningGauge.Set(float64(len(c.inUse)))
+	c.waitingGauge.Set(float64(c.queue.Len()))
 }
 
-// free reports whether one more request may be sent: a slot is free, and not too many
-// are at work at the member.
-func (c *Controller) free() bool {
-	return len(c.inUse) < c.slots && c.working < c.limit.requests()
+// canAdmit reports whether another request may be sent: a slot is free, and the number of
+// requests in flight at the member is below its limit.
+func (c *Controller) canAdmit() bool {
+	return len(c.inUse) < c.slots && c.inFlight < c.concurrency.current()
 }
 
-// next returns the waiter whose turn it is, nil if there is none. The turns by the longest
-// wait are for those whose priority is low. Given to late ones as well, each would cost one
-// that can still be in time its answer: late ones have always waited longest.
-func (c *Controller) next() *waiter {
-	items := c.waiting.Items()
+// nextWaiter returns the waiter to serve next, or nil if there is none. The grants by
+// longest wait exist for waiters of low priority. Late waiters do not compete for them:
+// they have always waited longest, and each such grant would make a waiter late that can
+// still meet its objective.
+func (c *Controller) nextWaiter() *waiter {
+	items := c.queue.Items()
 	if len(items) == 0 {
 		return nil
 	}
-	if c.contended%fairEvery != fairEvery-1 {
+	if c.queuedGrants%longestWaitInterval != longestWaitInterval-1 {
 		return items[0]
 	}
 	longest := items[0]
 	for _, w := range items[1:] {
-		if w.late == longest.late && w.arrival < longest.arrival {
+		if w.late == longest.late && w.sequence < longest.sequence {
 			longest = w
 		}
 	}
 	return longest
 }
 
-// tooLate returns the error for a waiter that would not end by its deadline any
-// more. A slot given to it would be spent on an answer that nobody takes.
-func (c *Controller) tooLate(w *waiter) *result.Error {
-	if !c.cfg.Clock.Now().Add(w.class.service).After(w.request.Deadline) {
+// checkDeadline returns an error if w can no longer finish by its deadline. A slot granted
+// to it would be spent on an answer that the caller no longer waits for.
+func (c *Controller) checkDeadline(w *waiter) *result.Error {
+	if !c.cfg.Clock.Now().Add(w.class.serviceTime).After(w.request.Deadline) {
 		return nil
 	}
-	return c.refusal(result.QueueTimeout, w.class, c.expectedWait(w))
+	return c.newRefusal(result.QueueTimeout, w.class, c.expectedWait(w))
 }
 
-// admit gives w a slot.
+// admit grants w a slot.
 func (c *Controller) admit(w *waiter) {
 	now := c.cfg.Clock.Now()
 	s := newSlot(c, w.class, now)
 	c.inUse[s] = struct{}{}
-	c.working++
+	c.inFlight++
 	w.class.admitted.Inc()
-	w.class.wait.Observe(now.Sub(w.arrived).Seconds())
-	w.granted <- grant{slot: s}
-	c.running.Set(float64(len(c.inUse)))
+	w.class.waitTime.Observe(now.Sub(w.arrived).Seconds())
+	w.grants <- grant{slot: s}
+	c.runningGauge.Set(float64(len(c.inUse)))
 }
 
-// answered notes that the request of a slot has its answer.
-func (c *Controller) answered(s *Slot) {
+// markAnswered records that the request of a slot has been answered.
+func (c *Controller) markAnswered(s *Slot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.note(s)
+	c.recordAnswer(s)
 	c.dispatch()
 }
 
-// refused notes that a slot's request has ended without work at the member.
-func (c *Controller) refused(s *Slot) {
+// markRefused records that the request of a slot caused no work at the member.
+func (c *Controller) markRefused(s *Slot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.refused = true
+	s.notExecuted = true
 }
 
-// note takes in the time of an answer, once.
-func (c *Controller) note(s *Slot) {
+// recordAnswer ends the time in flight of a slot's request and records its service time.
+// Only the first call for a slot has an effect.
+func (c *Controller) recordAnswer(s *Slot) {
 	if s.answered {
 		return
 	}
 	s.answered = true
-	if s.refused {
-		c.working--
+	if s.notExecuted {
+		c.inFlight--
 		return
 	}
-	took := max(c.cfg.Clock.Now().Sub(s.since), time.Microsecond)
-	c.limit.observe(s.class, took, c.working)
-	s.class.service = average(s.class.service, took)
-	c.working--
+	took := max(c.cfg.Clock.Now().Sub(s.admittedAt), time.Microsecond)
+	c.concurrency.recordAnswer(s.class, took, c.inFlight)
+	s.class.serviceTime = movingAverage(s.class.serviceTime, took)
+	c.inFlight--
 }
 
-// release takes back a slot.
-func (c *Controller) release(s *Slot) {
+// releaseSlot frees a slot.
+func (c *Controller) releaseSlot(s *Slot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.answered {
-		s.class.held = average(s.class.held, c.cfg.Clock.Now().Sub(s.since))
+		s.class.holdTime = movingAverage(s.class.holdTime, c.cfg.Clock.Now().Sub(s.admittedAt))
 	}
-	c.note(s)
+	c.recordAnswer(s)
 	delete(c.inUse, s)
 	c.dispatch()
-	c.changed.Notify()
+	c.released.Notify()
 }
--- a/internal/admission/enter.go
+++ b/internal/admission/enter.go
@@ -14,54 +14,54 @@
 		return nil, err
 	}
 	select {
-	case g := <-w.granted:
-		return c.answer(g)
+	case g := <-w.grants:
+		return c.grantResult(g)
 	default:
 	}
 	timer := c.cfg.Clock.NewTimer(w.request.Deadline.Sub(w.arrived))
 	defer timer.Stop()
 	select {
-	case g := <-w.granted:
-		return c.answer(g)
+	case g := <-w.grants:
+		return c.grantResult(g)
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return nil, c.giveUp(w)
+	return nil, c.cancelWait(w)
 }
 
-// answer turns a grant into what Enter returns.
-func (c *Controller) answer(g grant) (*Slot, error) {
+// grantResult converts a grant to the return values of Enter.
+func (c *Controller) grantResult(g grant) (*Slot, error) {
 	if g.err != nil {
 		return nil, g.err
 	}
 	return g.slot, nil
 }
 
-// enqueue gives w a slot, queues it, or refuses it at once.
+// enqueue admits the request, queues it, or refuses it immediately.
 func (c *Controller) enqueue(r Request) (*waiter, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.class(r.Class)
+	state := c.classState(r.Class)
 	if c.draining {
-		return nil, c.refusal(result.Draining, k, 0)
+		return nil, c.newRefusal(result.Draining, state, 0)
 	}
-	w := c.newWaiter(r, k)
+	w := c.newWaiter(r, state)
 	c.dispatch()
-	if c.free() {
+	if c.canAdmit() {
 		c.admit(w)
 		return w, nil
 	}
-	if err := c.refuse(w); err != nil {
+	if err := c.checkMayWait(w); err != nil {
 		return nil, err
 	}
-	c.waiting.Add(w)
-	k.waiting++
-	c.waits.Set(float64(c.waiting.Len()))
+	c.queue.Add(w)
+	state.waiting++
+	c.waitingGauge.Set(float64(c.queue.Len()))
 	return w, nil
 }
 
-// newWaiter fills in what the request leaves open.
-func (c *Controller) newWaiter(r Request, k *class) *waiter {
+// newWaiter returns a waiter for r, with defaults for the unset fields.
+func (c *Controller) newWaiter(r Request, state *class) *waiter {
 	now := c.cfg.Clock.Now()
 	if r.Deadline.IsZero() {
 		r.Deadline = now.Add(DefaultMaxWait)
@@ -70,70 +70,73 @@
 		r.MaxQueue = DefaultMaxQueue
 	}
 	c.arrivals++
-	w := &waiter{request: r, class: k, arrived: now, arrival: c.arrivals, granted: make(chan grant, 1)}
-	w.late = w.misses(now)
+	w := &waiter{request: r, class: state, arrived: now, sequence: c.arrivals, grants: make(chan grant, 1)}
+	w.late = w.missesObjective(now)
 	return w
 }
 
-// refuse returns the error for a request that must not wait. One whose turn is
-// expected too late to end by its deadline is told so now: waiting would cost
-// its caller the time to try elsewhere, and a slot spent on it would be lost to
-// one that still matters.
-func (c *Controller) refuse(w *waiter) error {
+// checkMayWait returns an error if w must not be queued. A request that is not expected to
+// finish by its deadline is refused immediately: waiting would cost its caller the time to
+// try elsewhere, and a slot spent on it would be lost to a request that can still be
+// answered.
+func (c *Controller) checkMayWait(w *waiter) error {
 	expected := c.expectedWait(w)
 	if w.class.waiting >= w.request.MaxQueue {
-		return c.refusal(result.QueueFull, w.class, expected)
+		return c.newRefusal(result.QueueFull, w.class, expected)
 	}
-	needed := expected + expected/waitMargin + w.class.service
+	needed := expected + expected/waitMarginDivisor + w.class.serviceTime
 	if c.slots == 0 || w.arrived.Add(needed).After(w.request.Deadline) {
-		return c.refusal(result.DeadlineTooShort, w.class, expected)
+		return c.newRefusal(result.DeadlineTooShort, w.class, expected)
 	}
 	return nil
 }
 
-// expectedWait is the time until the next slot comes free and, after that, the
-// service times of all that go before w, spread over the slots.
+// expectedWait estimates the wait of w: the time until the next slot is free, plus the
+// service times of all waiters ahead of w divided by the number that run in parallel.
 func (c *Controller) expectedWait(w *waiter) time.Duration {
 	if c.slots == 0 {
 		return 0
 	}
 	var ahead time.Duration
-	for _, o := range c.waiting.Items() {
-		if !o.before(w) {
+	for _, other := range c.queue.Items() {
+		if !other.before(w) {
 			break
 		}
-		ahead += o.class.service
+		ahead += other.class.serviceTime
 	}
-	return c.nextFree(c.cfg.Clock.Now()) + ahead/time.Duration(c.servers())
+	return c.timeToFreeSlot(c.cfg.Clock.Now()) + ahead/time.Duration(c.parallelism())
 }
 
-// servers is how many requests may be at work at once.
-func (c *Controller) servers() int {
-	held := len(c.inUse) - c.working
-	return max(min(c.slots-held, c.limit.requests()), 1)
+// parallelism returns how many requests may be in flight at once, at least 1. Slots kept
+// after their answer do not count.
+func (c *Controller) parallelism() int {
+	answeredSlots := len(c.inUse) - c.inFlight
+	return max(min(c.slots-answeredSlots, c.concurrency.current()), 1)
 }
 
-// nextFree estimates when the first slot in use comes free.
-func (c *Controller) nextFree(now time.Time) time.Duration {
-	first := time.Duration(-1)
+// timeToFreeSlot estimates the time until a slot in use becomes free.
+func (c *Controller) timeToFreeSlot(now time.Time) time.Duration {
+	shortest := time.Duration(-1)
 	for s := range c.inUse {
-		if s.answered && c.working >= c.limit.requests() {
-			// Its end lets nobody in.
+		if s.answered && c.inFlight >= c.concurrency.current() {
+			// The concurrency limit is reached, so releasing an answered slot admits no
+			// request.
 			continue
 		}
-		if left := s.remaining(now); first < 0 || left < first {
-			first = left
+		if remaining := s.remaining(now); shortest < 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return max(first, 0)
+	return max(shortest, 0)
 }
 
-// giveUp ends w's wait without a slot.
-func (c *Controller) giveUp(w *waiter) error {
+// cancelWait removes w from the queue, or releases its slot if it was granted one
+// meanwhile.
+func (c *Controller) cancelWait(w *waiter) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.waiting.Remove(w) {
-		g := <-w.granted
+	if !c.queue.Remove(w) {
+		g := <-w.grants
 		if g.err != nil {
 			return g.err
 		}
@@ -141,8 +144,8 @@
 	} else {
 		w.class.waiting--
 	}
-	err := c.refusal(result.QueueTimeout, w.class, c.expectedWait(w))
+	err := c.newRefusal(result.QueueTimeout, w.class, c.expectedWait(w))
 	c.dispatch()
-	c.changed.Notify()
+	c.released.Notify()
 	return err
 }
--- a/internal/admission/late.go
+++ b/internal/admission/late.go
@@ -7,65 +7,68 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// A burst that the slots cannot serve in time makes a queue that outlives it. Served
-// in order of arrival, every waiter of that queue gets its answer a little too late,
-// and so does everything that arrives until the queue is gone. A waiter that cannot be
-// in time any more therefore yields to those that can, and is refused as soon as its
-// deadline cannot be kept.
+// When a burst exceeds what the slots can serve in time, its queue outlives it. In order of
+// arrival every waiter in that queue would be answered slightly late, and so would every
+// request that arrives before the queue is empty. Waiters that can no longer meet their
+// objective therefore yield to those that can, and are refused as soon as they cannot meet
+// their deadline.
 
-// sortOutLate puts those that have become late behind the others, and refuses late
-// ones whose turn would come too late. It runs under the lock.
-func (c *Controller) sortOutLate() {
-	if c.waiting.Len() == 0 {
+// updateLateWaiters moves waiters that have become late behind the others, and refuses late
+// ones that cannot finish by their deadline. It is called with the lock held.
+func (c *Controller) updateLateWaiters() {
+	if c.queue.Len() == 0 {
 		return
 	}
 	now := c.cfg.Clock.Now()
-	for _, w := range slices.Clone(c.waiting.Items()) {
-		if !w.late && w.misses(now) {
-			c.waiting.Remove(w)
+	for _, w := range slices.Clone(c.queue.Items()) {
+		if !w.late && w.missesObjective(now) {
+			c.queue.Remove(w)
 			w.late = true
-			c.waiting.Add(w)
+			c.queue.Add(w)
 		}
 	}
-	for _, w := range c.unservable(now) {
-		c.waiting.Remove(w)
+	for _, w := range c.unservableWaiters(now) {
+		c.queue.Remove(w)
 		w.class.waiting--
-		w.granted <- grant{err: c.refusal(result.QueueTimeout, w.class, c.backlog())}
+		w.grants <- grant{err: c.newRefusal(result.QueueTimeout, w.class, c.queuedWork())}
 	}
 }
 
-// unservable returns the late waiters that would not end by their deadline even if the
-// turns went to late ones alone from now on, as many at once as may be at work now: slots
-// that the limit keeps unused bring nobody's turn nearer, and counting them left waiters to
-// be told at their deadline what was known before. Only late ones are judged again while
-// they wait: others keep going before them, which their arrival could not know. A
-// stricter judgement, by the share of the turns that late ones get just now, refuses
-// many whose turn comes when a burst is over.
-func (c *Controller) unservable(now time.Time) []*waiter {
+// unservableWaiters returns the late waiters that could not finish by their deadline even
+// if all slots went to late waiters from now on.
+//
+// The estimate uses the number of requests that may be in flight now, not the number of
+// slots: slots that the concurrency limit leaves unused do not serve waiters sooner.
+// Counting them delayed the refusal of waiters until their deadline although the outcome
+// was known earlier. Only late waiters are checked again while they wait, because requests
+// that arrive after them are served first, which the check on their arrival could not
+// foresee. A stricter estimate, based on the share of slots that late waiters get at the
+// moment, would refuse many that can be served once a burst is over.
+func (c *Controller) unservableWaiters(now time.Time) []*waiter {
 	var all []*waiter
 	var ahead time.Duration
-	for _, w := range c.waiting.Items() {
+	for _, w := range c.queue.Items() {
 		if !w.late {
 			continue
 		}
-		turn := now.Add(ahead / time.Duration(c.servers()))
-		if turn.Add(w.class.service).After(w.request.Deadline) {
+		turn := now.Add(ahead / time.Duration(c.parallelism()))
+		if turn.Add(w.class.serviceTime).After(w.request.Deadline) {
 			all = append(all, w)
 			continue
 		}
-		ahead += w.class.service
+		ahead += w.class.serviceTime
 	}
 	return all
 }
 
-// backlog is the time that the slots need for all that waits.
-func (c *Controller) backlog() time.Duration {
+// queuedWork returns the time that the slots need to serve the whole queue.
+func (c *Controller) queuedWork() time.Duration {
 	if c.slots == 0 {
 		return 0
 	}
 	var sum time.Duration
-	for _, w := range c.waiting.Items() {
-		sum += w.class.service
+	for _, w := range c.queue.Items() {
+		sum += w.class.serviceTime
 	}
 	return sum / time.Duration(c.slots)
 }
--- a/internal/admission/late_test.go
+++ b/internal/admission/late_test.go
@@ -23,8 +23,8 @@
 		is := is.New(t)
 		const work, objective, deadline = 100 * time.Millisecond, 250 * time.Millisecond, time.Second
 		c := New(Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Slots: 7, Adaptive: true})
-		c.limit.limit = 1
-		c.limit.stretch = stretchWanted
+		c.concurrency.limit = 1
+		c.concurrency.slowdown = targetSlowdown
 		began := time.Now()
 		refusedAfter := make(chan time.Duration, 30)
 		request := func() {
@@ -39,13 +39,13 @@
 			slot.Release()
 		}
 		// They are let in while the member seems quick.
-		c.class("read").service = time.Millisecond
+		c.classState("read").serviceTime = time.Millisecond
 		for range 21 {
 			go request()
 		}
 		synctest.Wait()
 		c.mu.Lock()
-		c.class("read").service = work
+		c.classState("read").serviceTime = work
 		c.mu.Unlock()
 		time.Sleep(2 * deadline)
 		close(refusedAfter)
@@ -64,12 +64,12 @@
 func TestLateWaiterTakesNoTurnOfOneInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(1)
-		free := enter(t, c, Request{Class: "read", Priority: 2})
-		got := make(chan string, 2*fairEvery+2)
-		queueUp(c, Request{Class: "late", Priority: 1, WantedBy: time.Now()}, got)
+		free := mustEnter(t, c, Request{Class: "read", Priority: 2})
+		got := make(chan string, 2*longestWaitInterval+2)
+		enterInBackground(c, Request{Class: "late", Priority: 1, WantedBy: time.Now()}, got)
 		time.Sleep(time.Millisecond)
-		for range 2*fairEvery + 1 {
-			queueUp(c, Request{Class: "read", Priority: 2, WantedBy: time.Now().Add(time.Second)}, got)
+		for range 2*longestWaitInterval + 1 {
+			enterInBackground(c, Request{Class: "read", Priority: 2, WantedBy: time.Now().Add(time.Second)}, got)
 		}
 		free()
 		synctest.Wait()
@@ -78,6 +78,6 @@
 		for class := range got {
 			order = append(order, class)
 		}
-		is.New(t).Equal(slices.Index(order, "late"), 2*fairEvery+1)
+		is.New(t).Equal(slices.Index(order, "late"), 2*longestWaitInterval+1)
 	})
 }
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -18,7 +18,7 @@
 const (
 	loadSlots    = 5
 	meanService  = 20 * time.Millisecond
-	loadTime     = 20 * time.Second
+	loadDuration = 20 * time.Second
 	renewalShare = 0.1
 	// capacity is how many requests a second the slots serve at most.
 	capacity = float64(loadSlots) / 0.020
@@ -30,13 +30,13 @@
 )
 
 // load is an open stream of requests against one controller.
-type load struct {
-	gate   *Controller
-	random *rand.Rand
+type openLoad struct {
+	controller *Controller
+	random     *rand.Rand
 
 	mu sync.Mutex
 	// done counts the requests of a class that ended before their deadline.
-	done map[string]int
+	completed map[string]int
 	// waits holds the time from arrival to slot of those admitted.
 	waits map[string][]time.Duration
 	// refusedAt holds the time from arrival to refusal, by code.
@@ -45,16 +45,16 @@
 
 // runLoad offers factor times the capacity, a tenth of it renewals up to half
 // of the capacity, and returns what came of it.
-func runLoad(factor float64, requestTimeout time.Duration) *load {
-	l := &load{
-		gate:      New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
-		random:    rand.New(rand.NewPCG(5, 6)),
-		done:      make(map[string]int),
-		waits:     make(map[string][]time.Duration),
-		refusedAt: make(map[result.Code][]time.Duration),
+func runLoad(factor float64, requestTimeout time.Duration) *openLoad {
+	l := &openLoad{
+		controller: New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
+		random:     rand.New(rand.NewPCG(5, 6)),
+		completed:  make(map[string]int),
+		waits:      make(map[string][]time.Duration),
+		refusedAt:  make(map[result.Code][]time.Duration),
 	}
 	var all sync.WaitGroup
-	end := time.Now().Add(loadTime)
+	end := time.Now().Add(loadDuration)
 	for time.Now().Before(end) {
 		gap := time.Duration(l.random.ExpFloat64() / (capacity * factor) * float64(time.Second))
 		_ = clock.Sleep(context.Background(), clock.System{}, gap)
@@ -70,9 +70,9 @@
 	return l
 }
 
-func (l *load) request(r Request, service time.Duration) {
+func (l *openLoad) request(r Request, service time.Duration) {
 	arrived := time.Now()
-	release, err := l.gate.Enter(context.Background(), r)
+	release, err := l.controller.Enter(context.Background(), r)
 	waited := time.Since(arrived)
 	if err != nil {
 		e, _ := result.As(err)
@@ -87,13 +87,13 @@
 	defer l.mu.Unlock()
 	l.waits[r.Class] = append(l.waits[r.Class], waited)
 	if !time.Now().After(r.Deadline) {
-		l.done[r.Class]++
+		l.completed[r.Class]++
 	}
 }
 
 // goodput is how many requests a second ended before their deadline.
-func (l *load) goodput() float64 {
-	return float64(l.done["renewal"]+l.done["lookup"]) / loadTime.Seconds()
+func (l *openLoad) goodput() float64 {
+	return float64(l.completed["renewal"]+l.completed["lookup"]) / loadDuration.Seconds()
 }
 
 // p99 returns the 99th percentile.
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what the controllers of an instance decide.
+// Metrics holds the metrics of an instance's controllers.
 type Metrics struct {
 	slots    *prometheus.GaugeVec
 	running  *prometheus.GaugeVec
@@ -12,7 +12,7 @@
 	wait     *prometheus.HistogramVec
 }
 
-// NewMetrics makes the metrics and registers them; r may be nil.
+// NewMetrics creates the metrics and registers them with r, which may be nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	group := []string{"group"}
 	class := []string{"group", "class"}
--- a/internal/admission/permember.go
+++ b/internal/admission/permember.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// PerMember is a Gate whose slots belong to one member each, so that a member that
-// hangs or has a long queue holds up nothing that runs elsewhere. A slot stands for
-// one of the instance's connections to the member. How many of them are at work at once
-// follows from how long the member's answers take.
+// PerMember is a Gate with separate slots for each member, so that a member that hangs or
+// has a long queue does not delay requests to other members. A slot corresponds to one of
+// the instance's connections to the member. How many requests are in flight at a member
+// depends on its service times.
 //
-// Lock order: PerMember.mu, then a Controller's; neither is held across a wait.
+// Lock order: PerMember.mu, then Controller.mu. Neither is held while waiting.
 type PerMember struct {
 	cfg Config
 
@@ -21,7 +21,7 @@
 
 var _ Gate = (*PerMember)(nil)
 
-// NewPerMember returns a PerMember that has cfg.Slots for each member.
+// NewPerMember returns a PerMember with cfg.Slots slots for each member.
 func NewPerMember(cfg Config) *PerMember {
 	if cfg.Metrics == nil {
 		cfg.Metrics = NewMetrics(nil)
@@ -31,13 +31,13 @@
 
 // Enter implements Gate.
 func (p *PerMember) Enter(ctx context.Context, r Request) (*Slot, error) {
-	return p.gate(r.Member).Enter(ctx, r)
+	return p.gateFor(r.Member).Enter(ctx, r)
 }
 
-// Waiting returns how many requests wait for a member.
-func (p *PerMember) Waiting(member string) int { return p.gate(member).Stats().Waiting }
+// Waiting returns the number of requests that wait for a member.
+func (p *PerMember) Waiting(member string) int { return p.gateFor(member).Stats().Waiting }
 
-// SetSlots changes the number of slots of each member.
+// SetSlots changes the number of slots of every member.
 func (p *PerMember) SetSlots(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-func (p *PerMember) gate(member string) *Controller {
+func (p *PerMember) gateFor(member string) *Controller {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g, ok := p.gates[member]
--- a/internal/admission/permember_test.go
+++ b/internal/admission/permember_test.go
@@ -17,7 +17,7 @@
 }
 
 // at is a request for a member.
-func at(r Request, member string) Request {
+func forMember(r Request, member string) Request {
 	r.Member = member
 	return r
 }
@@ -28,11 +28,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
-		held, err := p.Enter(t.Context(), at(lookup, "replica"))
+		held, err := p.Enter(t.Context(), forMember(lookup, "replica"))
 		is.NoErr(err)
 		waiting := make(chan *Slot)
 		go func() {
-			release, err := p.Enter(context.Background(), at(lookup, "replica"))
+			release, err := p.Enter(context.Background(), forMember(lookup, "replica"))
 			if err == nil {
 				waiting <- release
 			}
@@ -40,7 +40,7 @@
 		synctest.Wait()
 		is.Equal(p.Waiting("replica"), 1)
 		began := time.Now()
-		release, err := p.Enter(t.Context(), at(renewal, "primary"))
+		release, err := p.Enter(t.Context(), forMember(renewal, "primary"))
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Duration(0))
 		release.Release()
@@ -55,11 +55,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
-		held, err := p.Enter(t.Context(), at(lookup, "first"))
+		held, err := p.Enter(t.Context(), forMember(lookup, "first"))
 		is.NoErr(err)
 		waiting := make(chan *Slot, 1)
 		go func() {
-			release, err := p.Enter(context.Background(), at(lookup, "first"))
+			release, err := p.Enter(context.Background(), forMember(lookup, "first"))
 			if err == nil {
 				waiting <- release
 			}
@@ -69,7 +69,7 @@
 		(<-waiting).Release()
 		held.Release()
 		for range 2 {
-			release, err := p.Enter(t.Context(), at(lookup, "second"))
+			release, err := p.Enter(t.Context(), forMember(lookup, "second"))
 			is.NoErr(err)
 			defer release.Release()
 		}
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// Slot is a slot in use. Whoever was admitted gives it back once.
+// Slot is a granted slot. The request that holds it must call Release.
 type Slot struct {
 	controller *Controller
 	class      *class
-	since      time.Time
-	// answered says that the request has its answer. The slot may be held on, by the
-	// transaction that the request has opened. Guarded by Controller.mu.
+	admittedAt time.Time
+	// answered is set once the request has its answer. The slot may stay in use after that,
+	// by the transaction that the request opened. Guarded by Controller.mu.
 	answered bool
-	// refused says that the member did no work for the request. Guarded by Controller.mu.
-	refused bool
-	release func()
+	// notExecuted is set if the member did no work for the request. Guarded by
+	// Controller.mu.
+	notExecuted bool
+	releaseOnce func()
 }
 
-func newSlot(c *Controller, k *class, now time.Time) *Slot {
-	s := &Slot{controller: c, class: k, since: now}
-	s.release = sync.OnceFunc(func() { c.release(s) })
+func newSlot(c *Controller, state *class, now time.Time) *Slot {
+	s := &Slot{controller: c, class: state, admittedAt: now}
+	s.releaseOnce = sync.OnceFunc(func() { c.releaseSlot(s) })
 	return s
 }
 
-// Answered notes that the member has answered the request. What is held on does no work
-// at the member, so that another request may be sent.
-func (s *Slot) Answered() { s.controller.answered(s) }
+// Answered records that the member has answered the request. A slot kept after its answer
+// causes no work at the member, so another request may be sent.
+func (s *Slot) Answered() { s.controller.markAnswered(s) }
 
-// Refused notes that the request was not sent, or that the member refused it without working on
-// it. How long that took is no measure of the member: taken for one, the refusals of replicas
-// that were behind made each usual answer look slow for minutes.
-func (s *Slot) Refused() { s.controller.refused(s) }
+// Refused records that the request was not sent, or that the member refused it without
+// executing it. Its duration is not a service time: when refusals by lagging replicas
+// were counted as answers, each ordinary answer looked slow for minutes.
+func (s *Slot) Refused() { s.controller.markRefused(s) }
 
-// Release gives the slot back. A second call does nothing.
-func (s *Slot) Release() { s.release() }
+// Release frees the slot. Later calls have no effect.
+func (s *Slot) Release() { s.releaseOnce() }
 
-// remaining estimates how long the slot stays in use, by what an answer usually takes or,
-// behind it, by how long transactions usually hold theirs. One that is held longer than
-// usual is expected to stay as long again: were it expected to end now, requests would
-// queue behind a stalled member up to the bound instead of being refused at once.
+// remaining estimates how long the slot stays in use, from the average service time or,
+// after the answer, the average hold time of transactions. A slot in use for longer than
+// the average is assumed to stay in use for as long again as it exceeds it. If its release
+// were assumed to be imminent, requests would fill the queue of a stalled member instead of
+// being refused immediately.
 func (s *Slot) remaining(now time.Time) time.Duration {
-	usual := s.class.service
+	usual := s.class.serviceTime
 	if s.answered {
-		usual = s.class.held
+		usual = s.class.holdTime
 	}
-	held := now.Sub(s.since)
-	if held < usual {
-		return usual - held
+	elapsed := now.Sub(s.admittedAt)
+	if elapsed < usual {
+		return usual - elapsed
 	}
-	return held - usual
+	return elapsed - usual
 }
--- a/internal/admission/stats.go
+++ b/internal/admission/stats.go
@@ -1,6 +1,6 @@
 package admission
 
-// Stats counts the requests of a controller at one moment.
+// Stats holds the counts of a controller at one point in time.
 type Stats struct {
 	Slots   int
 	Running int
--- a/internal/admission/waiter.go
+++ b/internal/admission/waiter.go
@@ -6,55 +6,57 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// grant is what ends a wait: a slot or an error.
+// grant ends a wait: it holds a slot or an error.
 type grant struct {
 	slot *Slot
 	err  *result.Error
 }
 
-// waiter is one request that waits for a slot.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	request Request
-	class   *class
-	arrived time.Time
-	arrival uint64
-	// late says that the answer would come after the moment at which it was wanted.
+	request  Request
+	class    *class
+	arrived  time.Time
+	sequence uint64
+	// late is set once the request can no longer be answered within its objective.
 	late bool
-	// granted receives exactly one grant when the waiter leaves the queue by
-	// the controller's doing.
-	granted chan grant
+	// grants receives exactly one grant when the controller removes the waiter from the
+	// queue.
+	grants chan grant
 }
 
-// before orders waiters: what can still be in time first, then by priority, by the
-// moment at which the answer is wanted, and by arrival.
-func (w *waiter) before(o *waiter) bool {
-	if w.late != o.late {
-		return o.late
+// before orders waiters: those that can still meet their objective first, then by priority,
+// by due time, and by arrival.
+func (w *waiter) before(other *waiter) bool {
+	if w.late != other.late {
+		return other.late
 	}
-	if w.request.Priority != o.request.Priority {
-		return w.request.Priority < o.request.Priority
+	if w.request.Priority != other.request.Priority {
+		return w.request.Priority < other.request.Priority
 	}
-	if x, y := w.wanted(), o.wanted(); !x.Equal(y) {
+	if x, y := w.dueTime(), other.dueTime(); !x.Equal(y) {
 		return x.Before(y)
 	}
-	return w.arrival < o.arrival
+	return w.sequence < other.sequence
 }
 
-// wanted is when the answer is wanted, or when it has to be there at the latest.
-func (w *waiter) wanted() time.Time {
+// dueTime returns the end of the objective, or the deadline if the request is late or its
+// class has no objective.
+func (w *waiter) dueTime() time.Time {
 	if w.late || w.request.WantedBy.IsZero() {
 		return w.request.Deadline
 	}
 	return w.request.WantedBy
 }
 
-// answerMargin is how many times its usual time an answer must have left to count as
-// one that can be in time. The first in order are those with the least time left; with
-// no margin an overloaded member spends itself on those that just miss.
-const answerMargin = 2
+// serviceTimeMargin is the number of average service times that must be left for a request
+// to count as able to meet its objective. The queue serves requests with the least time
+// left first; without a margin, an overloaded member spends its capacity on requests that
+// narrowly miss their objective.
+const serviceTimeMargin = 2
 
-// misses reports whether an answer that takes somewhat more than the usual time from now
-// on comes after the moment at which it was wanted.
-func (w *waiter) misses(now time.Time) bool {
-	return !w.request.WantedBy.IsZero() && now.Add(answerMargin*w.class.service).After(w.request.WantedBy)
+// missesObjective reports whether an answer that takes serviceTimeMargin times the average
+// service time from now on would miss the objective.
+func (w *waiter) missesObjective(now time.Time) bool {
+	return !w.request.WantedBy.IsZero() && now.Add(serviceTimeMargin*w.class.serviceTime).After(w.request.WantedBy)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,15 +1,15 @@
-// Package clock is the seam between decision code and time.
+// Package clock abstracts the time source of code that makes time-dependent decisions.
 //
-// Decision code takes a Clock and never calls the time package's functions for
-// the present moment or for timers. Production uses System; tests run System
-// inside a testing/synctest bubble, where the same code sees virtual time.
+// Such code takes a Clock and does not call the time package's functions for the current
+// time or for timers. Production uses System. Tests run System inside a testing/synctest
+// bubble, where the same code sees virtual time.
 package clock
 
 import "time"
 
-// Clock tells the time and makes timers.
+// Clock returns the current time and creates timers.
 type Clock interface {
-	// Now returns the present moment with a monotonic reading.
+	// Now returns the current time with a monotonic clock reading.
 	Now() time.Time
 	// NewTimer returns a timer that fires once after d.
 	NewTimer(d time.Duration) *time.Timer
@@ -17,7 +17,7 @@
 	AfterFunc(d time.Duration, f func()) *time.Timer
 }
 
-// System is the Clock of the running process.
+// System is the Clock of the operating system.
 type System struct{}
 
 // Now implements Clock.
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d or until ctx ends, and returns the error of ctx in that case.
+// Sleep waits for d. If ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, c Clock, d time.Duration) error {
 	t := c.NewTimer(d)
 	defer t.Stop()
--- a/internal/retry/attempt.go
+++ b/internal/retry/attempt.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Attempt describes one that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts attempts from 1.
+	// Number is the number of the attempt, starting at 1.
 	Number int
 	Reason Reason
-	// RetryAfter is the shortest pause that the failure asked for; it may be zero.
+	// RetryAfter is the minimum pause that the failure requested; it may be zero.
 	RetryAfter time.Duration
 	// Deadline is the caller's deadline.
 	Deadline time.Time
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -11,65 +11,66 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Budget is the retry budget of one group on one instance.
+// Budget is the retry budget of one group on one instance: a token bucket in which one
+// token pays for one retry.
 type Budget struct {
 	cfg   Config
 	gauge prometheus.Gauge
 
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-// startBudget is how many retries a new budget holds. A process that starts has
-// earned none: where all instances return at once, full budgets let them ask members
-// up to twice as much as callers do, in the second in which all callers come back.
-// One request can still be tried as often as it may be.
-const startBudget = 3
+// initialTokens is the number of retries that a new budget allows. A process that has just
+// started has not earned any. When all instances restart at once, full budgets would let
+// them send members up to twice the load of the callers in the very second in which all
+// callers return. A single request can still use all its attempts.
+const initialTokens = 3
 
-// New returns a Budget with a few retries.
+// New returns a Budget that allows a few retries.
 func New(cfg Config) *Budget {
 	cfg = cfg.withDefaults()
 	return &Budget{
-		cfg:    cfg,
-		gauge:  cfg.Metrics.budget.WithLabelValues(cfg.Group),
-		tokens: min(startBudget, cfg.Burst),
-		filled: cfg.Clock.Now(),
+		cfg:        cfg,
+		gauge:      cfg.Metrics.budget.WithLabelValues(cfg.Group),
+		tokens:     min(initialTokens, cfg.Burst),
+		refilledAt: cfg.Clock.Now(),
 	}
 }
 
-// Request counts a first attempt, which fills the budget a little.
+// Request counts a first attempt, which adds Config.Ratio tokens.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.add(b.cfg.Ratio)
+	b.addTokens(b.cfg.Ratio)
 }
 
-// Next returns the pause before the next attempt of a read or of a write that
-// was provably not sent. The error is of code RetryBudgetSpent or
-// DeadlineTooShort when there is to be none.
+// Next returns the pause before the next attempt of a read, or of a write that was provably
+// not sent. If the request must not be retried, it returns an error with the code
+// RetryBudgetSpent or DeadlineTooShort.
 func (b *Budget) Next(a Attempt) (time.Duration, *result.Error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Clock.Now()
-	b.add(now.Sub(b.filled).Seconds() * b.cfg.PerSecond)
-	b.filled = now
+	b.addTokens(now.Sub(b.refilledAt).Seconds() * b.cfg.PerSecond)
+	b.refilledAt = now
 	pause := max(b.backoff(a.Number), a.RetryAfter)
 	if !now.Add(pause).Before(a.Deadline) {
-		b.count(a, outcomeDeadline)
+		b.countOutcome(a, outcomeDeadline)
 		return 0, result.New(result.DeadlineTooShort, "no time for a retry: %s", a.Reason).WithRetryAfter(pause)
 	}
 	if b.tokens < 1 {
-		b.count(a, outcomeBudget)
-		return 0, result.New(result.RetryBudgetSpent, "group %s: %s", b.cfg.Group, a.Reason).WithRetryAfter(b.refill())
+		b.countOutcome(a, outcomeBudget)
+		return 0, result.New(result.RetryBudgetSpent, "group %s: %s", b.cfg.Group, a.Reason).WithRetryAfter(b.timeToNextToken())
 	}
-	b.add(-1)
-	b.count(a, outcomeRetried)
+	b.addTokens(-1)
+	b.countOutcome(a, outcomeRetried)
 	return pause, nil
 }
 
-// Wait is Next followed by the pause. It returns nil when the next attempt may
-// begin.
+// Wait calls Next and waits for the pause that it returns. It returns nil when the next
+// attempt may begin.
 func (b *Budget) Wait(ctx context.Context, a Attempt) error {
 	pause, refusal := b.Next(a)
 	if refusal != nil {
@@ -81,20 +82,20 @@
 	return nil
 }
 
-// add changes the budget within its bounds.
-func (b *Budget) add(tokens float64) {
+// addTokens changes the number of tokens, up to the maximum.
+func (b *Budget) addTokens(tokens float64) {
 	b.tokens = min(b.tokens+tokens, b.cfg.Burst)
 	b.gauge.Set(b.tokens)
 }
 
-// refill is the time until the budget allows one retry at the steady rate, a
-// millisecond at least: sums of tenths can be a hair below one.
-func (b *Budget) refill() time.Duration {
+// timeToNextToken returns the time until the budget allows one retry at the steady rate. It
+// is at least a millisecond, because sums of tenths can be slightly less than one.
+func (b *Budget) timeToNextToken() time.Duration {
 	return max(time.Duration((1-b.tokens)/b.cfg.PerSecond*float64(time.Second)), time.Millisecond)
 }
 
-// backoff doubles from MinBackoff to MaxBackoff and is jittered between a half
-// and the whole: callers that failed together do not retry together.
+// backoff doubles from MinBackoff to MaxBackoff. Jitter between half of the value and the
+// whole value keeps callers that failed together from retrying together.
 func (b *Budget) backoff(number int) time.Duration {
 	d := b.cfg.MinBackoff
 	for i := 1; i < number && d < b.cfg.MaxBackoff; i++ {
@@ -104,6 +105,6 @@
 	return d/2 + time.Duration(b.cfg.Rand.Int64N(int64(d/2)+1))
 }
 
-func (b *Budget) count(a Attempt, outcome string) {
+func (b *Budget) countOutcome(a Attempt, outcome string) {
 	b.cfg.Metrics.retries.WithLabelValues(b.cfg.Group, string(a.Reason), outcome).Inc()
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -12,53 +12,53 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// newBudget returns a budget that has earned all it can hold.
-func newBudget() *Budget {
-	b := startedBudget()
+// fullBudget returns a budget with as many tokens as it can hold.
+func fullBudget() *Budget {
+	b := initialBudget()
 	for range int(DefaultBurst / DefaultRatio) {
 		b.Request()
 	}
 	return b
 }
 
-// startedBudget returns the budget of a process that has just started.
-func startedBudget() *Budget {
+// initialBudget returns the budget of a process that has just started.
+func initialBudget() *Budget {
 	return New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2))})
 }
 
-// All instances return from a power cut, and all callers at once. Members answer
-// late because of the callers alone. An instance that has answered nothing yet has
-// earned no retries but a few; with a full budget it would ask the members for a
-// second answer to every read, when they have the least room.
+// All instances and all callers return at once after a power failure, and members answer
+// slowly only because of the load. With a full budget, an instance that has not answered
+// anything yet would ask the members a second time for every read, when they have the least
+// capacity.
 func TestBudgetThatStartsIsNotFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := startedBudget()
+		b := initialBudget()
 		retried := 0
 		for range DefaultBurst {
-			if _, refusal := b.Next(failed(1)); refusal == nil {
+			if _, refusal := b.Next(failedAttempt(1)); refusal == nil {
 				retried++
 			}
 		}
-		is.Equal(retried, startBudget)
+		is.Equal(retried, initialTokens)
 	})
 }
 
-func failed(number int) Attempt {
+func failedAttempt(number int) Attempt {
 	return Attempt{Number: number, Reason: Unreachable, Deadline: time.Now().Add(time.Hour)}
 }
 
 func TestRetriesAddNoMoreThanTheirRatio(t *testing.T) {
-	// A member is gone and every request of the group fails and asks for a
-	// retry. The budget lets a tenth of them through once the saved-up retries
-	// are spent, so retries cannot multiply the load of a group in trouble.
+	// A member is down, and every request of the group fails and asks for a retry. Once the
+	// saved-up retries are spent, the budget admits a tenth of them, so that retries cannot
+	// multiply the load of a failing group.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBudget()
+		b := fullBudget()
 		retried := 0
 		for range 1000 {
 			b.Request()
-			_, refusal := b.Next(failed(1))
+			_, refusal := b.Next(failedAttempt(1))
 			if refusal == nil {
 				retried++
 				continue
@@ -72,12 +72,12 @@
 }
 
 func TestRetryNeverPassesTheDeadline(t *testing.T) {
-	// The member asks to be left alone for longer than the caller has. The
-	// caller gets its answer now, and the budget is not spent on it.
+	// The member requests a pause that is longer than the caller's remaining time. The
+	// caller gets an error immediately, and no token is spent.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBudget()
-		a := failed(1)
+		b := fullBudget()
+		a := failedAttempt(1)
 		a.Deadline = time.Now().Add(time.Second)
 		a.RetryAfter = 2 * time.Second
 		before := b.tokens
@@ -92,7 +92,7 @@
 func TestBackoffGrowsWithinItsBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBudget()
+		b := fullBudget()
 		for number := 1; number < 20; number++ {
 			whole := min(DefaultMinBackoff<<(number-1), DefaultMaxBackoff)
 			d := b.backoff(number)
@@ -103,18 +103,18 @@
 }
 
 func TestQuietGroupEarnsRetriesOverTime(t *testing.T) {
-	// The budget is spent and the group has hardly any requests. After a second
-	// one retry is possible again.
+	// The budget is spent and the group has hardly any requests. After a second one retry
+	// is possible again.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBudget()
+		b := fullBudget()
 		for range DefaultBurst {
-			is.NoErr(b.Wait(t.Context(), failed(1)))
+			is.NoErr(b.Wait(t.Context(), failedAttempt(1)))
 		}
 		b.tokens = 0
-		_, refusal := b.Next(failed(1))
+		_, refusal := b.Next(failedAttempt(1))
 		is.Equal(refusal.Code, result.RetryBudgetSpent)
 		_ = clock.Sleep(t.Context(), clock.System{}, refusal.RetryAfter)
-		is.NoErr(b.Wait(t.Context(), failed(1)))
+		is.NoErr(b.Wait(t.Context(), failedAttempt(1)))
 	})
 }
--- a/internal/retry/config.go
+++ b/internal/retry/config.go
@@ -11,32 +11,33 @@
 const (
 	// DefaultRatio lets retries add a tenth to the load of a group.
 	DefaultRatio = 0.1
-	// DefaultBurst bounds the retries saved up while nothing fails.
+	// DefaultBurst bounds the retries that accumulate while nothing fails.
 	DefaultBurst = 20
-	// DefaultPerSecond keeps retries possible in a group with few requests.
+	// DefaultPerSecond allows retries in a group with few requests.
 	DefaultPerSecond  = 1.0
 	DefaultMinBackoff = 5 * time.Millisecond
 	DefaultMaxBackoff = time.Second
 )
 
-// Config is what a Budget is made of. Group, Clock and Rand are required.
+// Config configures a Budget. Group, Clock and Rand are required.
 type Config struct {
 	Group string
 	Clock clock.Clock
-	// Rand is used under the budget's lock only; it must not be shared.
+	// Rand is used only under the budget's lock and must not be shared.
 	Rand    *rand.Rand
 	Metrics *Metrics
-	// Ratio is how many retries each request adds to the budget.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Burst is the largest budget, in retries.
+	// Burst is the maximum of the budget, in retries.
 	Burst float64
-	// PerSecond is how many retries a second add to the budget besides.
+	// PerSecond is the number of retries added to the budget each second, in addition to
+	// Ratio.
 	PerSecond float64
 	// MinBackoff and MaxBackoff bound the pause before a retry.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// withDefaults returns a copy with every unset option filled in.
+// withDefaults returns a copy of c in which unset options have their defaults.
 func (c Config) withDefaults() Config {
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics(nil)
--- a/internal/retry/metrics.go
+++ b/internal/retry/metrics.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Outcomes of a retry that was due, as metric labels.
+// Outcomes of a retry decision, as metric labels.
 const (
 	outcomeRetried  = "retried"
 	outcomeBudget   = "budget_spent"
 	outcomeDeadline = "deadline_too_short"
 )
 
-// Metrics counts the retries of an instance's groups.
+// Metrics holds the retry metrics of an instance's groups.
 type Metrics struct {
 	retries *prometheus.CounterVec
 	budget  *prometheus.GaugeVec
 }
 
-// NewMetrics makes the metrics and registers them; r may be nil.
+// NewMetrics creates the metrics and registers them with r, which may be nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/retry/reason.go
+++ b/internal/retry/reason.go
@@ -1,39 +1,40 @@
-// Package retry decides whether a request is tried again, and when.
+// Package retry decides whether and when a failed request is retried.
 //
-// Only two kinds of request may be tried again: a read, and a write that was
-// provably not sent. Retries of a group spend a budget that its requests fill,
-// so that they can add no more than a fixed part to the load of a group that is
-// in trouble.
+// Only two kinds of request may be retried: a read, and a write that was provably not sent.
+// Retries of a group are paid from a budget that its requests fill, so that retries add at
+// most a fixed fraction to the load of a failing group.
 //
-// Lock order: Budget.mu is the only lock; nothing is called under it but the
-// clock and the random source.
+// Lock order: Budget.mu is the only lock. Only the clock, the random source and the metrics
+// are called while it is held.
 package retry
 
-// Reason is why an attempt failed. The set is closed, because reasons are
-// metric labels.
+// Reason states why an attempt failed. The set of reasons is fixed because they are metric
+// labels.
 type Reason string
 
 // Reasons for a retry.
 const (
 	// Unreachable: no connection to the member could be opened.
 	Unreachable Reason = "upstream_unreachable"
-	// Full: the member or the share of connections had no room.
+	// Full: the connection limit of the member, or of the instance's share, was reached.
 	Full Reason = "too_many_connections"
-	// ConnectionLost: the connection broke under a read.
+	// ConnectionLost: the connection was lost during a read.
 	ConnectionLost Reason = "connection_lost"
 	// Silent: the member did not answer a read in time.
 	Silent Reason = "statement_timeout"
-	// Busy: the member had no room for the statement.
+	// Busy: the member had no capacity for the statement.
 	Busy Reason = "member_busy"
-	// Failed: the member failed a read that another one may answer.
+	// Failed: the member failed a read that another member may be able to answer.
 	Failed Reason = "read_failed"
 	// NoPrimary: the group had no primary.
 	NoPrimary Reason = "no_primary"
-	// Replaced: the member turned out not to be the primary, before sending.
-	Replaced Reason = "primary_replaced"
-	// Slow: the member has not answered a read yet, and another one is asked too.
+	// PrimaryReplaced: the member was found not to be the primary, before the request was
+	// sent.
+	PrimaryReplaced Reason = "primary_replaced"
+	// Slow: the member has not answered a read yet, and the read is also sent to another
+	// member.
 	Slow Reason = "slow"
-	// NotFresh: the chosen replica did not reach the position in time.
+	// NotFresh: the chosen replica did not reach the required position in time.
 	NotFresh Reason = "no_fresh_replica"
 	// PeerUnreachable: no home instance of the group could be reached.
 	PeerUnreachable Reason = "peer_unreachable"
--- a/internal/routing/read.go
+++ b/internal/routing/read.go
@@ -1,5 +1,5 @@
-// Package routing chooses the member that answers a read. It looks at one
-// snapshot of the group and does nothing else.
+// Package routing chooses the member that answers a read, based on a single snapshot of the
+// group.
 package routing
 
 import (
@@ -13,50 +13,51 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Read states what a read needs of a replica.
+// Read describes a read and what it requires of the member that answers it.
 type Read struct {
 	// Required is the position that the replica must have reached.
 	Required logpos.Position
-	// NotBefore is the moment that the replica's data must be as fresh as; zero
-	// when Required alone is enough.
+	// NotBefore is the time as of which the replica's data must be current; zero if
+	// Required is sufficient.
 	NotBefore time.Time
-	// Checked says that the member itself refuses the read if its log lacks
-	// Required, so that any replica may be asked.
+	// Checked is set if the member itself refuses the read when its log has not reached
+	// Required, so that any replica may be tried.
 	Checked bool
-	// FailureDomain is where the instance runs; its members are preferred.
+	// FailureDomain is the failure domain of the instance; members in it are preferred.
 	FailureDomain string
-	// Exclude holds addresses that failed this read already.
+	// Exclude holds the addresses of members that have already failed this read.
 	Exclude map[string]bool
-	// Load tells how many statements of this instance run at a member.
+	// Load returns the number of this instance's statements that run at a member.
 	Load func(address string) int
-	// SpillToPrimary lets the primary answer where the replicas are that much busier:
-	// by so many statements of this instance. Zero keeps reads off the primary.
+	// SpillToPrimary lets the primary answer if each replica runs at least this many more
+	// of the instance's statements. Zero keeps reads off the primary.
 	SpillToPrimary int
-	// Owner is whose connections alone may run the read; empty where they are shared. Its
-	// reads keep to one replica, so that few connections serve many owners.
+	// Owner restricts the read to connections of this owner; empty if connections are
+	// shared. Reads of an owner prefer one replica, so that few connections serve many
+	// owners.
 	Owner string
-	// Connected tells whether a connection of the owner to a member is idle.
+	// Connected reports whether the owner has an idle connection to a member.
 	Connected func(address string) bool
-	// Behind tells whether a member lately lacked a required position; it may be
-	// nil.
+	// Behind reports whether a member recently lacked a required position. It may be nil.
 	Behind func(address string) bool
 }
 
-// Replica returns the replica that suits r best, or false when none may answer.
-// Less loaded replicas go first, then those of the own failure domain, then
-// chance decides. For an owner, the opening of a connection counts as load, and a hash of the
-// owner decides in place of failure domain and chance: with each replica by turns, or the
-// nearest for all, the connections of the others would lie idle while those of owners take
-// turns at one.
+// Replica returns the member that suits r best, or false if no member may answer.
+//
+// Without an owner, the load decides first, then the failure domain, then chance. With an
+// owner, opening a connection counts as load, and a hash of the owner replaces failure
+// domain and chance: if owners used all replicas in turn, or all the nearest one, the
+// connections of other owners would be idle while owners wait for each other at one
+// replica.
 func Replica(s *group.Snapshot, r Read, random *rand.Rand) (group.MemberView, bool) {
 	var best group.MemberView
 	found := false
 	bestScore := 0
 	for _, m := range s.Members {
-		if !eligible(s, m, r) {
+		if !isEligible(s, m, r) {
 			continue
 		}
-		score := score(m, s.Primary, r, random)
+		score := memberScore(m, s.Primary, r, random)
 		if !found || score < bestScore {
 			best, bestScore, found = m, score, true
 		}
@@ -64,43 +65,45 @@
 	return best, found
 }
 
-// behindPenalty is the load for which a replica that is known to lag makes up by
-// being less busy: a refused read costs a round trip, a long queue costs more.
-const behindPenalty = 8
+// laggingPenalty is added to the load of a replica known to lag: a refused read costs a
+// round trip, but a long queue costs more.
+const laggingPenalty = 8
 
-// scoreStep separates the ranks of a score: load, own failure domain, chance.
-const scoreStep = 16
+// tieBreakRange is the range of the lowest component of a score, which breaks ties. The
+// component above it counts each statement twice, so that the failure domain, which counts
+// once, decides only between equal loads.
+const tieBreakRange = 16
 
-func score(m group.MemberView, primary string, r Read, random *rand.Rand) int {
+func memberScore(m group.MemberView, primary string, r Read, random *rand.Rand) int {
 	s := r.Load(m.Address) * 2
 	switch {
 	case r.Owner == "" && m.FailureDomain != r.FailureDomain:
 		s++
 	case r.Owner != "" && !r.Connected(m.Address):
-		s += openingLoad
+		s += connectionOpenLoad
 	}
 	if m.Address == primary {
 		s += r.SpillToPrimary * 2
 	}
 	if r.Behind != nil && r.Behind(m.Address) {
-		s += behindPenalty
+		s += laggingPenalty
 	}
-	return s*scoreStep + r.tieBreak(m.Address, random)
+	return s*tieBreakRange + r.tieBreak(m.Address, random)
 }
 
-// openingLoad is what the opening of a connection adds to a score: it takes a slot for about as
-// long as a statement.
-const openingLoad = 2
+// connectionOpenLoad is the load added for opening a connection, which takes a slot for
+// about as long as a statement does.
+const connectionOpenLoad = 2
 
-// tieBreak orders members that are as good as each other.
+// tieBreak ranks members whose scores are otherwise equal.
 func (r Read) tieBreak(address string, random *rand.Rand) int {
 	if r.Owner == "" {
-		return random.IntN(scoreStep)
+		return random.IntN(tieBreakRange)
 	}
-	return int(xxhash.Sum64String(r.Owner+"\x00"+address) % scoreStep)
+	return int(xxhash.Sum64String(r.Owner+"\x00"+address) % tieBreakRange)
 }
 
-func eligible(s *group.Snapshot, m group.MemberView, r Read) bool {
+func isEligible(s *group.Snapshot, m group.MemberView, r Read) bool {
 	st := m.Status
 	if m.Address == s.Primary {
 		return r.SpillToPrimary > 0 && !r.Exclude[m.Address] && !m.Leaving && m.Failing.IsZero()
@@ -109,12 +112,12 @@
 	case r.Exclude[m.Address], m.Leaving, !m.Failing.IsZero():
 		return false
 	case r.Checked:
-		// A replica that is held for a promotion answers reads like any other.
+		// Replicas that are reserved for a promotion also answer reads.
 		return st.Role != member.RolePrimary
 	case st.Role != member.RoleReplica:
 		return false
 	case st.Attached != s.Term || st.Entered != s.Term:
-		// A replica of another term may still hold a tail that was discarded.
+		// A replica of another term may still have log entries that were discarded.
 		return false
 	case st.Last.Position < r.Required:
 		return false
--- a/internal/routing/token.go
+++ b/internal/routing/token.go
@@ -5,14 +5,13 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// RequiredPosition returns the position of the snapshot's term that covers a
-// token. The second value is false when the token is of a term that the
-// snapshot has not seen yet.
+// RequiredPosition converts a token to a position in the term of the snapshot. The second
+// value is false if the token's term is newer than the snapshot's.
 //
-// A token of an older term is compared with the smaller of its position and the
-// start of the present term: all that was acknowledged stands before that start,
-// and a position past it is in a tail that the new log will never reach, so
-// that a session would wait for ever.
+// For a token of an older term, the result is at most the start of the current term.
+// Everything acknowledged precedes that start. A later position belongs to log entries that
+// were discarded; the new log does not contain them, and a session would wait for it
+// forever.
 func RequiredPosition(s *group.Snapshot, t logpos.Token) (logpos.Position, bool) {
 	switch {
 	case t.IsZero():
--- a/internal/routing/token_test.go
+++ b/internal/routing/token_test.go
@@ -9,9 +9,9 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// A session's token names a position in a tail that the new term discarded. The
-// session must not wait for a position that the new log never reaches, and must
-// not be let off what the new log has.
+// A session's token names a position among log entries that the new term discarded. The
+// session must not wait for a position that is not in the new log, but still needs
+// everything that is.
 func TestTokenOfAnOlderTermIsHeldAgainstTheNewStart(t *testing.T) {
 	is := is.New(t)
 	s := &group.Snapshot{Term: 3, TermStart: 500}
--- a/internal/session/repeats.go
+++ b/internal/session/repeats.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// repeatPause is the longest pause between a refusal and the repetition of what was
-	// refused. Whoever asks the same later asks anew.
-	repeatPause = 2 * time.Second
-	// mostTimeouts bounds how long a caller asks for one operation, in times of what one
-	// statement may take: past that it has given up, and the same statement is a new one.
-	mostTimeouts = 4
+	// maxRepeatPause is the longest pause between a refusal and the caller's repetition.
+	// The same statement sent later counts as a new operation.
+	maxRepeatPause = 2 * time.Second
+	// maxOperationTimeouts bounds how long a caller retries one operation, as a multiple of
+	// the statement timeout. After that the caller has given up, and the same statement is
+	// a new operation.
+	maxOperationTimeouts = 4
 )
 
-// Repeats recognises an operation that the caller sends again because it was refused. Its answer
-// is wanted as long after the caller's first try as ever. Taken for a new one, each repetition
-// would be served before those that can still be in time, and the queue of a burst would outlive
-// it by as long as callers repeat.
-type Repeats struct {
-	// operation is the hash of the present operation's first statement, and since when the
-	// caller has asked for it.
-	operation uint64
-	since     time.Time
-	// refused is the operation that was refused last, at refusedAt; zero for none.
-	refused   uint64
-	refusedAt time.Time
+// RepeatDetector recognizes an operation that the caller sends again after a refusal. The
+// objective of a repetition is measured from the caller's first try. If a repetition
+// counted as a new operation, it would be served before requests that can still meet their
+// objective, and the queue of a burst would persist for as long as callers retry.
+type RepeatDetector struct {
+	// operation is the hash of the first statement of the current operation, and
+	// firstTriedAt the time at which the caller first sent it.
+	operation    uint64
+	firstTriedAt time.Time
+	// refusedOperation is the operation refused last, at refusedAt; zero if there is none.
+	refusedOperation uint64
+	refusedAt        time.Time
 }
 
-// Begin takes the first statement of an operation, and returns how long the caller has asked
-// for it already. timeout is what one statement may take.
-func (r *Repeats) Begin(statement []byte, now time.Time, timeout time.Duration) time.Duration {
+// Begin starts an operation, given its first statement, and returns the time since the
+// caller first tried it. timeout is the statement timeout.
+func (r *RepeatDetector) Begin(statement []byte, now time.Time, timeout time.Duration) time.Duration {
 	operation := xxhash.Sum64(statement)
-	repeated := operation == r.refused && now.Sub(r.refusedAt) <= repeatPause && now.Sub(r.since) <= mostTimeouts*timeout
+	repeated := operation == r.refusedOperation && now.Sub(r.refusedAt) <= maxRepeatPause && now.Sub(r.firstTriedAt) <= maxOperationTimeouts*timeout
 	if !repeated {
-		r.since = now
+		r.firstTriedAt = now
 	}
-	r.operation, r.refused = operation, 0
-	return now.Sub(r.since)
+	r.operation, r.refusedOperation = operation, 0
+	return now.Sub(r.firstTriedAt)
 }
 
-// Refused notes that the present operation has failed.
-func (r *Repeats) Refused(now time.Time) { r.refused, r.refusedAt = r.operation, now }
+// Refused records that the current operation was refused.
+func (r *RepeatDetector) Refused(now time.Time) { r.refusedOperation, r.refusedAt = r.operation, now }
--- a/internal/session/repeats_test.go
+++ b/internal/session/repeats_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// Guards against repetitions that are served before what can still be in time, and against new
-// operations that are taken for repetitions.
+// Guards against serving repetitions before requests that can still meet their objective,
+// and against treating new operations as repetitions.
 func TestRepeatsCountFromTheFirstTry(t *testing.T) {
 	is := is.New(t)
-	var r Repeats
+	var r RepeatDetector
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	begin := func(statement string, ms int) time.Duration { return r.Begin([]byte(statement), at(ms), time.Second) }
@@ -21,11 +21,11 @@
 	is.Equal(begin("a", 180), 180*time.Millisecond)
 	r.Refused(at(400))
 	is.Equal(begin("a", 500), 500*time.Millisecond)
-	// It went well; the same is new now.
+	// The operation succeeded, so the same statement is a new operation.
 	is.Equal(begin("a", 600), time.Duration(0))
 	r.Refused(at(700))
 	is.Equal(begin("b", 800), time.Duration(0))
-	// Another operation was asked for in between.
+	// A different operation came in between.
 	is.Equal(begin("a", 900), time.Duration(0))
 	r.Refused(at(1000))
 	// The pause is too long for a repetition.
@@ -34,7 +34,7 @@
 		r.Refused(at(ms))
 		is.Equal(begin("a", ms+50), time.Duration(ms+50-3100)*time.Millisecond)
 	}
-	// No caller asks for so long.
+	// The caller cannot have retried the operation for that long.
 	r.Refused(at(7100))
 	is.Equal(begin("a", 7150), time.Duration(0))
 }
--- a/internal/session/state.go
+++ b/internal/session/state.go
@@ -1,8 +1,8 @@
-// Package session holds the state of one caller's session, whatever protocol the
-// caller speaks: what it must see at least, which transaction is open, and what
-// it has set and prepared.
+// Package session holds the state of a caller's session independently of the caller's
+// protocol: the position that its reads must reflect, the open transaction, and the session
+// values.
 //
-// A codec decodes what the caller sends, asks the State which units to run, and
+// A codec decodes what the caller sends, uses the State to decide which units to run, and
 // encodes the answers. A State is used by one goroutine at a time.
 package session
 
@@ -15,31 +15,31 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// State is one session's.
+// State is the state of one session.
 type State struct {
 	// Group is the database group that the session uses.
 	Group string
-	// Token is what the session must see at least.
+	// Token is the position that the session's reads must at least reflect.
 	Token logpos.Token
-	// Roaming says that the caller came without a token and has not had an
-	// answer here yet: it may have written through another instance.
+	// Roaming is set if the caller connected without a token and has had no answer with a
+	// token yet: it may have written through another instance.
 	Roaming bool
-	// Transaction names the open transaction; empty outside of one.
+	// Transaction is the ID of the open transaction; empty outside a transaction.
 	Transaction string
-	// failed says that the member has aborted the open transaction.
-	failed bool
-	// lost says that the transaction ended without the caller's asking. Until the
-	// caller ends it, its statements are refused; running them would commit each
-	// on its own.
+	// aborted is set if the member has aborted the open transaction.
+	aborted bool
+	// lost is set if the transaction ended without a request from the caller. Until the
+	// caller ends the transaction, its statements are refused: running them would commit
+	// each one separately.
 	lost bool
-	// values are the session's values by name, in order. The slice is replaced
-	// with every change, so that a unit may keep it.
+	// values holds the session's values, sorted by name. Changes replace the slice, so
+	// units may keep a reference to it.
 	values []execution.Value
-	// Repeats recognises what the caller sends again.
-	Repeats Repeats
+	// Repeats detects operations that the caller sends again.
+	Repeats RepeatDetector
 }
 
-// Fill sets what a unit takes from the session.
+// Fill copies the session's state into a unit.
 func (s *State) Fill(u *execution.Unit) {
 	u.Group = s.Group
 	u.Token = s.Token
@@ -48,23 +48,23 @@
 	u.Values = s.values
 }
 
-// Adopt takes over what a reply says of the session. It reports whether the
-// session's token has changed.
+// Adopt updates the session from a reply and reports whether the session's token has
+// changed.
 func (s *State) Adopt(r *execution.Reply) bool {
 	s.Transaction = r.Transaction
-	s.failed = wire.Status(r.TransactionStatus) == wire.InFailed
-	// An answer without a token proves nothing about the session's past: after a
-	// bare BEGIN, say, the next read must still take a barrier.
+	s.aborted = wire.Status(r.TransactionStatus) == wire.InFailed
+	// A reply without a token gives no information about the session's earlier writes. For
+	// example, the first read after a bare BEGIN still requires a barrier.
 	s.Roaming = s.Roaming && r.Token.IsZero()
 	changed := r.Token != s.Token
 	s.Token = r.Token
 	return changed
 }
 
-// Status is the transaction status that the caller is in.
+// Status returns the transaction status reported to the caller.
 func (s *State) Status() wire.Status {
 	switch {
-	case s.lost || s.failed:
+	case s.lost || s.aborted:
 		return wire.InFailed
 	case s.Transaction != "":
 		return wire.InTransaction
@@ -73,32 +73,32 @@
 	}
 }
 
-// Lose gives up the open transaction, which e rolls back. The caller has to end it.
+// Lose marks the open transaction as lost; e rolls it back. The caller must still end it.
 func (s *State) Lose(e execution.Executor) {
 	s.Abandon(e)
-	s.failed = false
+	s.aborted = false
 	s.lost = true
 }
 
-// Lost reports whether the transaction was lost and the caller has not ended it.
+// Lost reports whether the transaction was lost and the caller has not ended it yet.
 func (s *State) Lost() bool { return s.lost }
 
-// EndLost notes that the caller has ended its lost transaction.
+// EndLost records that the caller has ended its lost transaction.
 func (s *State) EndLost() { s.lost = false }
 
-// Abandon ends a transaction that is not to be committed; e rolls it back.
+// Abandon ends the open transaction, if any, without committing it; e rolls it back.
 func (s *State) Abandon(e execution.Executor) {
 	if s.Transaction != "" {
 		e.Abandon(s.Group, s.Transaction)
 	}
-	s.Transaction, s.failed = "", false
+	s.Transaction, s.aborted = "", false
 }
 
-// MaxValues bounds the values of one session: a connection that changes sessions
-// has to be brought all of them.
+// MaxValues bounds the values of a session: a connection that is switched to another
+// session must be sent all of that session's values.
 const MaxValues = 256
 
-// Set gives a session value.
+// Set sets a session value.
 func (s *State) Set(name, value string) {
 	next := slices.Clone(s.values)
 	i, found := slices.BinarySearchFunc(next, name, func(v execution.Value, n string) int { return cmp.Compare(v.Name, n) })
@@ -110,14 +110,14 @@
 	s.values = next
 }
 
-// Unset takes a session value back.
+// Unset removes a session value.
 func (s *State) Unset(name string) {
-	// The clone keeps the array that units may hold from being changed.
+	// Clone, because units may hold a reference to the array.
 	s.values = slices.DeleteFunc(slices.Clone(s.values), func(v execution.Value) bool { return v.Name == name })
 }
 
-// UnsetAll takes every session value back.
+// UnsetAll removes all session values.
 func (s *State) UnsetAll() { s.values = nil }
 
-// Values returns the session's values. They must not be changed.
+// Values returns the session's values. The caller must not modify them.
 func (s *State) Values() []execution.Value { return s.values }
--- a/internal/waitlist/list.go
+++ b/internal/waitlist/list.go
@@ -1,12 +1,12 @@
-// Package waitlist holds what owners of a bounded resource share: a List keeps
-// waiters in the order in which they are to be served, and a Signal wakes those
-// who wait for a condition. Both are guarded by their owner's lock.
+// Package waitlist provides building blocks for owners of a bounded resource: a List keeps
+// waiters in the order in which they are to be served, and a Signal wakes goroutines that
+// wait for a condition. Both are guarded by their owner's lock.
 package waitlist
 
 import "slices"
 
-// List holds items in the order of its less function. Items that compare equal
-// keep the order in which they were added.
+// List holds items in the order of its less function. Items that compare equal keep the
+// order in which they were added.
 type List[T comparable] struct {
 	less  func(a, b T) bool
 	items []T
@@ -23,7 +23,7 @@
 // Items returns the items in order. The slice is valid until the next change.
 func (l *List[T]) Items() []T { return l.items }
 
-// Add puts item at its place.
+// Add inserts item at its position in the order.
 func (l *List[T]) Add(item T) {
 	i, _ := slices.BinarySearchFunc(l.items, item, func(a, b T) int {
 		if l.less(b, a) {
@@ -34,7 +34,7 @@
 	l.items = slices.Insert(l.items, i, item)
 }
 
-// Remove takes item out and reports whether it was there.
+// Remove removes item and reports whether the list contained it.
 func (l *List[T]) Remove(item T) bool {
 	i := slices.Index(l.items, item)
 	if i < 0 {
@@ -44,8 +44,9 @@
 	return true
 }
 
-// TakeWhere removes the first n items for which match returns true and returns
-// them in order. match is called once for each item, in order.
+// TakeWhere removes and returns the first n items for which match returns true, in order.
+// match is called in order and at most once for each item, and no longer once n items have
+// matched.
 func (l *List[T]) TakeWhere(n int, match func(T) bool) []T {
 	var taken []T
 	l.items = slices.DeleteFunc(l.items, func(item T) bool {
--- a/internal/waitlist/signal.go
+++ b/internal/waitlist/signal.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// Signal lets goroutines wait for a condition on state that a mutex guards. Its
-// methods but Wait are called with that mutex held.
+// Signal lets goroutines wait for a condition on state that a mutex guards. Callers of its
+// methods hold that mutex, except for Wait.
 type Signal struct {
 	changed chan struct{}
 }
 
-// NewSignal returns a Signal that nobody waits on.
+// NewSignal returns a Signal without waiting goroutines.
 func NewSignal() *Signal { return &Signal{changed: make(chan struct{})} }
 
-// Notify wakes those who wait, so that they look at the condition again.
+// Notify wakes all waiting goroutines, which then check their conditions again.
 func (s *Signal) Notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Wait takes mu for each look and returns nil once done, which is called with mu
-// held, returns true. It returns the error of ctx if that ends first.
+// Wait returns nil once done returns true. It calls done with mu held, at first and after
+// each Notify. If ctx ends first, Wait returns the error of ctx.
 func (s *Signal) Wait(ctx context.Context, mu *sync.Mutex, done func() bool) error {
 	for {
 		mu.Lock()
