--- a/internal/admission/burst_test.go
+++ b/internal/admission/burst_test.go
@@ -8,116 +8,120 @@
 	"github.com/matryer/is"
 )
 
-// Three times the usual callers come for three seconds, half more than the member can
-// serve. In order of arrival everybody waits until almost everybody is late, the queue
-// of the member first, and so do those who come for a while after the burst. With
-// objectives known, the member does most of what it can in time, and more of those who
-// come behind the burst are in time as well.
-func TestBurstIsServedInTimeAsFarAsTheMemberCan(t *testing.T) {
+// Three times the usual number of callers arrive for three seconds, half as many again as
+// the member can serve. In order of arrival, nearly every caller waits until it is late,
+// first in the member's queue, and so do callers that arrive for some time after the burst.
+// With objectives, the member answers most of what it can within the objective, and more of
+// the callers after the burst are in time as well.
+func TestBurstIsServedWithinMemberCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		before, after := replay(7, false, burstPhases), replay(7, true, burstPhases)
-		logTallies(t, "deadlines alone", before)
-		logTallies(t, "objectives", after)
-		is.True(after[0].fraction(after[0].inTime) >= 0.98)
-		// Three fifths of what the member can do in that time at least.
-		is.True(after[1].fraction(after[1].inTime) >= 0.6/1.5)
-		is.True(after[1].inTime > before[1].inTime)
-		is.True(after[3].inTime > before[3].inTime)
+		deadlinesOnly, withObjectives := replay(7, false, burstPhases), replay(7, true, burstPhases)
+		logTallies(t, "deadlines only", deadlinesOnly)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[0].fraction(withObjectives[0].inTime) >= 0.98)
+		// At least three fifths of the member's capacity in that phase.
+		is.True(withObjectives[1].fraction(withObjectives[1].inTime) >= 0.6/1.5)
+		is.True(withObjectives[1].inTime > deadlinesOnly[1].inTime)
+		is.True(withObjectives[3].inTime > deadlinesOnly[3].inTime)
 	})
 }
 
-// The same burst: a second after its end nineteen in twenty are in time again. Callers'
-// retries keep the queue up for longer than that: an instance cannot tell them from
-// new requests, and serves them as such although they are late for their callers.
+// The same burst: from one second after its end, 19 of 20 requests are in time again.
+// Callers' retries keep the queue long for more than that: an instance cannot distinguish
+// them from new requests and serves them as such, although they are already late for their
+// callers.
 func TestBurstIsOverASecondLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		after := replay(7, true, burstPhases)
-		logTallies(t, "objectives", after)
-		is.True(after[3].fraction(after[3].inTime) >= 0.95)
+		withObjectives := replay(7, true, burstPhases)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[3].fraction(withObjectives[3].inTime) >= 0.95)
 	})
 }
 
-// The same burst with sixteen other draws of arrivals, work and homes: nineteen in twenty of
-// all who come a second behind it are in time.
+// The same burst with sixteen other seeds for arrivals, work and homes: 19 of 20 requests
+// that arrive more than a second after it are in time.
 func TestBurstsAreOverASecondLater(t *testing.T) {
 	is := is.New(t)
-	var behind tally
+	var afterBurst tally
 	for seed := range uint64(16) {
 		synctest.Test(t, func(t *testing.T) {
 			all := replay(seed, true, burstPhases)
-			behind.requests += all[3].requests
-			behind.inTime += all[3].inTime
+			afterBurst.requests += all[3].requests
+			afterBurst.inTime += all[3].inTime
 		})
 	}
-	t.Logf("%d asked, in time %.3f", behind.requests, behind.fraction(behind.inTime))
-	is.True(behind.fraction(behind.inTime) >= 0.95)
+	t.Logf("%d requests, in time %.3f", afterBurst.requests, afterBurst.fraction(afterBurst.inTime))
+	is.True(afterBurst.fraction(afterBurst.inTime) >= 0.95)
 }
 
-// A group has lost a member, and this one has to do a quarter more than it can for ten
-// seconds. Callers' retries add to it. It goes on doing what it can in time.
-func TestLostReplicaAtFullLoad(t *testing.T) {
+// A group has lost a member, so for ten seconds this one is offered a quarter more than it
+// can serve, plus callers' retries. It must keep answering what it can within the
+// objective.
+func TestOverloadAfterLostReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		before, after := replay(7, false, lostReplicaPhases), replay(7, true, lostReplicaPhases)
-		logTallies(t, "deadlines alone", before)
-		logTallies(t, "objectives", after)
-		is.True(after[1].fraction(after[1].inTime) >= 0.6/1.25)
-		is.True(after[1].inTime > before[1].inTime)
+		deadlinesOnly, withObjectives := replay(7, false, lostReplicaPhases), replay(7, true, lostReplicaPhases)
+		logTallies(t, "deadlines only", deadlinesOnly)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[1].fraction(withObjectives[1].inTime) >= 0.6/1.25)
+		is.True(withObjectives[1].inTime > deadlinesOnly[1].inTime)
 	})
 }
 
-// The member turns slow by a factor of three and is quick again five seconds later. What
-// is sent to it falls with what it can do, and rises again behind it.
-func TestSlowMemberGetsLess(t *testing.T) {
+// The member becomes slower by a factor of three and recovers five seconds later. The
+// number of requests sent to it must fall with its capacity and rise again afterwards.
+func TestSlowMemberReceivesFewerRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		before, after := replay(7, false, slowPhases), replay(7, true, slowPhases)
-		logTallies(t, "deadlines alone", before)
-		logTallies(t, "objectives", after)
-		is.True(after[1].inTime > before[1].inTime)
-		is.True(after[2].inTime > before[2].inTime)
+		deadlinesOnly, withObjectives := replay(7, false, slowPhases), replay(7, true, slowPhases)
+		logTallies(t, "deadlines only", deadlinesOnly)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[1].inTime > deadlinesOnly[1].inTime)
+		is.True(withObjectives[2].inTime > deadlinesOnly[2].inTime)
 	})
 }
 
-// The same member: a second after it is quick again nearly all are in time. What waits
-// then is late, and takes its turns; without objectives more of it was refused.
-func TestSlowMemberIsOverASecondLater(t *testing.T) {
+// The same member: from one second after its recovery nearly all requests are in time.
+// Requests still queued then are late and get some of the slots; without objectives more of
+// them were refused.
+func TestSlowMemberRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		after := replay(7, true, slowPhases)
-		logTallies(t, "objectives", after)
-		is.True(after[3].fraction(after[3].inTime) >= 0.98)
+		withObjectives := replay(7, true, slowPhases)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[3].fraction(withObjectives[3].inTime) >= 0.98)
 	})
 }
 
-// The load is just what the member can do. Holding work back must not leave it idle: as
-// many are served, in time or late, as without, and no more than one in fifty is late for it.
-func TestHoldingBackCostsNoThroughput(t *testing.T) {
+// The load is just within the member's capacity. The concurrency limit must not leave the
+// member idle: at least 0.98 of the requests are answered, in time or late, and the fraction
+// answered in time is at most 0.02 lower than without the limit.
+func TestConcurrencyLimitCostsNoThroughput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		phases := []phase{{5 * time.Second, 0.5, 1}, {20 * time.Second, 0.9, 1}}
-		before, after := replay(7, false, phases), replay(7, true, phases)
-		logTallies(t, "deadlines alone", before)
-		logTallies(t, "objectives", after)
-		is.True(after[1].fraction(after[1].inTime+after[1].late) >= 0.98)
-		is.True(after[1].fraction(after[1].inTime) >= before[1].fraction(before[1].inTime)-0.02)
+		deadlinesOnly, withObjectives := replay(7, false, phases), replay(7, true, phases)
+		logTallies(t, "deadlines only", deadlinesOnly)
+		logTallies(t, "objectives", withObjectives)
+		is.True(withObjectives[1].fraction(withObjectives[1].inTime+withObjectives[1].late) >= 0.98)
+		is.True(withObjectives[1].fraction(withObjectives[1].inTime) >= deadlinesOnly[1].fraction(deadlinesOnly[1].inTime)-0.02)
 	})
 }
 
-// The same bursts where homes know which requests are repetitions: a second behind each of them
-// nineteen in twenty are in time again. Guards against repetitions that are served before those
-// that can still be in time.
+// The same bursts where homes know when each caller first tried: from one second after each
+// burst 19 of 20 requests are in time. Guards against serving repetitions before requests
+// that can still meet their objective.
 func TestBurstIsOverASecondLaterWhereRepetitionsAreKnown(t *testing.T) {
 	for seed := range uint64(16) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			before, after := replay(seed, true, burstPhases), replayWithFirstTry(seed, burstPhases)
-			logTallies(t, "known", after)
-			is.True(after[3].fraction(after[3].inTime) >= 0.95)
-			is.True(after[1].inTime >= before[1].inTime)
-			is.True(after[2].inTime >= before[2].inTime)
+			firstTryUnknown, firstTryKnown := replay(seed, true, burstPhases), replayWithFirstTry(seed, burstPhases)
+			logTallies(t, "first try known", firstTryKnown)
+			is.True(firstTryKnown[3].fraction(firstTryKnown[3].inTime) >= 0.95)
+			is.True(firstTryKnown[1].inTime >= firstTryUnknown[1].inTime)
+			is.True(firstTryKnown[2].inTime >= firstTryUnknown[2].inTime)
 		})
 	}
 }
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -49,36 +49,36 @@
 }
 
 // current returns the number of requests that may be in flight.
-func (f *concurrencyLimit) current() int {
-	if !f.adaptive {
-		return f.upperBound
+func (l *concurrencyLimit) current() int {
+	if !l.adaptive {
+		return l.upperBound
 	}
-	return min(max(int(f.limit), minConcurrency), f.upperBound)
+	return min(max(int(l.limit), minConcurrency), l.upperBound)
 }
 
 // setUpperBound changes the upper bound. A limit that equals the old bound, or exceeds the
 // new one, is set to the new bound.
-func (f *concurrencyLimit) setUpperBound(upperBound int) {
-	if f.limit >= float64(f.upperBound) || f.limit > float64(upperBound) {
-		f.limit = float64(upperBound)
+func (l *concurrencyLimit) setUpperBound(upperBound int) {
+	if l.limit >= float64(l.upperBound) || l.limit > float64(upperBound) {
+		l.limit = float64(upperBound)
 	}
-	f.upperBound = upperBound
+	l.upperBound = upperBound
 }
 
 // recordAnswer adjusts the limit after an answer. inFlight is the number of requests in
 // flight, including the answered one.
-func (f *concurrencyLimit) recordAnswer(state *class, took time.Duration, inFlight int) {
-	if !f.adaptive {
+func (l *concurrencyLimit) recordAnswer(state *class, took time.Duration, inFlight int) {
+	if !l.adaptive {
 		return
 	}
-	stretch := state.recordSlowdown(took)
-	f.slowdown += (stretch - f.slowdown) / slowdownDivisor
-	f.answersToDecrease--
+	slowdown := state.recordSlowdown(took)
+	l.slowdown += (slowdown - l.slowdown) / slowdownDivisor
+	l.answersToDecrease--
 	switch {
-	case f.slowdown > targetSlowdown && f.answersToDecrease <= 0:
-		f.limit = max(f.limit*max(targetSlowdown/f.slowdown, minDecreaseFactor), minConcurrency)
-		f.answersToDecrease = f.current()
-	case f.slowdown < increaseBelow && inFlight >= f.current():
-		f.limit = min(f.limit+1/max(f.limit, 1), float64(f.upperBound))
+	case l.slowdown > targetSlowdown && l.answersToDecrease <= 0:
+		l.limit = max(l.limit*max(targetSlowdown/l.slowdown, minDecreaseFactor), minConcurrency)
+		l.answersToDecrease = l.current()
+	case l.slowdown < increaseBelow && inFlight >= l.current():
+		l.limit = min(l.limit+1/max(l.limit, 1), float64(l.upperBound))
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -23,18 +23,17 @@
 	})
 }
 
-// enter takes a slot or ends the test.
+// mustEnter acquires a slot, or fails the test, and returns the slot's Release.
 func mustEnter(t *testing.T, c *Controller, r Request) func() {
 	t.Helper()
-	release, err := c.Enter(t.Context(), r)
+	slot, err := c.Enter(t.Context(), r)
 	if err != nil {
 		t.Fatalf("enter: %v", err)
 	}
-	return release.Release
+	return slot.Release
 }
 
-// hold takes a slot and gives it back after d, so that the class's service time
-// is known.
+// occupySlot acquires a slot and releases it after d, which sets the class's service time.
 func occupySlot(t *testing.T, c *Controller, r Request, d time.Duration) {
 	t.Helper()
 	release := mustEnter(t, c, r)
@@ -42,21 +41,22 @@
 	release()
 }
 
-// enterInBackground enters in the background and reports the class on got.
+// enterInBackground acquires a slot in a new goroutine, sends the class on got, and
+// releases the slot.
 func enterInBackground(c *Controller, r Request, got chan<- string) {
 	go func() {
-		release, err := c.Enter(context.Background(), r)
+		slot, err := c.Enter(context.Background(), r)
 		if err == nil {
 			got <- r.Class
-			release.Release()
+			slot.Release()
 		}
 	}()
 	synctest.Wait()
 }
 
-func TestRenewalsGoBeforeLookups(t *testing.T) {
-	// The only slot is in use, a lookup waits, then a renewal arrives. The
-	// renewal gets the slot first because of its priority.
+func TestHigherPriorityIsServedFirst(t *testing.T) {
+	// The only slot is in use, a lookup waits, then a renewal arrives. The renewal gets the
+	// slot first because of its priority.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -71,8 +71,8 @@
 }
 
 func TestLowPriorityIsNotStarved(t *testing.T) {
-	// Renewals keep coming faster than the one slot serves them. A lookup that
-	// waits still gets its turn, after at most seven of them.
+	// Renewals arrive faster than the only slot can serve them. A waiting lookup is still
+	// served after at most seven renewals.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -92,9 +92,9 @@
 }
 
 func TestUrgentWriteWaitsForOneBulkRequestAtMost(t *testing.T) {
-	// Lookups hold both slots and more of them wait. A renewal arrives. It gets the
-	// first slot that comes free, and so waits for the rest of one lookup and for
-	// none of those that wait.
+	// Lookups use both slots and more of them wait. A renewal that arrives gets the first
+	// slot that becomes free, so it waits for one running lookup to end and for none of the
+	// waiting ones.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
@@ -118,9 +118,8 @@
 }
 
 func TestEverySlotIsUsed(t *testing.T) {
-	// Renewals come in now and then, and lookups in bulk. No slot stays empty while a
-	// lookup waits: one kept free for renewals would cost a fifth of what five slots
-	// can do.
+	// Renewals arrive occasionally and lookups in bulk. No slot stays empty while a lookup
+	// waits: reserving one of five slots for renewals would cost a fifth of the capacity.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
@@ -132,11 +131,12 @@
 	})
 }
 
-func TestSlotsOfTransactionsComeFreeAsUsual(t *testing.T) {
-	// Both slots are held by transactions that were answered long ago and pause between
-	// their statements; they usually take 400 ms in all. A request that has 350 ms comes
-	// when they have taken 300. It waits for the rest and is served: were they expected
-	// to stay as long again as they have, it would be refused at once.
+func TestExpectedWaitUsesTransactionHoldTime(t *testing.T) {
+	// Both slots are held by transactions that were answered long ago and are idle between
+	// statements. Transactions usually take 400 ms in total. A request with a deadline of
+	// 350 ms arrives 300 ms after they began: it waits for the rest and is served. If they
+	// were expected to take as long again as they have so far, the request would be refused
+	// immediately.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
@@ -162,9 +162,9 @@
 	})
 }
 
-func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
-	// A lookup takes a second and one runs. The next caller has half a second:
-	// it is refused on arrival and told when to come back.
+func TestTooShortDeadlineIsRefusedImmediately(t *testing.T) {
+	// A lookup takes a second and one is running. The next caller has half a second: it is
+	// refused on arrival, with a retry-after.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -184,8 +184,8 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	// The class's queue is full. The next request is refused at once, and a
-	// request of another class still finds room.
+	// The queue of a class is full. The next request of that class is refused immediately,
+	// while a request of another class is still queued.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -206,8 +206,8 @@
 }
 
 func TestWaiterIsRefusedAtItsDeadline(t *testing.T) {
-	// The slot is held by a statement that never ends. The waiter gets its
-	// final answer at its deadline, not when the slot comes free.
+	// The slot is held by a statement that never ends. The waiter gets its final answer at
+	// its deadline, not when the slot becomes free.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -223,10 +223,10 @@
 	})
 }
 
-func TestLateWaiterIsToldWhenItsDeadlineCannotBeKept(t *testing.T) {
-	// A request is too late for its objective, and six that are in time go before it. As
-	// soon as the time left is shorter than an answer takes, it is told so, and not kept
-	// until the deadline.
+func TestLateWaiterIsRefusedBeforeItsDeadline(t *testing.T) {
+	// A request has missed its objective, and six others that have not are served before
+	// it. It is refused as soon as the time left is shorter than its service time, not at
+	// its deadline.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -236,16 +236,16 @@
 		late.WantedBy = time.Now()
 		late.Deadline = time.Now().Add(400 * time.Millisecond)
 		began := time.Now()
-		told := make(chan time.Duration, 1)
+		refusedAfter := make(chan time.Duration, 1)
 		go func() {
 			_, err := c.Enter(context.Background(), late)
 			is.True(err != nil)
-			told <- time.Since(began)
+			refusedAfter <- time.Since(began)
 		}()
 		synctest.Wait()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for range 6 {
-			all.Go(func() {
+			wg.Go(func() {
 				soon := renewal
 				soon.WantedBy = time.Now().Add(time.Minute)
 				slot, err := c.Enter(context.Background(), soon)
@@ -257,14 +257,14 @@
 		synctest.Wait()
 		_ = clock.Sleep(t.Context(), clock.System{}, 10*time.Millisecond)
 		release()
-		is.True(<-told < 400*time.Millisecond)
-		all.Wait()
+		is.True(<-refusedAfter < 400*time.Millisecond)
+		wg.Wait()
 	})
 }
 
-func TestDrainCutsNothing(t *testing.T) {
-	// A planned stop begins while one request runs and one waits. Both end as
-	// usual, a new one is refused, and only then the drain is over.
+func TestDrainWaitsForAdmittedAndQueuedRequests(t *testing.T) {
+	// A planned shutdown begins while one request runs and one waits. Both end normally, a
+	// new request is refused, and Drain returns only then.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(1)
@@ -284,9 +284,10 @@
 	})
 }
 
-func TestFewerSlotsSettleWhenRequestsEnd(t *testing.T) {
-	// Two requests run when the slots are cut to one. Nothing is cut short;
-	// Settle returns when one has ended, and only then may the slot be lent.
+func TestSettleWaitsForRunningRequests(t *testing.T) {
+	// Two requests run when the number of slots is lowered to one. Neither is interrupted;
+	// Settle returns when one has ended, and only then may the slot be lent to another
+	// instance.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newController(2)
@@ -310,12 +311,12 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			release, err := c.Enter(ctx, renewal)
+			slot, err := c.Enter(ctx, renewal)
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			release.Release()
+			slot.Release()
 		}
 	})
 }
--- a/internal/admission/late.go
+++ b/internal/admission/late.go
@@ -51,8 +51,8 @@
 		if !w.late {
 			continue
 		}
-		turn := now.Add(ahead / time.Duration(c.parallelism()))
-		if turn.Add(w.class.serviceTime).After(w.request.Deadline) {
+		start := now.Add(ahead / time.Duration(c.parallelism()))
+		if start.Add(w.class.serviceTime).After(w.request.Deadline) {
 			all = append(all, w)
 			continue
 		}
--- a/internal/admission/late_test.go
+++ b/internal/admission/late_test.go
@@ -14,10 +14,10 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// A member is slow, and one request may be at work there at a time of a home's seven
-// connections. Twenty requests become late while they wait; their callers give them a second,
-// in which ten can be served. Those whose turn cannot come are told so long before their
-// deadline, and have the time to try elsewhere.
+// A member is slow, so only one request at a time may be in flight on the seven connections
+// of a home. Twenty requests become late while they wait; their deadline is one second, in
+// which ten can be served. The others must be refused long before their deadline, so that
+// their callers have time to try elsewhere.
 func TestLateWaiterIsToldWhenItsTurnCannotCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,7 +38,7 @@
 			time.Sleep(work)
 			slot.Release()
 		}
-		// They are let in while the member seems quick.
+		// The requests are queued while the member seems fast.
 		c.classState("read").serviceTime = time.Millisecond
 		for range 21 {
 			go request()
@@ -49,29 +49,29 @@
 		c.mu.Unlock()
 		time.Sleep(2 * deadline)
 		close(refusedAfter)
-		told := 0
+		refused := 0
 		for after := range refusedAfter {
-			told++
+			refused++
 			is.True(after <= deadline/2)
 		}
-		is.True(told >= 10)
+		is.True(refused >= 10)
 	})
 }
 
-// A request is late by the time a slot comes free, and seventeen come behind it that can be
-// in time. They all go first: one of the turns by the longest wait, given to the late one,
-// would make one of them late as well.
+// A request is late by the time the slot becomes free, and seventeen that can still be in
+// time arrive after it. All of those are served first: a longest-wait grant to the late
+// request would make one of them late as well.
 func TestLateWaiterTakesNoTurnOfOneInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newController(1)
-		free := mustEnter(t, c, Request{Class: "read", Priority: 2})
+		release := mustEnter(t, c, Request{Class: "read", Priority: 2})
 		got := make(chan string, 2*longestWaitInterval+2)
 		enterInBackground(c, Request{Class: "late", Priority: 1, WantedBy: time.Now()}, got)
 		time.Sleep(time.Millisecond)
 		for range 2*longestWaitInterval + 1 {
 			enterInBackground(c, Request{Class: "read", Priority: 2, WantedBy: time.Now().Add(time.Second)}, got)
 		}
-		free()
+		release()
 		synctest.Wait()
 		close(got)
 		var order []string
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -20,7 +20,7 @@
 	meanService  = 20 * time.Millisecond
 	loadDuration = 20 * time.Second
 	renewalShare = 0.1
-	// capacity is how many requests a second the slots serve at most.
+	// capacity is the maximum number of requests that the slots serve per second.
 	capacity = float64(loadSlots) / 0.020
 )
 
@@ -29,31 +29,31 @@
 	lookup  = Request{Class: "lookup", Priority: 5, MaxQueue: 200}
 )
 
-// load is an open stream of requests against one controller.
+// openLoad is an open-loop stream of requests to one controller.
 type openLoad struct {
 	controller *Controller
 	random     *rand.Rand
 
 	mu sync.Mutex
-	// done counts the requests of a class that ended before their deadline.
+	// completed counts the requests of a class that ended before their deadline.
 	completed map[string]int
-	// waits holds the time from arrival to slot of those admitted.
-	waits map[string][]time.Duration
-	// refusedAt holds the time from arrival to refusal, by code.
+	// waitTimes holds the time from arrival to admission of admitted requests, by class.
+	waitTimes map[string][]time.Duration
+	// refusedAt holds the time from arrival to refusal, by result code.
 	refusedAt map[result.Code][]time.Duration
 }
 
-// runLoad offers factor times the capacity, a tenth of it renewals up to half
-// of the capacity, and returns what came of it.
+// runLoad offers factor times the capacity, a tenth of it renewals, which is up to half of
+// the capacity, and returns the results.
 func runLoad(factor float64, requestTimeout time.Duration) *openLoad {
 	l := &openLoad{
 		controller: New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
 		random:     rand.New(rand.NewPCG(5, 6)),
 		completed:  make(map[string]int),
-		waits:      make(map[string][]time.Duration),
+		waitTimes:  make(map[string][]time.Duration),
 		refusedAt:  make(map[result.Code][]time.Duration),
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	end := time.Now().Add(loadDuration)
 	for time.Now().Before(end) {
 		gap := time.Duration(l.random.ExpFloat64() / (capacity * factor) * float64(time.Second))
@@ -64,15 +64,15 @@
 		}
 		r.Deadline = time.Now().Add(requestTimeout)
 		service := time.Duration(l.random.ExpFloat64() * float64(meanService))
-		all.Go(func() { l.request(r, service) })
+		wg.Go(func() { l.request(r, service) })
 	}
-	all.Wait()
+	wg.Wait()
 	return l
 }
 
 func (l *openLoad) request(r Request, service time.Duration) {
 	arrived := time.Now()
-	release, err := l.controller.Enter(context.Background(), r)
+	slot, err := l.controller.Enter(context.Background(), r)
 	waited := time.Since(arrived)
 	if err != nil {
 		e, _ := result.As(err)
@@ -82,16 +82,16 @@
 		return
 	}
 	_ = clock.Sleep(context.Background(), clock.System{}, service)
-	release.Release()
+	slot.Release()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waits[r.Class] = append(l.waits[r.Class], waited)
+	l.waitTimes[r.Class] = append(l.waitTimes[r.Class], waited)
 	if !time.Now().After(r.Deadline) {
 		l.completed[r.Class]++
 	}
 }
 
-// goodput is how many requests a second ended before their deadline.
+// goodput returns the number of requests per second that ended before their deadline.
 func (l *openLoad) goodput() float64 {
 	return float64(l.completed["renewal"]+l.completed["lookup"]) / loadDuration.Seconds()
 }
@@ -106,9 +106,9 @@
 }
 
 func TestGoodputHoldsUnderOverload(t *testing.T) {
-	// Callers offer two and five times what the slots can do. Those that cannot
-	// be served in time are told so on arrival, so that the slots go on doing
-	// work that is still wanted, and renewals do not notice the rest.
+	// Callers offer two and five times the capacity. Requests that cannot be served in time
+	// are refused on arrival, so that the slots keep doing work that is still wanted and
+	// renewals are not affected.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		timeout := 500 * time.Millisecond
@@ -119,14 +119,14 @@
 		for _, factor := range []float64{2, 5} {
 			l := runLoad(factor, timeout)
 			t.Logf("load %.0fx: goodput %.1f/s of peak %.1f/s, renewal p99 wait %v, lookup p99 wait %v, refused at once %d, in the queue %d",
-				factor, l.goodput(), peak, p99(l.waits["renewal"]), p99(l.waits["lookup"]),
+				factor, l.goodput(), peak, p99(l.waitTimes["renewal"]), p99(l.waitTimes["lookup"]),
 				len(l.refusedAt[result.DeadlineTooShort])+len(l.refusedAt[result.QueueFull]),
 				len(l.refusedAt[result.QueueTimeout]))
 			is.True(l.goodput() >= 0.9*peak)
 			is.Equal(p99(l.refusedAt[result.DeadlineTooShort]), time.Duration(0))
 			is.Equal(p99(l.refusedAt[result.QueueFull]), time.Duration(0))
-			is.True(p99(l.waits["renewal"]) < 5*meanService)
-			is.True(len(l.waits["lookup"]) > 0)
+			is.True(p99(l.waitTimes["renewal"]) < 5*meanService)
+			is.True(len(l.waitTimes["lookup"]) > 0)
 		}
 	})
 }
--- a/internal/admission/permember_test.go
+++ b/internal/admission/permember_test.go
@@ -16,15 +16,15 @@
 	return NewPerMember(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)), Slots: slots})
 }
 
-// at is a request for a member.
+// forMember returns r addressed to a member.
 func forMember(r Request, member string) Request {
 	r.Member = member
 	return r
 }
 
-// A replica hangs with its only slot in use and a read waiting. A write for the
-// primary is let in at once: slots of one member are not taken by another's queue.
-func TestSlotsOfOneMemberAreItsOwn(t *testing.T) {
+// A replica hangs with its only slot in use and a read waiting. A write for the primary is
+// admitted immediately: the queue of one member does not use the slots of another.
+func TestMembersHaveSeparateSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
@@ -32,26 +32,26 @@
 		is.NoErr(err)
 		waiting := make(chan *Slot)
 		go func() {
-			release, err := p.Enter(context.Background(), forMember(lookup, "replica"))
+			slot, err := p.Enter(context.Background(), forMember(lookup, "replica"))
 			if err == nil {
-				waiting <- release
+				waiting <- slot
 			}
 		}()
 		synctest.Wait()
 		is.Equal(p.Waiting("replica"), 1)
 		began := time.Now()
-		release, err := p.Enter(t.Context(), forMember(renewal, "primary"))
+		slot, err := p.Enter(t.Context(), forMember(renewal, "primary"))
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Duration(0))
-		release.Release()
+		slot.Release()
 		held.Release()
 		(<-waiting).Release()
 	})
 }
 
-// More connections to each member become this instance's. Those that wait are let in
-// at once, and members first met later have as many.
-func TestSlotsOfAllMembersChange(t *testing.T) {
+// The instance is assigned more connections to each member. Waiting requests are admitted
+// immediately, and members used for the first time later have the same number of slots.
+func TestSetSlotsAppliesToAllMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
@@ -59,9 +59,9 @@
 		is.NoErr(err)
 		waiting := make(chan *Slot, 1)
 		go func() {
-			release, err := p.Enter(context.Background(), forMember(lookup, "first"))
+			slot, err := p.Enter(context.Background(), forMember(lookup, "first"))
 			if err == nil {
-				waiting <- release
+				waiting <- slot
 			}
 		}()
 		synctest.Wait()
@@ -69,9 +69,9 @@
 		(<-waiting).Release()
 		held.Release()
 		for range 2 {
-			release, err := p.Enter(t.Context(), forMember(lookup, "second"))
+			slot, err := p.Enter(t.Context(), forMember(lookup, "second"))
 			is.NoErr(err)
-			defer release.Release()
+			defer slot.Release()
 		}
 		is.Equal(p.Waiting("second"), 0)
 	})
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -43,13 +43,13 @@
 // were assumed to be imminent, requests would fill the queue of a stalled member instead of
 // being refused immediately.
 func (s *Slot) remaining(now time.Time) time.Duration {
-	usual := s.class.serviceTime
+	average := s.class.serviceTime
 	if s.answered {
-		usual = s.class.holdTime
+		average = s.class.holdTime
 	}
 	elapsed := now.Sub(s.admittedAt)
-	if elapsed < usual {
-		return usual - elapsed
+	if elapsed < average {
+		return average - elapsed
 	}
-	return elapsed - usual
+	return elapsed - average
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -30,7 +30,7 @@
 // slowly only because of the load. With a full budget, an instance that has not answered
 // anything yet would ask the members a second time for every read, when they have the least
 // capacity.
-func TestBudgetThatStartsIsNotFull(t *testing.T) {
+func TestNewBudgetIsNotFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := initialBudget()
@@ -48,7 +48,7 @@
 	return Attempt{Number: number, Reason: Unreachable, Deadline: time.Now().Add(time.Hour)}
 }
 
-func TestRetriesAddNoMoreThanTheirRatio(t *testing.T) {
+func TestRetriesAreBoundedByRatio(t *testing.T) {
 	// A member is down, and every request of the group fails and asks for a retry. Once the
 	// saved-up retries are spent, the budget admits a tenth of them, so that retries cannot
 	// multiply the load of a failing group.
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestRetryNeverPassesTheDeadline(t *testing.T) {
+func TestRetryNeverExceedsTheDeadline(t *testing.T) {
 	// The member requests a pause that is longer than the caller's remaining time. The
 	// caller gets an error immediately, and no token is spent.
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestQuietGroupEarnsRetriesOverTime(t *testing.T) {
+func TestIdleGroupEarnsRetriesOverTime(t *testing.T) {
 	// The budget is spent and the group has hardly any requests. After a second one retry
 	// is possible again.
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/routing/token_test.go
+++ b/internal/routing/token_test.go
@@ -12,7 +12,7 @@
 // A session's token names a position among log entries that the new term discarded. The
 // session must not wait for a position that is not in the new log, but still needs
 // everything that is.
-func TestTokenOfAnOlderTermIsHeldAgainstTheNewStart(t *testing.T) {
+func TestTokenOfOlderTermIsCappedAtTermStart(t *testing.T) {
 	is := is.New(t)
 	s := &group.Snapshot{Term: 3, TermStart: 500}
 	required := func(term logpos.Term, p logpos.Position) (logpos.Position, bool) {
