--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,58 +6,58 @@
 )
 
 const (
-	// demandWindow is the time over which the demand for a workspace's tokens is averaged.
+	// demandWindow is the averaging window of the demand for a workspace's tokens.
 	demandWindow = time.Second
-	// aheadSpan is the time for whose demand tokens are held.
-	aheadSpan = 250 * time.Millisecond
-	// leastDemand is how many operations a second an instance begins for a workspace before
-	// it holds tokens for more.
-	leastDemand = 0.5
-	// accountLife is how long the account of a workspace without operations is kept.
-	accountLife = 10 * time.Second
-	// longestRefusal bounds how long a limiter that had no token is not asked again.
-	longestRefusal = 100 * time.Millisecond
+	// prefetchSpan is the time whose expected demand is covered by prefetched tokens.
+	prefetchSpan = 250 * time.Millisecond
+	// minDemand is the rate of operations, per second, below which an instance prefetches no
+	// tokens for a workspace.
+	minDemand = 0.5
+	// accountLifetime is how long the account of a workspace without operations is kept.
+	accountLifetime = 10 * time.Second
+	// maxLimiterBackoff bounds how long a limiter that had no token is not asked again.
+	maxLimiterBackoff = 100 * time.Millisecond
 )
 
-// account is what one instance holds and knows of a workspace's tokens. It does no I/O.
+// account is one instance's state for a workspace: the tokens it holds, the demand, and the
+// limiters that refused it. It does no I/O.
 type account struct {
 	tokens int
-	// expireAt is when the tokens that came last expire; older ones go with them at the
-	// latest.
-	expireAt time.Time
-	// returned counts tokens to give back.
-	returned int
-	// demand is the average of operations a second, as of demandAt.
+	// expiresAt is when the oldest of the tokens expires; all others expire with it.
+	expiresAt time.Time
+	// tokensToReturn counts tokens to return to a limiter.
+	tokensToReturn int
+	// demand is the average rate of operations, per second, as of demandAt.
 	demand   float64
 	demandAt time.Time
 	// refusals counts the operations that were refused.
 	refusals uint64
-	// refusedUntil is until when each limiter that had no token is not asked again, and
-	// returnAt when the callers that it refused are to come back.
-	refusedUntil map[string]time.Time
-	returnAt     map[string]time.Time
+	// backoffUntil is, for each limiter that had no token, until when it is not asked again.
+	// retryAt is when the limiter told refused callers to retry.
+	backoffUntil map[string]time.Time
+	retryAt      map[string]time.Time
 }
 
 func newAccount(now time.Time) *account {
-	return &account{demandAt: now, refusedUntil: make(map[string]time.Time), returnAt: make(map[string]time.Time)}
+	return &account{demandAt: now, backoffUntil: make(map[string]time.Time), retryAt: make(map[string]time.Time)}
 }
 
-// note counts an operation.
-func (a *account) note(now time.Time) {
-	a.decay(now)
+// recordOperation adds an operation to the demand.
+func (a *account) recordOperation(now time.Time) {
+	a.decayDemand(now)
 	a.demand += 1 / demandWindow.Seconds()
 }
 
-// decay ages the demand.
-func (a *account) decay(now time.Time) {
+// decayDemand ages the average to the current time.
+func (a *account) decayDemand(now time.Time) {
 	elapsed := now.Sub(a.demandAt)
 	a.demand *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 	a.demandAt = now
 }
 
-// take takes a token that is held.
-func (a *account) take(now time.Time) bool {
-	a.dropExpired(now)
+// takeToken takes a prefetched token and reports whether there was one.
+func (a *account) takeToken(now time.Time) bool {
+	a.expireTokens(now)
 	if a.tokens == 0 {
 		return false
 	}
@@ -65,47 +65,47 @@
 	return true
 }
 
-// dropExpired gives back the tokens that were held for too long.
-func (a *account) dropExpired(now time.Time) {
-	if a.tokens > 0 && !now.Before(a.expireAt) {
-		a.returned += a.tokens
+// expireTokens marks tokens that have been held for too long to be returned.
+func (a *account) expireTokens(now time.Time) {
+	if a.tokens > 0 && !now.Before(a.expiresAt) {
+		a.tokensToReturn += a.tokens
 		a.tokens = 0
 	}
 }
 
-// add takes in tokens that were asked for at a time. All tokens expire with the oldest.
-func (a *account) add(n int, asked time.Time) {
+// addTokens adds tokens that were requested at requestedAt. All tokens expire with the oldest.
+func (a *account) addTokens(n int, requestedAt time.Time) {
 	if n == 0 {
 		return
 	}
-	expire := asked.Add(aheadLife)
-	if a.tokens == 0 || expire.Before(a.expireAt) {
-		a.expireAt = expire
+	expiresAt := requestedAt.Add(prefetchLifetime)
+	if a.tokens == 0 || expiresAt.Before(a.expiresAt) {
+		a.expiresAt = expiresAt
 	}
 	a.tokens += n
 }
 
-// wanted is how many tokens to ask for ahead.
-func (a *account) wanted(now time.Time) int {
-	a.decay(now)
-	if a.demand < leastDemand {
+// tokensToPrefetch returns how many more tokens the demand of the next prefetchSpan needs.
+func (a *account) tokensToPrefetch(now time.Time) int {
+	a.decayDemand(now)
+	if a.demand < minDemand {
 		return 0
 	}
-	return max(int(math.Ceil(a.demand*aheadSpan.Seconds()))-a.tokens, 0)
+	return max(int(math.Ceil(a.demand*prefetchSpan.Seconds()))-a.tokens, 0)
 }
 
-// refused notes that a limiter had no token, and when its callers are to come back.
-func (a *account) refused(limiter string, returnIn time.Duration, now time.Time) {
-	a.refusedUntil[limiter] = now.Add(min(returnIn/2, longestRefusal))
-	a.returnAt[limiter] = now.Add(returnIn)
+// recordRefusal records that a limiter had no token, and when it told callers to retry.
+func (a *account) recordRefusal(limiter string, retryAfter time.Duration, now time.Time) {
+	a.backoffUntil[limiter] = now.Add(min(retryAfter/2, maxLimiterBackoff))
+	a.retryAt[limiter] = now.Add(retryAfter)
 }
 
-// mayAsk reports whether a limiter may have a token again.
-func (a *account) mayAsk(limiter string, now time.Time) bool {
-	return !now.Before(a.refusedUntil[limiter])
+// mayAskLimiter reports whether the backoff of a limiter that had no token is over.
+func (a *account) mayAskLimiter(limiter string, now time.Time) bool {
+	return !now.Before(a.backoffUntil[limiter])
 }
 
-// unused reports whether the account can be forgotten.
+// unused reports whether the account can be removed. One that counts refusals is kept.
 func (a *account) unused(now time.Time) bool {
-	return a.tokens == 0 && a.returned == 0 && a.refusals == 0 && now.Sub(a.demandAt) > accountLife
+	return a.tokens == 0 && a.tokensToReturn == 0 && a.refusals == 0 && now.Sub(a.demandAt) > accountLifetime
 }
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -7,54 +7,54 @@
 	"github.com/matryer/is"
 )
 
-// Guards against tokens that are held past their life, by when another window has begun.
+// Guards against tokens that are used after their lifetime, in a later window.
 func TestHeldTokensExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	a := newAccount(now)
-	a.add(3, now)
-	is.True(a.take(now.Add(aheadLife - time.Millisecond)))
-	is.True(!a.take(now.Add(aheadLife)))
-	is.Equal(a.returned, 2)
+	a.addTokens(3, now)
+	is.True(a.takeToken(now.Add(prefetchLifetime - time.Millisecond)))
+	is.True(!a.takeToken(now.Add(prefetchLifetime)))
+	is.Equal(a.tokensToReturn, 2)
 }
 
-// Guards against tokens that come later and lengthen the life of those before.
-func TestTokensExpireWithTheOldest(t *testing.T) {
+// Guards against tokens that extend the lifetime of older ones.
+func TestAllTokensExpireWithTheOldest(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	a := newAccount(now)
-	a.add(1, now)
-	a.add(1, now.Add(time.Second))
-	is.True(!a.take(now.Add(aheadLife)))
+	a.addTokens(1, now)
+	a.addTokens(1, now.Add(time.Second))
+	is.True(!a.takeToken(now.Add(prefetchLifetime)))
 }
 
 // The load pattern is a workspace with few operations at an instance, and one with many. Guards
-// against tokens that are held for operations which do not come.
-func TestTokensAreHeldForTheDemandAlone(t *testing.T) {
+// against prefetched tokens for operations that do not come.
+func TestPrefetchFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
-	seldom, often := newAccount(now), newAccount(now)
+	rare, frequent := newAccount(now), newAccount(now)
 	for n := range 400 {
 		at := now.Add(time.Duration(n) * 10 * time.Millisecond)
-		often.note(at)
+		frequent.recordOperation(at)
 		if n%300 == 0 {
-			seldom.note(at)
+			rare.recordOperation(at)
 		}
 	}
 	end := now.Add(4 * time.Second)
-	is.Equal(seldom.wanted(end), 0)
-	is.True(often.wanted(end) >= 20 && often.wanted(end) <= 30)
-	is.Equal(often.wanted(end.Add(accountLife)), 0)
+	is.Equal(rare.tokensToPrefetch(end), 0)
+	is.True(frequent.tokensToPrefetch(end) >= 20 && frequent.tokensToPrefetch(end) <= 30)
+	is.Equal(frequent.tokensToPrefetch(end.Add(accountLifetime)), 0)
 }
 
-// Guards against a limiter that had no token being asked for each operation of a hot workspace,
-// and against one that is not asked again.
-func TestLimiterWithoutTokensIsSpared(t *testing.T) {
+// Guards against asking a limiter that had no token again for each operation of a hot
+// workspace, and against never asking it again.
+func TestRefusingLimiterIsNotAskedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	a := newAccount(now)
-	a.refused("l", time.Second, now)
-	is.True(!a.mayAsk("l", now.Add(longestRefusal-time.Millisecond)))
-	is.True(a.mayAsk("l", now.Add(longestRefusal)))
-	is.True(a.mayAsk("other", now))
+	a.recordRefusal("l", time.Second, now)
+	is.True(!a.mayAskLimiter("l", now.Add(maxLimiterBackoff-time.Millisecond)))
+	is.True(a.mayAskLimiter("l", now.Add(maxLimiterBackoff)))
+	is.True(a.mayAskLimiter("other", now))
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,28 +6,28 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// bucket is a token bucket over a part of a limit. It begins empty, as what was begun before it
-// is not known.
+// bucket is a token bucket over a fraction of a limit. It starts empty because the operations
+// that began before it existed are unknown.
 type bucket struct {
 	level     float64
 	updatedAt time.Time
-	// returnAt is when the caller that was refused last is to come back.
-	returnAt time.Time
+	// nextRetryAt is the retry time given to the last refused caller.
+	nextRetryAt time.Time
 }
 
-// size is what a bucket may hold and gain.
-type size struct {
+// bucketSize is the refill rate per second and the capacity of a bucket.
+type bucketSize struct {
 	rate  float64
 	depth float64
 }
 
-// sizeOf is the size of a bucket over a part of a limit.
-func sizeOf(part float64, l workspace.Limit, t Tolerance) size {
-	return size{rate: part * l.Rate, depth: part * t.depth(l)}
+// newBucketSize returns the size of a bucket over a fraction of a limit.
+func newBucketSize(fraction float64, l workspace.Limit, t Tolerance) bucketSize {
+	return bucketSize{rate: fraction * l.Rate, depth: fraction * t.totalDepth(l)}
 }
 
-// gain adds what came in since the last call.
-func (b *bucket) gain(now time.Time, s size) {
+// refill adds the tokens that accrued since the last call.
+func (b *bucket) refill(now time.Time, s bucketSize) {
 	if elapsed := now.Sub(b.updatedAt); elapsed > 0 && !b.updatedAt.IsZero() {
 		b.level += s.rate * elapsed.Seconds()
 	}
@@ -35,11 +35,11 @@
 	b.level = min(b.level, s.depth)
 }
 
-// add puts tokens in, which were taken before or gained while nobody held a share.
-func (b *bucket) add(tokens float64, s size) { b.level = min(b.level+tokens, s.depth) }
+// addTokens adds tokens that were returned, or that accrued while a share was not leased.
+func (b *bucket) addTokens(tokens float64, s bucketSize) { b.level = min(b.level+tokens, s.depth) }
 
-// take takes up to n tokens and returns how many.
-func (b *bucket) take(n int) int {
+// takeTokens takes up to n tokens and returns how many it took.
+func (b *bucket) takeTokens(n int) int {
 	taken := min(n, int(b.level))
 	if taken <= 0 {
 		return 0
@@ -49,23 +49,24 @@
 }
 
 const (
-	// minReturn and maxReturn bound when a refused caller is told to come back.
-	minReturn = 20 * time.Millisecond
-	maxReturn = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry-after of a refused caller.
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// refuse returns when the next n callers are to come back. Each is given a time of its own, one
-// token behind the one before, so that they do not come back together and be refused again.
-func (b *bucket) refuse(n int, now time.Time, s size) time.Duration {
-	if b.returnAt.Before(now) {
-		b.returnAt = now
+// reserveRetry returns the retry-after for the next n refused callers. Each caller's retry time
+// is one token's refill time after the previous one's, so that callers do not retry together
+// and are refused again.
+func (b *bucket) reserveRetry(n int, now time.Time, s bucketSize) time.Duration {
+	if b.nextRetryAt.Before(now) {
+		b.nextRetryAt = now
 	}
 	if s.rate <= 0 {
-		return maxReturn
+		return maxRetryAfter
 	}
-	b.returnAt = b.returnAt.Add(time.Duration(float64(n) / s.rate * float64(time.Second)))
-	if latest := now.Add(maxReturn); b.returnAt.After(latest) {
-		b.returnAt = latest
+	b.nextRetryAt = b.nextRetryAt.Add(time.Duration(float64(n) / s.rate * float64(time.Second)))
+	if latest := now.Add(maxRetryAfter); b.nextRetryAt.After(latest) {
+		b.nextRetryAt = latest
 	}
-	return max(b.returnAt.Sub(now), minReturn)
+	return max(b.nextRetryAt.Sub(now), minRetryAfter)
 }
--- a/internal/quota/executor.go
+++ b/internal/quota/executor.go
@@ -8,8 +8,8 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Executor lets operations begin within their workspaces' limits. A transaction is one
-// operation: only the unit that opens it takes a token.
+// Executor takes a token from the workspace's limit before an operation begins. A transaction
+// is one operation: only the unit that opens it takes a token.
 type Executor struct {
 	execution.Executor
 	Guard *Guard
@@ -23,18 +23,18 @@
 	if u.Workspace == "" || u.Transaction != "" {
 		return e.Executor.Execute(ctx, u, partial)
 	}
-	if refused := e.Guard.Take(ctx, u.Workspace); refused != nil {
+	if refused := e.Guard.TakeToken(ctx, u.Workspace); refused != nil {
 		return nil, refused
 	}
-	taken := e.Clock.Now()
+	takenAt := e.Clock.Now()
 	reply, err := e.Executor.Execute(ctx, u, partial)
 	if didNotRun(err) {
-		e.Guard.GiveBack(u.Workspace, taken)
+		e.Guard.ReturnToken(u.Workspace, takenAt)
 	}
 	return reply, err
 }
 
-// didNotRun reports whether an error says that the unit did not run.
+// didNotRun reports whether an error means that the unit did not run.
 func didNotRun(err error) bool {
 	e, ok := result.As(err)
 	return ok && e.Code.Family() == result.FamilyDidNotRun
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -11,55 +11,56 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// duty is the key by which limiters are picked.
-const duty = "quota.limit"
+// limiterPickKey is the key by which limiters are picked.
+const limiterPickKey = "quota.limit"
 
-// Fleet is the view of the other instances; membership.Members implements it.
+// Fleet provides this instance's view of all instances; membership.Members implements it.
 type Fleet interface {
 	Self() platform.Instance
-	// Known reports whether the others have been learned once.
+	// Known reports whether the list of instances has been received at least once.
 	Known() bool
-	// Listed returns all instances that the platform lists, those that leave included.
+	// Listed returns all instances that the platform lists, including those that are leaving.
 	Listed() []platform.Instance
-	// Live returns the instances that are not leaving, in the order of their IDs.
+	// Live returns the instances that are not leaving, ordered by ID.
 	Live() []platform.Instance
-	// Pick returns n instances of each failure domain for a duty.
-	Pick(duty string, n int) []platform.Instance
+	// Pick returns up to n instances of each failure domain, chosen by a key.
+	Pick(key string, n int) []platform.Instance
 }
 
-// layout names the limiters of each failure domain. It is made anew when the view changes.
-type layout struct {
+// assignment maps shards to limiters. A new one is computed when the view of the instances
+// changes.
+type assignment struct {
 	self platform.Instance
-	// near holds the limiters of each shard in this instance's failure domain, in the order
-	// in which they are taken, and far those of the other failure domains.
-	near [shardCount][]platform.Instance
-	far  [shardCount][][]platform.Instance
-	byID map[string]platform.Instance
+	// sameDomain holds, for each shard, the limiters in this instance's failure domain in order
+	// of preference. otherDomains holds the same for each of the other failure domains.
+	sameDomain   [shardCount][]platform.Instance
+	otherDomains [shardCount][][]platform.Instance
+	byID         map[string]platform.Instance
 }
 
-// newLayout chooses the limiters. A failure domain has about as many as the root of the number
-// of its instances: each instance then delegates to so few that renewing costs little, and each
-// limiter has so few to serve that its load stays small as well.
-func newLayout(f Fleet) *layout {
-	l := &layout{self: f.Self(), byID: make(map[string]platform.Instance)}
-	l.byID[l.self.ID] = l.self
-	for domain, all := range limitersByDomain(f) {
-		for _, i := range all {
-			l.byID[i.ID] = i
+// newAssignment selects the limiters. A failure domain has about as many as the square root of
+// the number of its instances: each instance then delegates to so few limiters that renewals
+// are cheap, and each limiter serves so few instances that its load stays small.
+func newAssignment(f Fleet) *assignment {
+	a := &assignment{self: f.Self(), byID: make(map[string]platform.Instance)}
+	a.byID[a.self.ID] = a.self
+	for domain, limiters := range limitersByDomain(f) {
+		for _, limiter := range limiters {
+			a.byID[limiter.ID] = limiter
 		}
 		for shard := range shardCount {
-			ranked := rank(shard, all)
-			if domain == l.self.FailureDomain {
-				l.near[shard] = ranked
+			ranked := rankLimiters(shard, limiters)
+			if domain == a.self.FailureDomain {
+				a.sameDomain[shard] = ranked
 			} else {
-				l.far[shard] = append(l.far[shard], ranked)
+				a.otherDomains[shard] = append(a.otherDomains[shard], ranked)
 			}
 		}
 	}
-	return l
+	return a
 }
 
-// limitersByDomain picks the limiters of each failure domain.
+// limitersByDomain selects the limiters of each failure domain.
 func limitersByDomain(f Fleet) map[string][]platform.Instance {
 	sizes := make(map[string]int)
 	largest := 0
@@ -68,23 +69,23 @@
 		largest = max(largest, sizes[i.FailureDomain])
 	}
 	picked := make(map[string][]platform.Instance)
-	for _, i := range f.Pick(duty, limitersOf(largest)) {
+	for _, i := range f.Pick(limiterPickKey, limiterCount(largest)) {
 		domain := i.FailureDomain
-		if len(picked[domain]) < limitersOf(sizes[domain]) {
+		if len(picked[domain]) < limiterCount(sizes[domain]) {
 			picked[domain] = append(picked[domain], i)
 		}
 	}
 	return picked
 }
 
-// limitersOf is how many limiters a number of instances has: the largest power of two within
-// the number's root, so that it changes seldom.
-func limitersOf(instances int) int {
+// limiterCount returns the number of limiters for a number of instances: the largest power of
+// two that does not exceed its square root, so that it rarely changes.
+func limiterCount(instances int) int {
 	return 1 << int(math.Log2(math.Sqrt(float64(max(instances, 1)))))
 }
 
-// rank orders the limiters of a failure domain for a shard by rendezvous hash.
-func rank(shard int, limiters []platform.Instance) []platform.Instance {
+// rankLimiters orders the limiters of a failure domain for a shard by rendezvous hash.
+func rankLimiters(shard int, limiters []platform.Instance) []platform.Instance {
 	score := func(i platform.Instance) uint64 {
 		return xxhash.Sum64String(i.ID + "\x00" + strconv.Itoa(shard))
 	}
@@ -95,30 +96,31 @@
 	return ranked
 }
 
-// nearest returns the limiter of a shard in this instance's failure domain, without those that
-// are passed by: this instance itself where no other one is to be had.
-func (l *layout) nearest(shard int, passed func(id string) bool) platform.Instance {
-	if i, ok := firstOf(l.near[shard], passed); ok {
+// sameDomainLimiter returns the first limiter of a shard in this instance's failure domain that
+// is not skipped, or this instance itself if there is none.
+func (a *assignment) sameDomainLimiter(shard int, skip func(id string) bool) platform.Instance {
+	if i, ok := firstNotSkipped(a.sameDomain[shard], skip); ok {
 		return i
 	}
-	return l.self
+	return a.self
 }
 
-// others returns the limiters of a shard in the other failure domains.
-func (l *layout) others(shard int, passed func(id string) bool) []platform.Instance {
+// otherDomainLimiters returns the first limiter of a shard that is not skipped in each of the
+// other failure domains.
+func (a *assignment) otherDomainLimiters(shard int, skip func(id string) bool) []platform.Instance {
 	var all []platform.Instance
-	for _, ranked := range l.far[shard] {
-		if i, ok := firstOf(ranked, passed); ok {
+	for _, ranked := range a.otherDomains[shard] {
+		if i, ok := firstNotSkipped(ranked, skip); ok {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// firstOf returns the first instance that is not passed by.
-func firstOf(ranked []platform.Instance, passed func(id string) bool) (platform.Instance, bool) {
+// firstNotSkipped returns the first instance that is not skipped.
+func firstNotSkipped(ranked []platform.Instance, skip func(id string) bool) (platform.Instance, bool) {
 	for _, i := range ranked {
-		if !passed(i.ID) {
+		if !skip(i.ID) {
 			return i, true
 		}
 	}
--- a/internal/quota/guard.go
+++ b/internal/quota/guard.go
@@ -14,98 +14,100 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// methodServe asks a limiter.
+// methodServe is the peer method for requests to a limiter.
 const methodServe = "quota.serve"
 
 const (
-	// tick is the time between two looks at leases and accounts.
-	tick = 100 * time.Millisecond
-	// listTicks is after how many ticks the list of instances is looked at without a change.
-	listTicks = 50
+	// renewalInterval is the time between two checks of leases and accounts.
+	renewalInterval = 100 * time.Millisecond
+	// ownershipTicks is after how many such checks the list of instances is read again even if
+	// no change was reported.
+	ownershipTicks = 50
 )
 
-// Config is what a Guard is made of.
+// Config is the configuration of a Guard.
 type Config struct {
-	// Process names this process among those of the instance.
+	// Process identifies this process among those of the instance.
 	Process    string
 	Fleet      Fleet
 	Workspaces Workspaces
 	Tolerance  Tolerance
 	Caller     peer.Caller
 	Clock      clock.Clock
-	// Rand spreads retry-afters, under the lock of the Guard only.
+	// Rand adds jitter to retry-afters. It is used only under the lock of the Guard.
 	Rand *rand.Rand
-	// CutOff reports whether this instance is cut off.
+	// CutOff reports whether this instance is cut off from most members and instances.
 	CutOff  func() bool
 	Logger  hclog.Logger
 	Metrics *Metrics
 }
 
-// Guard takes a token for each operation that this instance begins, and is a limiter for others.
+// Guard takes a token for each operation that this instance begins, and is a limiter for other
+// instances.
 type Guard struct {
 	Config
 	limiter *Limiter
 
-	mu        sync.Mutex
-	ownership *Ownership
-	shares    *Shares
-	accounts  map[string]*account
-	layout    *layout
-	// unreached is until when limiters that did not answer are passed by.
-	unreached map[string]time.Time
-	// renewing holds the limiters that are asked for leases and tokens ahead now.
+	mu         sync.Mutex
+	ownership  *Ownership
+	delegator  *Delegator
+	accounts   map[string]*account
+	assignment *assignment
+	// unreachableUntil is until when limiters that did not answer are not asked.
+	unreachableUntil map[string]time.Time
+	// renewing holds the limiters with a renewal in progress.
 	renewing map[string]bool
-	// kick asks for a look at leases and accounts at once; it holds at most one request.
-	kick chan struct{}
+	// renewNow triggers a check of leases and accounts at once; it holds at most one request.
+	renewNow chan struct{}
 }
 
-// New returns a Guard; Run keeps its leases.
+// New returns a Guard. Run renews its leases.
 func New(c Config) *Guard {
 	c.Logger = c.Logger.Named("quota")
 	now := c.Clock.Now()
 	return &Guard{
-		Config:    c,
-		limiter:   NewLimiter(c.Process, now, c.Tolerance, c.Workspaces),
-		ownership: NewOwnership(c.Fleet.Self().ID),
-		shares:    NewShares(c.Process, now),
-		accounts:  make(map[string]*account),
-		unreached: make(map[string]time.Time),
-		renewing:  make(map[string]bool),
-		kick:      make(chan struct{}, 1),
+		Config:           c,
+		limiter:          NewLimiter(c.Process, now, c.Tolerance, c.Workspaces),
+		ownership:        NewOwnership(c.Fleet.Self().ID),
+		delegator:        NewDelegator(c.Process, now),
+		accounts:         make(map[string]*account),
+		unreachableUntil: make(map[string]time.Time),
+		renewing:         make(map[string]bool),
+		renewNow:         make(chan struct{}, 1),
 	}
 }
 
 // Register adds the limiter's method to the peer server.
 func (g *Guard) Register(r peer.Registry) {
 	r.Handle(methodServe, func(_ context.Context, _ string, params json.RawMessage) (any, error) {
-		var asked request
-		if err := json.Unmarshal(params, &asked); err != nil {
+		var received request
+		if err := json.Unmarshal(params, &received); err != nil {
 			return nil, result.New(result.ProtocolViolation, "quota request").WithCause(err)
 		}
-		return g.limiter.serve(asked, g.Clock.Now()), nil
+		return g.limiter.handleRequest(received, g.Clock.Now()), nil
 	})
 }
 
-// Observe takes in that the view of the instances has changed.
+// Observe recomputes the assignment of limiters after the view of the instances has changed.
 func (g *Guard) Observe() {
-	view := newLayout(g.Fleet)
+	updated := newAssignment(g.Fleet)
 	g.mu.Lock()
-	g.layout = view
+	g.assignment = updated
 	g.mu.Unlock()
-	g.observe()
-	g.look()
+	g.updateOwnership()
+	g.triggerRenewals()
 }
 
-// look asks for a look at leases and accounts at once. It never blocks.
-func (g *Guard) look() {
+// triggerRenewals requests a check of leases and accounts at once. It never blocks.
+func (g *Guard) triggerRenewals() {
 	select {
-	case g.kick <- struct{}{}:
+	case g.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// observe takes in the list of instances.
-func (g *Guard) observe() {
+// updateOwnership reads the list of instances.
+func (g *Guard) updateOwnership() {
 	if !g.Fleet.Known() {
 		return
 	}
@@ -116,28 +118,28 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ownership.Observe(ids, g.Clock.Now())
+	g.ownership.UpdateInstances(ids, g.Clock.Now())
 }
 
-// Run keeps the leases until ctx ends.
+// Run renews the leases until ctx ends.
 func (g *Guard) Run(ctx context.Context) {
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	timer := g.Clock.NewTimer(tick)
+	var renewals sync.WaitGroup
+	defer renewals.Wait()
+	timer := g.Clock.NewTimer(renewalInterval)
 	defer timer.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.kick:
+		case <-g.renewNow:
 		case <-timer.C:
-			timer.Reset(tick)
+			timer.Reset(renewalInterval)
 		}
-		if n%listTicks == 0 {
-			g.observe()
+		if n%ownershipTicks == 0 {
+			g.updateOwnership()
 		}
-		for _, l := range g.dueLimiters() {
-			parts.Go(func() { g.renew(ctx, l) })
+		for _, l := range g.markDueLimiters() {
+			renewals.Go(func() { g.renewLease(ctx, l) })
 		}
 	}
 }
--- a/internal/quota/guard_test.go
+++ b/internal/quota/guard_test.go
@@ -13,90 +13,91 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// inSystem runs f with instances whose buckets are full.
-func inSystem(t *testing.T, domains, perDomain int, all []workspace.Workspace, f func(s *system)) {
+// runWarmSystem runs f with instances whose buckets are full.
+func runWarmSystem(t *testing.T, domains, perDomain int, all []workspace.Workspace, f func(s *testSystem)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSystem(t, domains, perDomain, all...)
-		time.Sleep(settled)
+		s := newTestSystem(t, domains, perDomain, all...)
+		time.Sleep(warmUp)
 		f(s)
 		s.close()
 	})
 }
 
-// manyWorkspaces are as unequal as those of a large deployment.
+// manyWorkspaces returns workspaces with limits as unequal as in a large deployment.
 func manyWorkspaces() []workspace.Workspace {
 	var all []workspace.Workspace
 	for n := range 75 {
 		rate := max(6, 174/float64(n+1))
-		all = append(all, limited(fmt.Sprintf("w%02d", n), rate, rate))
+		all = append(all, limitedWorkspace(fmt.Sprintf("w%02d", n), rate, rate))
 	}
 	return all
 }
 
-// The load pattern is a calm day: every workspace asks for what its limit leaves 1.6 times of,
-// at all instances alike. Guards against limits that refuse what is below them.
-func TestCalmWorkspacesAreNotRefused(t *testing.T) {
+// The load pattern is normal load: the limit of every workspace is 1.6 times its rate, and
+// operations come to all instances equally. Guards against refusing operations below the
+// limits.
+func TestOperationsBelowLimitsAreNotRefused(t *testing.T) {
 	all := manyWorkspaces()
-	inSystem(t, 3, 22, all, func(s *system) {
+	runWarmSystem(t, 3, 22, all, func(s *testSystem) {
 		var loads []*sync.WaitGroup
 		for _, w := range all {
-			loads = append(loads, s.load(w.Name, w.Limit.Rate/1.6, 20*time.Second))
+			loads = append(loads, s.startLoad(w.Name, w.Limit.Rate/1.6, 20*time.Second))
 		}
 		asked, refused := 0, 0
 		for i, w := range all {
 			loads[i].Wait()
-			s.within(w)
+			s.checkLimit(w)
 			asked += s.asked[w.Name]
 			refused += s.refused[w.Name]
 		}
-		t.Logf("%d of %d refused; most %d of %.0f", refused, asked, s.most("w00"), testTolerance.Allowed(all[0].Limit))
+		t.Logf("%d of %d refused; at most %d of %.0f allowed in a window", refused, asked, s.maxInWindow("w00"), testTolerance.Allowed(all[0].Limit))
 		if float64(refused) > 0.002*float64(asked) {
 			t.Errorf("%d of %d operations below the limits were refused", refused, asked)
 		}
 	})
 }
 
-// The load pattern is a day on which callers sit unevenly: all of a workspace's come to one
-// failure domain, or to one instance.
-func TestUnevenCallersAreNotRefused(t *testing.T) {
-	w := limited("w", 24, 24)
-	inSystem(t, 3, 22, []workspace.Workspace{w}, func(s *system) {
-		s.load("w", 15, 20*time.Second, 0, 3, 6, 9, 12).Wait()
-		s.load("w", 15, 20*time.Second, 7).Wait()
-		s.within(w)
+// The load pattern is uneven: all callers of a workspace come to one failure domain, or to one
+// instance.
+func TestUnevenlyDistributedCallersAreNotRefused(t *testing.T) {
+	w := limitedWorkspace("w", 24, 24)
+	runWarmSystem(t, 3, 22, []workspace.Workspace{w}, func(s *testSystem) {
+		s.startLoad("w", 15, 20*time.Second, 0, 3, 6, 9, 12).Wait()
+		s.startLoad("w", 15, 20*time.Second, 7).Wait()
+		s.checkLimit(w)
 		is.New(t).True(s.refused["w"] <= s.asked["w"]/500)
 	})
 }
 
-// The load pattern is a workspace that turns hot by eight at all instances.
-func TestHotWorkspaceGetsItsLimitAndNoMore(t *testing.T) {
+// The load pattern is a workspace whose rate is five times its limit, at all instances.
+func TestOverloadedWorkspaceGetsItsLimitAndNoMore(t *testing.T) {
 	for _, rate := range []float64{6, 174} {
-		w := limited("w", rate, rate)
-		inSystem(t, 3, 22, []workspace.Workspace{w}, func(s *system) {
-			s.load("w", rate*5, 20*time.Second).Wait()
-			s.within(w)
+		w := limitedWorkspace("w", rate, rate)
+		runWarmSystem(t, 3, 22, []workspace.Workspace{w}, func(s *testSystem) {
+			s.startLoad("w", rate*5, 20*time.Second).Wait()
+			s.checkLimit(w)
 			is.New(t).True(float64(len(s.begun["w"])) >= 0.95*20*rate)
 		})
 	}
 }
 
-// Guards against one workspace whose callers press, and whose refusals cost another one tokens.
-func TestHotWorkspaceTakesNothingFromAnother(t *testing.T) {
-	hot, calm := limited("hot", 50, 50), limited("calm", 10, 10)
-	inSystem(t, 3, 7, []workspace.Workspace{hot, calm}, func(s *system) {
-		loud := s.load("hot", 400, 10*time.Second)
-		s.load("calm", 6, 10*time.Second).Wait()
-		loud.Wait()
-		s.within(hot)
+// Guards against an overloaded workspace whose refusals cost another workspace tokens.
+func TestOverloadedWorkspaceDoesNotAffectAnother(t *testing.T) {
+	hot, other := limitedWorkspace("hot", 50, 50), limitedWorkspace("calm", 10, 10)
+	runWarmSystem(t, 3, 7, []workspace.Workspace{hot, other}, func(s *testSystem) {
+		hotLoad := s.startLoad("hot", 400, 10*time.Second)
+		s.startLoad("calm", 6, 10*time.Second).Wait()
+		hotLoad.Wait()
+		s.checkLimit(hot)
 		is.New(t).Equal(s.refused["calm"], 0)
 	})
 }
 
-// Guards against a failure domain that is cut off and spends the whole limit once more.
-func TestCutDomainHasItsOwnShares(t *testing.T) {
-	w := limited("w", 60, 60)
-	inSystem(t, 3, 5, []workspace.Workspace{w}, func(s *system) {
-		load := s.load("w", 400, 20*time.Second)
+// Guards against a failure domain that is cut off and spends the whole limit a second time.
+func TestCutOffFailureDomainStaysWithinLimit(t *testing.T) {
+	w := limitedWorkspace("w", 60, 60)
+	runWarmSystem(t, 3, 5, []workspace.Workspace{w}, func(s *testSystem) {
+		load := s.startLoad("w", 400, 20*time.Second)
 		time.Sleep(5 * time.Second)
 		for n, i := range s.instances {
 			if i.FailureDomain == "z1" {
@@ -109,16 +110,16 @@
 			s.net.SetCut(i.PeerAddress, false)
 		}
 		load.Wait()
-		s.within(w)
+		s.checkLimit(w)
 	})
 }
 
-// Guards against limiters that die or come back with a burst, and against callers who are all
-// refused for as long.
-func TestLimitersDieAndComeBack(t *testing.T) {
-	w := limited("w", 60, 60)
-	inSystem(t, 3, 5, []workspace.Workspace{w}, func(s *system) {
-		load := s.load("w", 300, 24*time.Second, 6, 7, 8, 9, 10, 11, 12, 13, 14)
+// Guards against limiters whose failure or restart brings a burst, and against callers that are
+// all refused during that time.
+func TestLimitersFailAndRestart(t *testing.T) {
+	w := limitedWorkspace("w", 60, 60)
+	runWarmSystem(t, 3, 5, []workspace.Workspace{w}, func(s *testSystem) {
+		load := s.startLoad("w", 300, 24*time.Second, 6, 7, 8, 9, 10, 11, 12, 13, 14)
 		for round := range 6 {
 			time.Sleep(2 * time.Second)
 			for n := range 6 {
@@ -134,17 +135,16 @@
 			}
 		}
 		load.Wait()
-		s.within(w)
+		s.checkLimit(w)
 		is.New(t).True(len(s.begun["w"]) >= 24*60*6/10)
 	})
 }
 
-// Guards against a return of all instances that brings a second burst, and against one that
-// refuses everything for long.
-func TestReturnOfAllBringsNoSecondBurst(t *testing.T) {
-	w := limited("w", 60, 60)
-	inSystem(t, 3, 5, []workspace.Workspace{w}, func(s *system) {
-		load := s.load("w", 300, 6*time.Second)
+// Guards against a second burst after a restart of all instances.
+func TestFullRestartStaysWithinLimit(t *testing.T) {
+	w := limitedWorkspace("w", 60, 60)
+	runWarmSystem(t, 3, 5, []workspace.Workspace{w}, func(s *testSystem) {
+		load := s.startLoad("w", 300, 6*time.Second)
 		load.Wait()
 		for n := range s.nodes {
 			s.kill(n)
@@ -153,17 +153,17 @@
 		for n := range s.nodes {
 			s.restart(n)
 		}
-		s.load("w", 300, 6*time.Second).Wait()
-		s.within(w)
+		s.startLoad("w", 300, 6*time.Second).Wait()
+		s.checkLimit(w)
 	})
 }
 
-// The load pattern is a return of all: the processes know each other after a third of a second,
-// and callers of many workspaces are back at once. Guards against a second in which limits refuse
-// them all.
-func TestReturnOfAllServesWithinASecond(t *testing.T) {
+// The load pattern is a restart of all instances: the processes know each other after a third
+// of a second, and the callers of many workspaces return at once. Guards against a first second
+// in which most operations are refused.
+func TestFullRestartServesWithinASecond(t *testing.T) {
 	all := manyWorkspaces()
-	inSystem(t, 3, 22, all, func(s *system) {
+	runWarmSystem(t, 3, 22, all, func(s *testSystem) {
 		for n := range s.nodes {
 			s.kill(n)
 		}
@@ -179,7 +179,7 @@
 		time.Sleep(50 * time.Millisecond)
 		var loads []*sync.WaitGroup
 		for _, w := range all {
-			loads = append(loads, s.load(w.Name, w.Limit.Rate/1.6, time.Second))
+			loads = append(loads, s.startLoad(w.Name, w.Limit.Rate/1.6, time.Second))
 		}
 		asked, refused := 0, 0
 		for i, w := range all {
@@ -192,16 +192,16 @@
 	})
 }
 
-// Guards against views that differ: some instances know of others that the rest does not, and
-// choose other limiters.
-func TestDifferentViewsMakeNoLimitersMore(t *testing.T) {
-	w := limited("w", 60, 60)
-	inSystem(t, 3, 8, []workspace.Workspace{w}, func(s *system) {
-		load := s.load("w", 300, 20*time.Second)
+// Guards against exceeding the limit when views differ: some instances know others that the
+// rest does not know, and choose other limiters.
+func TestDifferingViewsStayWithinLimit(t *testing.T) {
+	w := limitedWorkspace("w", 60, 60)
+	runWarmSystem(t, 3, 8, []workspace.Workspace{w}, func(s *testSystem) {
+		load := s.startLoad("w", 300, 20*time.Second)
 		for round := range 8 {
 			time.Sleep(2 * time.Second)
 			for n, node := range s.nodes {
-				// Every instance misses some others for a while.
+				// Each instance's view lacks some others for a while.
 				var view []platform.Instance
 				for m, i := range s.instances {
 					if (n+m+round)%4 != 0 || n == m {
@@ -213,23 +213,23 @@
 			}
 		}
 		load.Wait()
-		s.within(w)
+		s.checkLimit(w)
 	})
 }
 
-// Guards against a raised limit that brings a burst at once, and a lowered one that is not kept.
+// Guards against a raised limit that causes a burst, and a lowered one that is not enforced.
 func TestLimitsChange(t *testing.T) {
-	low, high := limited("w", 10, 10), limited("w", 100, 100)
-	inSystem(t, 3, 5, []workspace.Workspace{low}, func(s *system) {
-		s.load("w", 300, 6*time.Second).Wait()
-		s.within(low)
-		s.limits.set(high)
-		s.load("w", 300, 6*time.Second).Wait()
-		s.within(high)
-		s.limits.set(low)
+	low, high := limitedWorkspace("w", 10, 10), limitedWorkspace("w", 100, 100)
+	runWarmSystem(t, 3, 5, []workspace.Workspace{low}, func(s *testSystem) {
+		s.startLoad("w", 300, 6*time.Second).Wait()
+		s.checkLimit(low)
+		s.workspaces.set(high)
+		s.startLoad("w", 300, 6*time.Second).Wait()
+		s.checkLimit(high)
+		s.workspaces.set(low)
 		time.Sleep(testTolerance.Window)
-		s.forget()
-		s.load("w", 300, 6*time.Second).Wait()
-		s.within(low)
+		s.resetCounts()
+		s.startLoad("w", 300, 6*time.Second).Wait()
+		s.checkLimit(low)
 	})
 }
--- a/internal/quota/harness_test.go
+++ b/internal/quota/harness_test.go
@@ -17,23 +17,23 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// testTolerance is that of the tests' operators.
+// testTolerance is the tolerance in these tests.
 var testTolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// limitsInForce are workspaces that a test changes.
-type limitsInForce struct {
+// testWorkspaces provides workspaces that a test can change.
+type testWorkspaces struct {
 	mu    sync.Mutex
 	table *workspace.Table
 }
 
 // Workspaces implements Workspaces.
-func (l *limitsInForce) Workspaces() *workspace.Table {
+func (l *testWorkspaces) Workspaces() *workspace.Table {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table
 }
 
-func (l *limitsInForce) set(all ...workspace.Workspace) {
+func (l *testWorkspaces) set(all ...workspace.Workspace) {
 	var entries []workspace.Entry
 	for _, w := range all {
 		entries = append(entries, workspace.Entry{Workspace: w})
@@ -44,11 +44,11 @@
 	l.table = table
 }
 
-func limited(name string, rate, burst float64) workspace.Workspace {
+func limitedWorkspace(name string, rate, burst float64) workspace.Workspace {
 	return workspace.Workspace{Name: name, Limit: workspace.Limit{Rate: rate, Burst: burst}}
 }
 
-// testFleet is the view of one instance.
+// testFleet is one instance's view, set by the test.
 type testFleet struct {
 	mu   sync.Mutex
 	self platform.Instance
@@ -77,7 +77,8 @@
 // Live implements Fleet.
 func (f *testFleet) Live() []platform.Instance { return f.Listed() }
 
-// Pick implements Fleet: the first n of each failure domain, which is an order like any other.
+// Pick implements Fleet. It returns the first n of each failure domain; the tests need no
+// particular order.
 func (f *testFleet) Pick(_ string, n int) []platform.Instance {
 	taken := make(map[string]int)
 	var picked []platform.Instance
@@ -89,39 +90,39 @@
 	return picked
 }
 
-// system is a number of instances that limit workspaces together, in virtual time.
-type system struct {
-	t         *testing.T
-	net       *peernet.Net
-	instances []platform.Instance
-	limits    *limitsInForce
-	nodes     []*node
-	seed      uint64
+// testSystem is a set of instances that limit workspaces together, in virtual time.
+type testSystem struct {
+	t          *testing.T
+	net        *peernet.Net
+	instances  []platform.Instance
+	workspaces *testWorkspaces
+	nodes      []*testNode
+	seed       uint64
 
 	mu sync.Mutex
-	// begun are the times at which operations were begun, by workspace.
+	// begun holds the times at which operations began, by workspace.
 	begun map[string][]time.Time
-	// asked and refused count operations.
+	// asked and refused count operations by workspace.
 	asked, refused map[string]int
-	// waited are the times that operations waited for a token.
-	waited []time.Duration
+	// waits holds how long operations waited for a token.
+	waits []time.Duration
 }
 
-// node is one process.
-type node struct {
+// testNode is one process of an instance.
+type testNode struct {
 	fleet *testFleet
 	guard *Guard
 	stop  context.CancelFunc
 	ended chan struct{}
 }
 
-// newSystem starts instances in failure domains.
-func newSystem(t *testing.T, domains, perDomain int, all ...workspace.Workspace) *system {
-	s := &system{
-		t: t, net: peernet.New(), limits: &limitsInForce{}, begun: make(map[string][]time.Time),
+// newTestSystem starts perDomain instances in each failure domain.
+func newTestSystem(t *testing.T, domains, perDomain int, all ...workspace.Workspace) *testSystem {
+	s := &testSystem{
+		t: t, net: peernet.New(), workspaces: &testWorkspaces{}, begun: make(map[string][]time.Time),
 		asked: make(map[string]int), refused: make(map[string]int),
 	}
-	s.limits.set(all...)
+	s.workspaces.set(all...)
 	for n := range domains * perDomain {
 		s.instances = append(s.instances, platform.Instance{
 			ID: fmt.Sprintf("e%03d", n), FailureDomain: fmt.Sprint("z", n%domains), PeerAddress: fmt.Sprintf("10.0.0.%d:1", n),
@@ -135,20 +136,20 @@
 }
 
 // start starts a process of an instance with a view of the others.
-func (s *system) start(n int, view []platform.Instance) {
+func (s *testSystem) start(n int, view []platform.Instance) {
 	s.seed++
 	f := &testFleet{self: s.instances[n]}
 	f.set(view)
-	at := s.net.At(s.instances[n].PeerAddress)
+	endpoint := s.net.At(s.instances[n].PeerAddress)
 	g := New(Config{
-		Process: fmt.Sprint(n, "-", s.seed), Fleet: f, Workspaces: s.limits, Tolerance: testTolerance, Caller: at,
+		Process: fmt.Sprint(n, "-", s.seed), Fleet: f, Workspaces: s.workspaces, Tolerance: testTolerance, Caller: endpoint,
 		Clock: clock.System{}, Rand: rand.New(rand.NewPCG(s.seed, 1)), CutOff: func() bool { return false },
 		Logger: hclog.NewNullLogger(), Metrics: NewMetrics(nil),
 	})
-	g.Register(at)
+	g.Register(endpoint)
 	g.Observe()
 	ctx, stop := context.WithCancel(context.Background())
-	node := &node{fleet: f, guard: g, stop: stop, ended: make(chan struct{})}
+	node := &testNode{fleet: f, guard: g, stop: stop, ended: make(chan struct{})}
 	go func() {
 		g.Run(ctx)
 		close(node.ended)
@@ -156,31 +157,32 @@
 	s.nodes[n] = node
 }
 
-// kill ends the process of an instance.
-func (s *system) kill(n int) {
+// kill cuts an instance off and stops its process.
+func (s *testSystem) kill(n int) {
 	s.net.SetCut(s.instances[n].PeerAddress, true)
 	s.nodes[n].stop()
 	<-s.nodes[n].ended
 }
 
-// restart starts a process of an instance that was killed.
-func (s *system) restart(n int) {
+// restart starts a new process of an instance that was killed.
+func (s *testSystem) restart(n int) {
 	s.net.SetCut(s.instances[n].PeerAddress, false)
 	s.start(n, s.instances)
 }
 
-// close ends all processes.
-func (s *system) close() {
+// close stops all processes.
+func (s *testSystem) close() {
 	for _, n := range s.nodes {
 		n.stop()
 		<-n.ended
 	}
 }
 
-// operate begins one operation of a workspace at an instance.
-func (s *system) operate(n int, name string) bool {
-	asked := time.Now()
-	refused := s.nodes[n].guard.Take(context.Background(), name)
+// beginOperation begins one operation of a workspace at an instance and reports whether it got
+// a token.
+func (s *testSystem) beginOperation(n int, name string) bool {
+	startedAt := time.Now()
+	refused := s.nodes[n].guard.TakeToken(context.Background(), name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked[name]++
@@ -189,12 +191,13 @@
 		return false
 	}
 	s.begun[name] = append(s.begun[name], time.Now())
-	s.waited = append(s.waited, time.Since(asked))
+	s.waits = append(s.waits, time.Since(startedAt))
 	return true
 }
 
-// load begins operations of a workspace at random instances, at a rate, for a time.
-func (s *system) load(name string, rate float64, length time.Duration, at ...int) *sync.WaitGroup {
+// startLoad begins operations of a workspace at a rate for a duration, at random instances
+// among those given, or among all.
+func (s *testSystem) startLoad(name string, rate float64, duration time.Duration, at ...int) *sync.WaitGroup {
 	s.seed++
 	r := rand.New(rand.NewPCG(s.seed, 2))
 	if len(at) == 0 {
@@ -202,49 +205,49 @@
 			at = append(at, n)
 		}
 	}
-	var all sync.WaitGroup
-	all.Go(func() {
-		for until := time.Now().Add(length); time.Now().Before(until); {
+	var operations sync.WaitGroup
+	operations.Go(func() {
+		for until := time.Now().Add(duration); time.Now().Before(until); {
 			time.Sleep(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 			n := at[r.IntN(len(at))]
-			all.Go(func() { s.operate(n, name) })
+			operations.Go(func() { s.beginOperation(n, name) })
 		}
 	})
-	return &all
+	return &operations
 }
 
-// most returns the highest number of operations of a workspace that were begun in one window.
-func (s *system) most(name string) int {
+// maxInWindow returns the highest number of operations of a workspace that began in one window.
+func (s *testSystem) maxInWindow(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slices.SortFunc(s.begun[name], time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range s.begun[name] {
 		for at.Sub(s.begun[name][first]) > testTolerance.Window {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// within fails the test if a workspace passed its limit.
-func (s *system) within(w workspace.Workspace) {
+// checkLimit fails the test if a workspace exceeded its limit.
+func (s *testSystem) checkLimit(w workspace.Workspace) {
 	s.t.Helper()
-	if most, allowed := s.most(w.Name), testTolerance.Allowed(w.Limit); float64(most) > allowed {
-		s.t.Errorf("workspace %s: %d operations in a window, allowed %.1f", w.Name, most, allowed)
+	if highest, allowed := s.maxInWindow(w.Name), testTolerance.Allowed(w.Limit); float64(highest) > allowed {
+		s.t.Errorf("workspace %s: %d operations in a window, allowed %.1f", w.Name, highest, allowed)
 	}
 }
 
-// forget drops what was counted.
-func (s *system) forget() {
+// resetCounts clears all counts.
+func (s *testSystem) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.begun)
 	clear(s.asked)
 	clear(s.refused)
-	s.waited = nil
+	s.waits = nil
 }
 
-// settled is the time after a start in which all buckets are full.
-const settled = 4 * time.Second
+// warmUp is the time after a start by which all buckets are full.
+const warmUp = 4 * time.Second
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -8,91 +8,92 @@
 )
 
 const (
-	// leaseLength is how long a share is delegated. Whoever loses its limiter waits so long
-	// before it may delegate its share anew.
-	leaseLength = time.Second
-	// aheadLife is how long a token may be held for an operation to come, by the clock of the
-	// holder from the sending of its request.
-	aheadLife = 2 * time.Second
+	// leaseDuration is how long a share is delegated. An instance whose limiter fails waits
+	// this long before it may delegate its share again.
+	leaseDuration = time.Second
+	// prefetchLifetime is how long a prefetched token may be held, by the clock of the instance
+	// that holds it, from when it sent the request.
+	prefetchLifetime = 2 * time.Second
 )
 
-// Workspaces finds the limits in force.
+// Workspaces provides the limits in force.
 type Workspaces interface {
 	Workspaces() *workspace.Table
 }
 
-// Limiter hands out the tokens of the shares that are delegated to it. It does no I/O.
+// Limiter grants the tokens of the shares that are delegated to it. It does no I/O.
 type Limiter struct {
 	process    string
 	startedAt  time.Time
 	tolerance  Tolerance
 	workspaces Workspaces
 
-	mu      sync.Mutex
-	leases  map[string]*delegated
-	buckets map[string]*bucket
-	held    map[string]map[string]heldAhead
-	// opened are the shards for which each holder's first lease was counted.
-	opened map[string]*[shardCount]bool
+	mu         sync.Mutex
+	leases     map[string]*delegatedShare
+	buckets    map[string]*bucket
+	prefetched map[string]map[string]prefetchedTokens
+	// initialized marks the shards for which an instance's share got its initial tokens.
+	initialized map[string]*[shardCount]bool
 }
 
-// NewLimiter returns a limiter to which nothing is delegated. process names this process among
+// NewLimiter returns a limiter without delegated shares. process identifies this process among
 // those of the instance.
 func NewLimiter(process string, startedAt time.Time, t Tolerance, w Workspaces) *Limiter {
 	return &Limiter{
 		process: process, startedAt: startedAt, tolerance: t, workspaces: w,
-		leases:  make(map[string]*delegated),
-		buckets: make(map[string]*bucket),
-		held:    make(map[string]map[string]heldAhead),
-		opened:  make(map[string]*[shardCount]bool),
+		leases:      make(map[string]*delegatedShare),
+		buckets:     make(map[string]*bucket),
+		prefetched:  make(map[string]map[string]prefetchedTokens),
+		initialized: make(map[string]*[shardCount]bool),
 	}
 }
 
-// clock is the limiter's own clock, in microseconds. It goes on while the process is paused.
-func (l *Limiter) clock(now time.Time) int64 { return now.Sub(l.startedAt).Microseconds() }
+// clockMicros returns the limiter's own clock, in microseconds since its start. It advances
+// while the process is paused.
+func (l *Limiter) clockMicros(now time.Time) int64 { return now.Sub(l.startedAt).Microseconds() }
 
-// serve answers a request that arrived now.
-func (l *Limiter) serve(r request, now time.Time) response {
+// handleRequest answers a request that arrived at now.
+func (l *Limiter) handleRequest(r request, now time.Time) response {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire(now)
-	if d := l.leases[r.Holder]; d != nil && d.process != r.Process {
-		// The process that delegated it is gone.
-		delete(l.leases, r.Holder)
+	l.removeExpiredLeases(now)
+	if d := l.leases[r.Instance]; d != nil && d.process != r.Process {
+		// The instance has restarted: the lease of its earlier process is void.
+		delete(l.leases, r.Instance)
 	}
 	if r.Lease != nil {
-		l.delegate(r.Holder, r.Process, *r.Lease, now)
+		l.acceptLease(r.Instance, r.Process, *r.Lease, now)
 	}
 	table := l.workspaces.Workspaces()
-	l.noteHeld(r, now)
-	answer := response{Process: l.process, Clock: l.clock(now)}
+	l.recordPrefetched(r, now)
+	answer := response{Process: l.process, Clock: l.clockMicros(now)}
 	for name, n := range r.Returned {
 		if w, ok := table.Named(name); ok {
-			l.bucket(w, now).add(float64(n), l.size(w))
+			l.refilledBucket(w, now).addTokens(float64(n), l.bucketSize(w))
 		}
 	}
-	for name, n := range r.Now {
+	for name, n := range r.Waiting {
 		w, ok := table.Named(name)
 		if !ok {
 			continue
 		}
-		b := l.bucket(w, now)
-		taken := b.take(n)
-		put(&answer.Now, name, taken)
+		b := l.refilledBucket(w, now)
+		taken := b.takeTokens(n)
+		setCount(&answer.Granted, name, taken)
 		if taken < n {
-			put(&answer.ReturnMS, name, b.refuse(n-taken, now, l.size(w)).Milliseconds())
+			setCount(&answer.RetryAfterMS, name, b.reserveRetry(n-taken, now, l.bucketSize(w)).Milliseconds())
 		}
 	}
-	for name, n := range r.Ahead {
+	for name, n := range r.Prefetch {
 		if w, ok := table.Named(name); ok {
-			put(&answer.Ahead, name, l.giveAhead(r.Holder, w, n, now))
+			setCount(&answer.PrefetchGranted, name, l.grantPrefetch(r.Instance, w, n, now))
 		}
 	}
 	return answer
 }
 
-// put sets a count that is not zero.
-func put[N int | int64](counts *map[string]N, name string, n N) {
+// setCount sets a count unless it is zero.
+func setCount[N int | int64](counts *map[string]N, name string, n N) {
 	if n == 0 {
 		return
 	}
@@ -102,30 +103,31 @@
 	(*counts)[name] = n
 }
 
-// bucket returns the bucket of a workspace, up to date.
-func (l *Limiter) bucket(w workspace.Workspace, now time.Time) *bucket {
+// refilledBucket returns the bucket of a workspace, refilled up to now.
+func (l *Limiter) refilledBucket(w workspace.Workspace, now time.Time) *bucket {
 	b := l.buckets[w.Name]
 	if b == nil {
 		b = &bucket{}
 		l.buckets[w.Name] = b
 	}
-	b.gain(now, l.size(w))
+	b.refill(now, l.bucketSize(w))
 	return b
 }
 
-// size is the size of a workspace's bucket by the leases that stand.
-func (l *Limiter) size(w workspace.Workspace) size {
-	return sizeOf(l.partOf(w.Name), w.Limit, l.tolerance)
+// bucketSize returns the size of a workspace's bucket under the current leases.
+func (l *Limiter) bucketSize(w workspace.Workspace) bucketSize {
+	return newBucketSize(l.delegatedFraction(w.Name), w.Limit, l.tolerance)
 }
 
-// partOf is the part of a workspace's limit that is delegated.
-func (l *Limiter) partOf(name string) float64 {
+// delegatedFraction returns the fraction of a workspace's limit that is delegated to this
+// limiter.
+func (l *Limiter) delegatedFraction(name string) float64 {
 	shard := shardOf(name)
-	part := 0.0
+	fraction := 0.0
 	for _, d := range l.leases {
 		if d.shards[shard] {
-			part += d.part
+			fraction += d.fraction
 		}
 	}
-	return part
+	return fraction
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -13,120 +13,123 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// modelDepth is how many events the exhaustive model tries in every order.
-var modelDepth = flag.Int("model.depth", 4, "events of the exhaustive model of limits")
+// modelDepth is the length of the event sequences of the exhaustive model: all sequences are
+// tried.
+var modelDepth = flag.Int("model.depth", 4, "events in each sequence of the exhaustive model of limits")
 
-// modelWalks is how many walks of the model are made, from modelSeed on.
+// modelRuns is the number of random runs of the model, which start from modelSeed.
 var (
-	modelWalks = flag.String("model.walks", "20000", "walks of the model of limits")
-	modelSeed  = flag.String("model.seed", "1", "seed of the walks")
+	modelRuns = flag.String("model.walks", "20000", "random runs of the model of limits")
+	modelSeed = flag.String("model.seed", "1", "seed of the random runs")
 )
 
 const (
 	// modelStep is the time between two events of the model.
-	modelStep = leaseLength / 8
-	// modelLimiters is how many limiters a share may go to.
+	modelStep = leaseDuration / 8
+	// modelLimiters is the number of limiters that a share can be delegated to.
 	modelLimiters = 2
 )
 
-// modelLimits are those of the model's workspace. Without a tolerance, what is begun in any time t
-// is at most burst + rate x t. With a small burst a share that counts twice shows while tokens are
-// taken all the time, with a large one when they are taken behind a pause.
+// modelLimits are the limits of the model's workspace. Without a tolerance, at most burst +
+// rate x t operations begin in any time t. A small burst exposes a share that counts twice
+// while tokens are taken continuously, a large one when they are taken after a pause.
 var modelLimits = []workspace.Limit{{Rate: 40, Burst: 6}, {Rate: 100, Burst: 250}}
 
-// event is one thing that happens in the model.
+// event is one event of the model.
 type event struct {
 	kind    string
 	limiter int
-	// request and response are after how many steps they arrive; negative if never.
-	request, response int
+	// requestDelay and responseDelay are the numbers of steps until the messages arrive;
+	// negative if they are lost.
+	requestDelay, responseDelay int
 }
 
-// String names the event in the report of a failure.
+// String describes the event in the report of a failure.
 func (e event) String() string {
-	return fmt.Sprintf("%s(%d,%d,%d)", e.kind, e.limiter, e.request, e.response)
+	return fmt.Sprintf("%s(%d,%d,%d)", e.kind, e.limiter, e.requestDelay, e.responseDelay)
 }
 
-// delivery is a message on its way.
-type delivery struct {
-	at time.Time
-	do func()
+// scheduledCall is the delivery of a message in flight.
+type scheduledCall struct {
+	at   time.Time
+	call func()
 }
 
-// model is one holder of a whole limit and the limiters that it may delegate it to.
+// model has one instance with a whole limit, and the limiters that it may delegate the limit
+// to.
 type model struct {
-	// idle says that nobody takes a token now. Where somebody does, all that buckets hold is
-	// taken at each event, so that a share that counts twice shows.
+	// idle means that no tokens are taken at present. Otherwise all tokens in the buckets are
+	// taken at each event, which exposes a share that counts twice.
 	idle bool
 
-	now       time.Time
-	limit     workspace.Limit
-	processes int
-	limits    *limitsInForce
-	shares    *Shares
-	limiters  [modelLimiters]*Limiter
-	pending   []delivery
-	takenAt   []time.Time
-	taken     []int
+	now        time.Time
+	limit      workspace.Limit
+	processes  int
+	workspaces *testWorkspaces
+	delegator  *Delegator
+	limiters   [modelLimiters]*Limiter
+	pending    []scheduledCall
+	takenAt    []time.Time
+	taken      []int
 }
 
 func newModel(l workspace.Limit) *model {
-	m := &model{now: time.Unix(1000, 0), limit: l, limits: &limitsInForce{}}
-	m.limits.set(workspace.Workspace{Name: "w", Limit: l})
-	m.restartHolder()
+	m := &model{now: time.Unix(1000, 0), limit: l, workspaces: &testWorkspaces{}}
+	m.workspaces.set(workspace.Workspace{Name: "w", Limit: l})
+	m.restartInstance()
 	for n := range m.limiters {
 		m.restartLimiter(n)
 	}
 	return m
 }
 
-func (m *model) process() string {
+func (m *model) newProcess() string {
 	m.processes++
 	return fmt.Sprint("p", m.processes)
 }
 
-func (m *model) restartHolder() { m.shares = NewShares(m.process(), m.now) }
+func (m *model) restartInstance() { m.delegator = NewDelegator(m.newProcess(), m.now) }
 
 func (m *model) restartLimiter(n int) {
-	m.limiters[n] = NewLimiter(m.process(), m.now, Tolerance{}, m.limits)
+	m.limiters[n] = NewLimiter(m.newProcess(), m.now, Tolerance{}, m.workspaces)
 }
 
 func limiterName(n int) string { return fmt.Sprint("l", n) }
 
-// exchange sends a request with a lease to a limiter.
-func (m *model) exchange(e event) {
+// exchangeLease sends a request with a lease to a limiter and records the answer.
+func (m *model) exchangeLease(e event) {
 	name := limiterName(e.limiter)
-	s, asked := m.shares, m.now
-	r := request{Holder: "h", Process: s.process}
-	r.Lease = s.lease(name, 1, func(int) string { return name }, m.now)
-	m.after(e.request, func() {
-		answer := m.limiters[e.limiter].serve(r, m.now)
-		m.after(e.response, func() {
-			if m.shares != s {
+	delegator, sentAt := m.delegator, m.now
+	r := request{Instance: "h", Process: delegator.process}
+	r.Lease = delegator.newLease(name, 1, func(int) string { return name }, m.now)
+	m.schedule(e.requestDelay, func() {
+		answer := m.limiters[e.limiter].handleRequest(r, m.now)
+		m.schedule(e.responseDelay, func() {
+			if m.delegator != delegator {
 				return
 			}
-			s.heard(name, answer, asked, m.now)
-			var near []string
+			delegator.recordResponse(name, answer, sentAt, m.now)
+			var sameDomain []string
 			for n := range m.limiters {
-				near = append(near, limiterName(n))
+				sameDomain = append(sameDomain, limiterName(n))
 			}
-			s.clear(near, m.now)
+			delegator.endEarlierLeases(sameDomain, m.now)
 		})
 	})
 }
 
-// after has something happen so many steps from now; never if steps is negative.
-func (m *model) after(steps int, do func()) {
+// schedule calls a function after a number of steps; never if steps is negative.
+func (m *model) schedule(steps int, call func()) {
 	switch {
 	case steps == 0:
-		do()
+		call()
 	case steps > 0:
-		m.pending = append(m.pending, delivery{m.now.Add(time.Duration(steps) * modelStep), do})
+		m.pending = append(m.pending, scheduledCall{m.now.Add(time.Duration(steps) * modelStep), call})
 	}
 }
 
-// pass lets a step of time pass.
-func (m *model) pass() {
+// advance moves the clock by one step and delivers the messages that are due.
+func (m *model) advance() {
 	m.now = m.now.Add(modelStep)
 	due := m.pending
 	m.pending = nil
@@ -135,39 +138,40 @@
 			m.pending = append(m.pending, d)
 			continue
 		}
-		d.do()
+		d.call()
 	}
-	m.drain()
+	m.takeAllTokens()
 }
 
-// drain takes all that the buckets hold.
-func (m *model) drain() {
+// takeAllTokens takes all tokens that the buckets hold, unless the model is idle.
+func (m *model) takeAllTokens() {
 	if m.idle {
 		return
 	}
 	for _, l := range m.limiters {
-		answer := l.serve(request{Holder: "x", Process: "x", Now: map[string]int{"w": 1 << 20}}, m.now)
-		if n := answer.Now["w"]; n > 0 {
+		answer := l.handleRequest(request{Instance: "x", Process: "x", Waiting: map[string]int{"w": 1 << 20}}, m.now)
+		if n := answer.Granted["w"]; n > 0 {
 			m.takenAt, m.taken = append(m.takenAt, m.now), append(m.taken, n)
 		}
 	}
 }
 
-func (m *model) apply(e event) {
+func (m *model) applyEvent(e event) {
 	switch e.kind {
 	case "exchange":
-		m.exchange(e)
+		m.exchangeLease(e)
 	case "limiter restarts":
 		m.restartLimiter(e.limiter)
-	case "holder restarts":
-		m.restartHolder()
+	case "instance restarts":
+		m.restartInstance()
 	}
-	m.drain()
-	m.pass()
+	m.takeAllTokens()
+	m.advance()
 }
 
-// fault returns what is wrong with what was taken; empty if nothing is.
-func (m *model) fault() string {
+// violation describes the first period in which more tokens were taken than the limit allows;
+// empty if there is none.
+func (m *model) violation() string {
 	for from := range m.taken {
 		sum := 0
 		for to := from; to < len(m.taken); to++ {
@@ -175,46 +179,47 @@
 			length := m.takenAt[to].Sub(m.takenAt[from])
 			allowed := m.limit.Burst + m.limit.Rate*length.Seconds()
 			if float64(sum) > allowed+1e-6 {
-				return fmt.Sprintf("%d taken in %v, allowed %.1f", sum, length, allowed)
+				return fmt.Sprintf("%d tokens taken in %v, allowed %.1f", sum, length, allowed)
 			}
 		}
 	}
 	return ""
 }
 
-// begin brings the model to where the holder has delegated its limit to the first limiter and
-// knows the clocks of both.
-func (m *model) begin() {
+// delegateLimit brings the model to a state in which the instance has delegated its limit to
+// the first limiter and knows the clocks of both.
+func (m *model) delegateLimit() {
 	for _, n := range []int{1, 0, 0} {
-		m.apply(event{kind: "exchange", limiter: n})
+		m.applyEvent(event{kind: "exchange", limiter: n})
 	}
 }
 
-// modelEvents are those that the exhaustive model tries.
+// modelEvents returns the events that the exhaustive model tries.
 func modelEvents() []event {
-	events := []event{{kind: "pass"}, {kind: "holder restarts"}, {kind: "limiter restarts", limiter: 0}}
+	events := []event{{kind: "pass"}, {kind: "instance restarts"}, {kind: "limiter restarts", limiter: 0}}
 	for n := range modelLimiters {
-		for _, request := range []int{0, 6, -1} {
-			for _, response := range []int{0, 6, -1} {
-				if request < 0 && response >= 0 {
+		for _, requestDelay := range []int{0, 6, -1} {
+			for _, responseDelay := range []int{0, 6, -1} {
+				if requestDelay < 0 && responseDelay >= 0 {
 					continue
 				}
-				events = append(events, event{"exchange", n, request, response})
+				events = append(events, event{"exchange", n, requestDelay, responseDelay})
 			}
 		}
 	}
 	return events
 }
 
-// Guards against a share that counts at two limiters: every order of a few events, in which
-// requests and answers arrive, are late by most of a lease or are lost, and either side restarts.
+// Guards against a share that counts at two limiters. Tries every sequence of a few events:
+// requests and answers arrive, are late by most of a lease, or are lost, and either side
+// restarts.
 func TestModelOfLimitsExhaustive(t *testing.T) {
 	events := modelEvents()
 	order := make([]int, *modelDepth)
 	for runs := 0; ; runs++ {
 		for n, l := range modelLimits {
-			if fault := runOrder(events, order, l, n > 0); fault != "" {
-				t.Fatal(fault)
+			if violation := runOrder(events, order, l, n > 0); violation != "" {
+				t.Fatal(violation)
 			}
 		}
 		next := len(order) - 1
@@ -230,52 +235,52 @@
 	}
 }
 
-// runOrder runs events in an order, with tokens taken all the time or only behind them.
+// runOrder runs events in an order. Tokens are taken continuously, or only after the events if
+// idle.
 func runOrder(events []event, order []int, l workspace.Limit, idle bool) string {
 	m := newModel(l)
-	m.begin()
+	m.delegateLimit()
 	m.idle = idle
 	names := []string{fmt.Sprint("idle ", idle)}
 	for _, n := range order {
-		m.apply(events[n])
+		m.applyEvent(events[n])
 		names = append(names, events[n].String())
 	}
 	m.idle = false
 	for range 16 {
-		m.pass()
+		m.advance()
 	}
-	if fault := m.fault(); fault != "" {
-		return strings.Join(names, " ") + ": " + fault
+	if violation := m.violation(); violation != "" {
+		return strings.Join(names, " ") + ": " + violation
 	}
 	return ""
 }
 
-// Guards against the same over long walks, with changes of the limit, answers that come in
-// another order, and the numbers of instances that holders count.
-func TestModelOfLimitsWalks(t *testing.T) {
+// Guards against the same over long random runs, with delivery in reverse order.
+func TestModelOfLimitsRandom(t *testing.T) {
 	_ = flag.Set("rapid.seed", *modelSeed)
-	_ = flag.Set("rapid.checks", *modelWalks)
+	_ = flag.Set("rapid.checks", *modelRuns)
 	_ = flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.SampledFrom(modelLimits).Draw(t, "limit"))
 		busy := rapid.Bool().Draw(t, "busy")
 		for range rapid.IntRange(10, 120).Draw(t, "length") {
 			e := event{
-				kind:     rapid.SampledFrom([]string{"exchange", "exchange", "exchange", "exchange", "pass", "limiter restarts", "holder restarts"}).Draw(t, "kind"),
-				limiter:  rapid.IntRange(0, modelLimiters-1).Draw(t, "limiter"),
-				request:  rapid.IntRange(-1, 12).Draw(t, "request"),
-				response: rapid.IntRange(-1, 12).Draw(t, "response"),
+				kind:          rapid.SampledFrom([]string{"exchange", "exchange", "exchange", "exchange", "pass", "limiter restarts", "instance restarts"}).Draw(t, "kind"),
+				limiter:       rapid.IntRange(0, modelLimiters-1).Draw(t, "limiter"),
+				requestDelay:  rapid.IntRange(-1, 12).Draw(t, "request"),
+				responseDelay: rapid.IntRange(-1, 12).Draw(t, "response"),
 			}
 			m.idle = !busy && rapid.IntRange(0, 3).Draw(t, "idle") > 0
-			m.apply(e)
+			m.applyEvent(e)
 			if rapid.IntRange(0, 9).Draw(t, "shuffled") == 0 {
 				slices.Reverse(m.pending)
 			}
 		}
 		m.idle = false
-		m.pass()
-		if fault := m.fault(); fault != "" {
-			t.Fatal(fault)
+		m.advance()
+		if violation := m.violation(); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
--- a/internal/quota/ownership.go
+++ b/internal/quota/ownership.go
@@ -3,60 +3,63 @@
 import "time"
 
 const (
-	// goneAfter is how long an instance that is not listed any more counts as one of those
-	// that share the limits. A failure domain that is cut off loses its entries before it
-	// knows, and goes on with its shares; it gives them up earlier than this (cutOffAfter).
-	goneAfter = 60 * time.Second
-	// cutOffAfter is how long an instance that is cut off from most members and instances
-	// goes on with its share.
-	cutOffAfter = 45 * time.Second
-	// newcomerAfter is how long a new instance has no share: the others know of it by then.
-	newcomerAfter = 3 * time.Second
+	// unlistedGrace is how long an instance that is no longer listed still counts as an owner
+	// of a share. The entries of a failure domain that is cut off are removed before its
+	// instances detect the cut, and these keep using their shares until cutOffGrace, which is
+	// shorter.
+	unlistedGrace = 60 * time.Second
+	// cutOffGrace is how long an instance that is cut off from most members and instances keeps
+	// using its share.
+	cutOffGrace = 45 * time.Second
+	// newInstanceDelay is how long a new instance owns no share: by then the other instances
+	// count it.
+	newInstanceDelay = 3 * time.Second
 )
 
-// Ownership decides into how many shares the limits are divided, by the list of instances.
+// Ownership determines from the list of instances into how many shares the limits are divided.
 //
-// Two instances that count differently own more than the whole together where the lower count
-// is wrong. So an instance that vanished counts for a while longer, and one that is new owns
-// nothing until the others count it. It does no I/O, and is not safe for concurrent use.
+// If two instances count differently, the shares add up to more than the whole limit where the
+// lower count is wrong. An instance that is no longer listed is therefore counted for a while
+// longer, and a new one owns nothing until the others count it. Ownership does no I/O and is
+// not safe for concurrent use.
 type Ownership struct {
 	self string
-	// listedAt is when each instance was last listed.
-	listedAt map[string]time.Time
-	// ownsFrom is when this instance has a share; zero while the list is not known.
+	// lastListedAt is when each instance was last listed.
+	lastListedAt map[string]time.Time
+	// ownsFrom is when this instance begins to own a share; zero until the list is known.
 	ownsFrom time.Time
-	// cutOffSince is since when this instance has been cut off; zero if it is not.
+	// cutOffSince is when this instance was cut off; zero if it is not.
 	cutOffSince time.Time
 }
 
 // NewOwnership returns the ownership of an instance that knows of no other.
 func NewOwnership(self string) *Ownership {
-	return &Ownership{self: self, listedAt: make(map[string]time.Time)}
+	return &Ownership{self: self, lastListedAt: make(map[string]time.Time)}
 }
 
-// Observe takes in the list of instances. An instance that is in the first one that it sees has
-// been there before.
-func (o *Ownership) Observe(listed []string, now time.Time) {
+// UpdateInstances records the list of instances. If the first non-empty list already contains
+// this instance, it was there before this process and does not count as new.
+func (o *Ownership) UpdateInstances(listed []string, now time.Time) {
 	first := o.ownsFrom.IsZero()
 	found := false
 	for _, id := range listed {
-		o.listedAt[id] = now
+		o.lastListedAt[id] = now
 		found = found || id == o.self
 	}
 	if first && len(listed) > 0 {
 		o.ownsFrom = now
 		if !found {
-			o.ownsFrom = now.Add(newcomerAfter)
+			o.ownsFrom = now.Add(newInstanceDelay)
 		}
 	}
-	for id, at := range o.listedAt {
-		if now.Sub(at) > goneAfter {
-			delete(o.listedAt, id)
+	for id, listedAt := range o.lastListedAt {
+		if now.Sub(listedAt) > unlistedGrace {
+			delete(o.lastListedAt, id)
 		}
 	}
 }
 
-// SetCutOff notes whether this instance is cut off.
+// SetCutOff records whether this instance is cut off.
 func (o *Ownership) SetCutOff(cutOff bool, now time.Time) {
 	if !cutOff {
 		o.cutOffSince = time.Time{}
@@ -65,18 +68,18 @@
 	}
 }
 
-// Parts returns how many shares there are, of which this instance owns one; zero while it owns
-// none.
-func (o *Ownership) Parts(now time.Time) int {
+// ShareCount returns into how many shares each limit is divided, of which this instance owns
+// one; zero while it owns none.
+func (o *Ownership) ShareCount(now time.Time) int {
 	if o.ownsFrom.IsZero() || now.Before(o.ownsFrom) {
 		return 0
 	}
-	if !o.cutOffSince.IsZero() && now.Sub(o.cutOffSince) > cutOffAfter {
+	if !o.cutOffSince.IsZero() && now.Sub(o.cutOffSince) > cutOffGrace {
 		return 0
 	}
-	parts := len(o.listedAt)
-	if _, listed := o.listedAt[o.self]; !listed {
-		parts++
+	count := len(o.lastListedAt)
+	if _, listed := o.lastListedAt[o.self]; !listed {
+		count++
 	}
-	return parts
+	return count
 }
--- a/internal/quota/renew.go
+++ b/internal/quota/renew.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// renewTimeout bounds a question to a limiter for which nothing waits.
-	renewTimeout = 500 * time.Millisecond
-	// unreachedFor is how long a limiter that did not answer is passed by.
-	unreachedFor = 2 * time.Second
+	// renewalTimeout bounds a request to a limiter that no operation waits for.
+	renewalTimeout = 500 * time.Millisecond
+	// unreachableFor is how long a limiter that did not answer is not asked again.
+	unreachableFor = 2 * time.Second
 )
 
-// dueLimiters returns the limiters to ask for something now, and marks them as asked.
-func (g *Guard) dueLimiters() []platform.Instance {
-	limited := g.limited()
+// markDueLimiters returns the limiters that need a renewal now, and marks them as being
+// renewed.
+func (g *Guard) markDueLimiters() []platform.Instance {
+	hasLimits := g.hasLimits()
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ownership.SetCutOff(g.CutOff(), now)
-	g.forgetAccounts(now)
-	if !limited || g.layout == nil {
+	g.removeUnusedAccounts(now)
+	if !hasLimits || g.assignment == nil {
 		return nil
 	}
-	chosen := g.chosen(now)
+	limiterFor := g.limiterByShard(now)
 	var due []platform.Instance
-	for _, id := range limiters(chosen) {
-		if g.renewing[id] || !g.shares.due(id, chosen, now) && !g.wants(id, chosen, now) {
+	for _, id := range assignedLimiters(limiterFor) {
+		if g.renewing[id] || !g.delegator.needsRequest(id, limiterFor, now) && !g.hasTokensToExchange(id, limiterFor, now) {
 			continue
 		}
 		g.renewing[id] = true
-		due = append(due, g.layout.byID[id])
+		due = append(due, g.assignment.byID[id])
 	}
 	return due
 }
 
-// limited reports whether any workspace has a limit.
-func (g *Guard) limited() bool {
+// hasLimits reports whether any workspace has a limit.
+func (g *Guard) hasLimits() bool {
 	for _, w := range g.Workspaces.Workspaces().All() {
 		if !w.Limit.Unlimited() {
 			return true
@@ -47,95 +48,100 @@
 	return false
 }
 
-// chosen returns the choice of limiters in this failure domain. The caller holds g.mu.
-func (g *Guard) chosen(now time.Time) func(shard int) string {
-	return func(shard int) string { return g.layout.nearest(shard, g.passedBy(now)).ID }
+// limiterByShard returns a function that maps a shard to its limiter in this failure domain.
+// The caller holds g.mu.
+func (g *Guard) limiterByShard(now time.Time) func(shard int) string {
+	return func(shard int) string { return g.assignment.sameDomainLimiter(shard, g.unreachable(now)).ID }
 }
 
-// nearLimiters returns the limiters of this failure domain. The caller holds g.mu.
-func (g *Guard) nearLimiters() []string {
+// sameDomainLimiters returns the IDs of the limiters in this failure domain. The caller holds
+// g.mu.
+func (g *Guard) sameDomainLimiters() []string {
 	var ids []string
-	for _, i := range g.layout.near[0] {
+	for _, i := range g.assignment.sameDomain[0] {
 		ids = append(ids, i.ID)
 	}
 	return ids
 }
 
-// passedBy reports which limiters did not answer of late. The caller holds g.mu.
-func (g *Guard) passedBy(now time.Time) func(id string) bool {
-	return func(id string) bool { return now.Before(g.unreached[id]) }
+// unreachable returns a function that reports whether a limiter recently did not answer. The
+// caller holds g.mu.
+func (g *Guard) unreachable(now time.Time) func(id string) bool {
+	return func(id string) bool { return now.Before(g.unreachableUntil[id]) }
 }
 
-// wants reports whether tokens ahead are wanted from a limiter, or are to be given back.
-func (g *Guard) wants(limiter string, chosen func(int) string, now time.Time) bool {
+// hasTokensToExchange reports whether tokens are to be prefetched from a limiter or returned to
+// it. The caller holds g.mu.
+func (g *Guard) hasTokensToExchange(limiter string, limiterFor func(int) string, now time.Time) bool {
 	for name, a := range g.accounts {
-		if chosen(shardOf(name)) == limiter && (a.returned > 0 || a.wanted(now) > 0 && a.mayAsk(limiter, now)) {
+		if limiterFor(shardOf(name)) == limiter && (a.tokensToReturn > 0 || a.tokensToPrefetch(now) > 0 && a.mayAskLimiter(limiter, now)) {
 			return true
 		}
 	}
 	return false
 }
 
-// forgetAccounts forgets workspaces without operations.
-func (g *Guard) forgetAccounts(now time.Time) {
+// removeUnusedAccounts removes the accounts of workspaces without operations. The caller holds
+// g.mu.
+func (g *Guard) removeUnusedAccounts(now time.Time) {
 	for name, a := range g.accounts {
-		a.dropExpired(now)
+		a.expireTokens(now)
 		if a.unused(now) {
 			delete(g.accounts, name)
 		}
 	}
 }
 
-// renew renews the lease of a limiter and asks it for tokens ahead.
-func (g *Guard) renew(ctx context.Context, l platform.Instance) {
-	asked := g.Clock.Now()
-	r := g.renewal(l.ID, asked)
-	answer, err := g.ask(ctx, l, r, renewTimeout)
+// renewLease renews the lease at a limiter, prefetches tokens from it and returns tokens to it.
+func (g *Guard) renewLease(ctx context.Context, l platform.Instance) {
+	sentAt := g.Clock.Now()
+	r := g.newRenewal(l.ID, sentAt)
+	answer, err := g.askLimiter(ctx, l, r, renewalTimeout)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.renewing, l.ID)
 	if err != nil {
 		return
 	}
-	if g.shares.clear(g.nearLimiters(), g.Clock.Now()) {
-		g.look()
+	if g.delegator.endEarlierLeases(g.sameDomainLimiters(), g.Clock.Now()) {
+		g.triggerRenewals()
 	}
-	for name, n := range answer.Ahead {
+	for name, n := range answer.PrefetchGranted {
 		if a := g.accounts[name]; a != nil {
-			a.add(n, asked)
+			a.addTokens(n, sentAt)
 		}
 	}
 }
 
-// renewal makes the request of a renewal.
-func (g *Guard) renewal(limiter string, now time.Time) request {
+// newRenewal creates the request for a renewal.
+func (g *Guard) newRenewal(limiter string, now time.Time) request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	chosen := g.chosen(now)
-	r := g.request(limiter, now)
-	r.Held, r.Ahead, r.Returned = make(map[string]int), make(map[string]int), make(map[string]int)
+	limiterFor := g.limiterByShard(now)
+	r := g.newRequest(limiter, now)
+	r.Prefetched, r.Prefetch, r.Returned = make(map[string]int), make(map[string]int), make(map[string]int)
 	for name, a := range g.accounts {
-		if chosen(shardOf(name)) != limiter {
+		if limiterFor(shardOf(name)) != limiter {
 			continue
 		}
-		r.Held[name] = a.tokens
-		if n := a.wanted(now); n > 0 {
-			r.Ahead[name] = n
+		r.Prefetched[name] = a.tokens
+		if n := a.tokensToPrefetch(now); n > 0 {
+			r.Prefetch[name] = n
 		}
-		if a.returned > 0 {
-			r.Returned[name] = a.returned
-			a.returned = 0
+		if a.tokensToReturn > 0 {
+			r.Returned[name] = a.tokensToReturn
+			a.tokensToReturn = 0
 		}
 	}
 	return r
 }
 
-// request makes a request, with a lease if one is due. The caller holds g.mu.
-func (g *Guard) request(limiter string, now time.Time) request {
-	r := request{Holder: g.Fleet.Self().ID, Process: g.Process}
-	chosen := g.chosen(now)
-	if parts := g.ownership.Parts(now); parts > 0 && g.shares.due(limiter, chosen, now) {
-		r.Lease = g.shares.lease(limiter, parts, chosen, now)
+// newRequest creates a request, with a lease if one is due. The caller holds g.mu.
+func (g *Guard) newRequest(limiter string, now time.Time) request {
+	r := request{Instance: g.Fleet.Self().ID, Process: g.Process}
+	limiterFor := g.limiterByShard(now)
+	if shareCount := g.ownership.ShareCount(now); shareCount > 0 && g.delegator.needsRequest(limiter, limiterFor, now) {
+		r.Lease = g.delegator.newLease(limiter, shareCount, limiterFor, now)
 	}
 	return r
 }
--- a/internal/workspace/digest.go
+++ b/internal/workspace/digest.go
@@ -5,11 +5,11 @@
 	"encoding/base64"
 )
 
-// digestSize is the length of a KeyDigest in bytes. Keys are random words of some 100 bits,
-// so that no two meet in 128 bits, and none is found from its digest.
+// digestSize is the length of a KeyDigest in bytes. Keys are random words of about 100 bits:
+// their 128-bit digests do not collide, and a key cannot be recovered from its digest.
 const digestSize = 16
 
-// KeyDigest stands for a key everywhere but in the session that the caller sent it to.
+// KeyDigest represents a key everywhere except in the session that received it from the caller.
 type KeyDigest [digestSize]byte
 
 // Digest returns the digest of a key.
--- a/internal/workspace/table.go
+++ b/internal/workspace/table.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-var errDigestLength = errors.New("workspace: a key's digest has another length")
+var errDigestLength = errors.New("workspace: the digest of a key has the wrong length")
 
 // Entry is a workspace with its keys.
 type Entry struct {
@@ -14,16 +14,16 @@
 	Keys []KeyDigest
 }
 
-// Table finds workspaces. It is never changed after it was made. A nil Table knows no
-// workspace and asks callers for no key.
+// Table looks up workspaces by key and by name. It is immutable. A nil Table has no workspaces
+// and requires no key from callers.
 type Table struct {
 	byKey  map[KeyDigest]Workspace
 	byName map[string]Workspace
-	// all are the workspaces in the order of their names.
+	// all holds the workspaces ordered by name.
 	all []Workspace
 }
 
-// Fault is an entry, or a key of it, that names nothing.
+// Fault describes an entry, or a key of an entry, that was left out of a Table.
 type Fault struct {
 	Workspace string
 	Reason    string
@@ -31,39 +31,39 @@
 
 // Reasons of faults.
 const (
-	FaultName       = "the name is missing or not one word"
-	FaultDoubleName = "two entries have the name"
-	FaultDoubleKey  = "another workspace has the key as well"
-	FaultLimit      = "the limit is negative"
+	FaultInvalidName   = "the name is missing or not one word"
+	FaultDuplicateName = "two entries have the name"
+	FaultDuplicateKey  = "another workspace has the key as well"
+	FaultNegativeLimit = "the limit is negative"
 )
 
-// NewTable makes a table of entries. An entry that cannot hold as written names nothing, and
-// neither does a key that two workspaces have; the others hold.
+// NewTable builds a table from entries. It leaves out invalid entries, and keys that belong to
+// two workspaces, and reports them as faults.
 func NewTable(entries []Entry) (*Table, []Fault) {
 	t := &Table{byKey: make(map[KeyDigest]Workspace), byName: make(map[string]Workspace)}
 	var faults []Fault
-	named := make(map[string]int)
+	nameCounts := make(map[string]int)
 	for _, e := range entries {
-		named[e.Name]++
+		nameCounts[e.Name]++
 	}
 	owners := make(map[KeyDigest]string)
 	shared := make(map[KeyDigest]bool)
 	for _, e := range entries {
-		if reason := faultOf(e, named[e.Name]); reason != "" {
+		if reason := faultReason(e, nameCounts[e.Name]); reason != "" {
 			faults = append(faults, Fault{Workspace: e.Name, Reason: reason})
 			continue
 		}
 		t.byName[e.Name] = e.Workspace
 		for _, k := range e.Keys {
-			owner, taken := owners[k]
-			shared[k] = shared[k] || taken && owner != e.Name
+			owner, found := owners[k]
+			shared[k] = shared[k] || found && owner != e.Name
 			owners[k] = e.Name
 			t.byKey[k] = e.Workspace
 		}
 	}
-	for k, s := range shared {
-		if s {
-			faults = append(faults, Fault{Workspace: owners[k], Reason: FaultDoubleKey})
+	for k, isShared := range shared {
+		if isShared {
+			faults = append(faults, Fault{Workspace: owners[k], Reason: FaultDuplicateKey})
 			delete(t.byKey, k)
 		}
 	}
@@ -77,26 +77,27 @@
 	return t, faults
 }
 
-// faultOf returns why an entry names nothing; empty if it holds.
-func faultOf(e Entry, entriesOfName int) string {
+// faultReason returns why an entry is invalid; empty if it is valid.
+func faultReason(e Entry, nameCount int) string {
 	switch {
 	case !validName(e.Name):
-		return FaultName
-	case entriesOfName > 1:
-		return FaultDoubleName
+		return FaultInvalidName
+	case nameCount > 1:
+		return FaultDuplicateName
 	case e.Limit.Rate < 0 || e.Limit.Burst < 0:
-		return FaultLimit
+		return FaultNegativeLimit
 	default:
 		return ""
 	}
 }
 
-// maxName bounds a workspace's name, in bytes. It is sent to members with each connection.
-const maxName = 256
+// maxNameLength bounds a workspace's name, in bytes. The name is sent to members with each
+// connection.
+const maxNameLength = 256
 
-// validName reports whether members can be told a name: one word of a line.
+// validName reports whether a name can be sent to members, as a single word of a line.
 func validName(name string) bool {
-	if name == "" || len(name) > maxName {
+	if name == "" || len(name) > maxNameLength {
 		return false
 	}
 	for _, r := range name {
@@ -116,7 +117,7 @@
 	return w, ok
 }
 
-// Named returns the workspace of a name.
+// Named returns the workspace with a name.
 func (t *Table) Named(name string) (Workspace, bool) {
 	if t == nil {
 		return Workspace{}, false
@@ -125,7 +126,7 @@
 	return w, ok
 }
 
-// All returns the workspaces in the order of their names. The result must not be changed.
+// All returns the workspaces ordered by name. The result must not be modified.
 func (t *Table) All() []Workspace {
 	if t == nil {
 		return nil
--- a/internal/workspace/workspace.go
+++ b/internal/workspace/workspace.go
@@ -1,26 +1,25 @@
-// Package workspace holds who operations are run for: workspaces, the keys that name them,
-// and their limits.
+// Package workspace defines workspaces, the keys that identify them, and their limits.
 //
-// A key is a secret. It is turned into a digest where it enters the process, and only the
-// digest is kept, compared and passed on.
+// A key is a secret. It is hashed where it enters the process, and only the digest is stored,
+// compared and forwarded.
 package workspace
 
-// Workspace is one tenant of the databases. Its connections to members are never used for
-// another one.
+// Workspace is a tenant of the databases. Its connections to members are never used for another
+// workspace.
 type Workspace struct {
 	Name string
 	// Priority counts from 0, the highest.
 	Priority int
-	// Limit bounds the operations that are begun for it, over all instances.
+	// Limit bounds the operations that begin for it on all instances together.
 	Limit Limit
 }
 
-// Limit is a token bucket over all instances: Rate is in operations a second, and Burst is how
-// many may come at once behind a pause. The zero Limit bounds nothing.
+// Limit is a token bucket shared by all instances: Rate is in operations per second, and Burst is
+// how many operations may begin at once after a pause. The zero Limit means unlimited.
 type Limit struct {
 	Rate  float64
 	Burst float64
 }
 
-// Unlimited reports whether the limit bounds nothing.
+// Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l == Limit{} }
