--- a/internal/quota/delegator.go
+++ b/internal/quota/delegator.go
@@ -16,8 +16,8 @@
 	process      string
 	lastSequence uint64
 	shards       [shardCount]shareState
-	// startedAt is when this process started. An earlier process may have left leases that are
-	// valid until earlierLeasesEnded is set, or for at most leaseDuration.
+	// startedAt is when this process started. The leases of an earlier process end within
+	// leaseDuration of it, or are known to have ended when earlierLeasesEnded is set.
 	startedAt          time.Time
 	earlierLeasesEnded bool
 	// clocks holds the last known clock of each limiter.
@@ -132,10 +132,10 @@
 	}
 }
 
-// recordResponse records a limiter's answer to a request that was sent at sentAt. An answer
-// from another process than before means that the leases at the earlier process ended with it.
-// If the request was sent before that process was last heard from, the answer is a delayed one
-// of an even earlier process, and the current leases remain valid.
+// recordResponse records a limiter's answer to a request that was sent at sentAt. If the answer is
+// from another process than the last one, the limiter has restarted, and the leases at its earlier
+// process have ended. Such an answer is ignored if its request was sent before the last answer
+// arrived: it is then a delayed one from an earlier process, and the current leases remain valid.
 func (d *Delegator) recordResponse(limiter string, r response, sentAt, now time.Time) {
 	previous, known := d.clocks[limiter]
 	if known && previous.process == r.Process && previous.clock > r.Clock {
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// limiterPickKey is the key by which limiters are picked.
+// limiterPickKey is the key of Fleet.Pick that selects the limiters.
 const limiterPickKey = "quota.limit"
 
 // Fleet provides this instance's view of all instances; membership.Members implements it.
@@ -23,7 +23,7 @@
 	Listed() []platform.Instance
 	// Live returns the instances that are not leaving, ordered by ID.
 	Live() []platform.Instance
-	// Pick returns up to n instances of each failure domain, chosen by a key.
+	// Pick returns up to n instances of each failure domain. Different keys pick different ones.
 	Pick(key string, n int) []platform.Instance
 }
 
--- a/internal/quota/guard.go
+++ b/internal/quota/guard.go
@@ -20,8 +20,8 @@
 const (
 	// renewalInterval is the time between two checks of leases and accounts.
 	renewalInterval = 100 * time.Millisecond
-	// ownershipTicks is after how many such checks the list of instances is read again even if
-	// no change was reported.
+	// ownershipTicks is the number of checks after which the list of instances is read again even
+	// if no change was reported.
 	ownershipTicks = 50
 )
 
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -32,7 +32,7 @@
 	leases     map[string]*delegatedShare
 	buckets    map[string]*bucket
 	prefetched map[string]map[string]prefetchedTokens
-	// initialized marks the shards for which an instance's share got its initial tokens.
+	// initialized marks, by instance, the shards whose initial tokens have been granted.
 	initialized map[string]*[shardCount]bool
 }
 
