--- a/internal/failover/attacher.go
+++ b/internal/failover/attacher.go
@@ -10,107 +10,108 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// attacher tells members that come back with an old term, or that were fenced
-// and left, to follow the primary. Every instance may do it at any time: the
-// calls are idempotent, carry the term, and name a primary that reported itself.
+// attacher makes detached members follow the primary: those that come back with an
+// old term, and those that were fenced but not attached. Any instance may do so at
+// any time: the calls are idempotent, carry the term, and name a primary that
+// reported its own role.
 type attacher struct {
-	c *Claimer
-	// detached is since when each member has been seen detached, and tries how
-	// often it was told to follow since then.
-	detached map[string]time.Time
-	tries    map[string]int
+	claimer *Claimer
+	// detachedSince is when each member was first seen detached or was last called, and
+	// tries is how many times it was called since it became detached.
+	detachedSince map[string]time.Time
+	tries         map[string]int
 }
 
 func newAttacher(c *Claimer) *attacher {
-	return &attacher{c: c, detached: make(map[string]time.Time), tries: make(map[string]int)}
+	return &attacher{claimer: c, detachedSince: make(map[string]time.Time), tries: make(map[string]int)}
 }
 
 // run attaches members until ctx ends.
 func (a *attacher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := a.c.View.Changes()
-		a.attachAll(ctx, a.due(a.c.Clock.Now(), a.c.View.Snapshot()))
-		a.c.pause(ctx, a.c.Settings.Reattach, changed)
+		changed := a.claimer.View.Changes()
+		a.attachAll(ctx, a.dueAttachments(a.claimer.Clock.Now(), a.claimer.View.Snapshot()))
+		a.claimer.pause(ctx, a.claimer.Settings.ReattachDelay, changed)
 	}
 }
 
-// order is one member that is to follow.
-type order struct {
+// attachment is a call that makes one member follow the primary.
+type attachment struct {
 	address string
 	term    logpos.Term
 	primary string
-	bound   time.Duration
+	timeout time.Duration
 }
 
-// due returns the members that have been detached for long enough. The wait is
-// staggered by rank, so that mostly one instance does the work.
-func (a *attacher) due(now time.Time, s *group.Snapshot) []order {
+// dueAttachments returns the members that have been detached for long enough. The
+// wait is staggered by rank, so that usually a single instance does the work.
+func (a *attacher) dueAttachments(now time.Time, s *group.Snapshot) []attachment {
 	primary, known := s.Find(s.Primary)
 	healthy := known && answering(primary)
-	wait := a.c.Settings.Reattach + time.Duration(rank(a.c.Group, a.c.Self.ID, "", a.c.Instances()))*a.c.Settings.Stagger
-	var orders []order
+	wait := a.claimer.Settings.ReattachDelay + time.Duration(rank(a.claimer.Group, a.claimer.Self.ID, "", a.claimer.Instances()))*a.claimer.Settings.Stagger
+	var attachments []attachment
 	for _, m := range s.Members {
-		if !healthy || m.Address == s.Primary || !answering(m) || !detached(m, s.Term) {
-			delete(a.detached, m.Address)
+		if !healthy || m.Address == s.Primary || !answering(m) || !isDetached(m, s.Term) {
+			delete(a.detachedSince, m.Address)
 			delete(a.tries, m.Address)
 			continue
 		}
-		since, seen := a.detached[m.Address]
+		since, seen := a.detachedSince[m.Address]
 		if !seen {
-			a.detached[m.Address] = now
+			a.detachedSince[m.Address] = now
 			continue
 		}
 		if now.Sub(since) >= wait<<min(a.tries[m.Address], maxAttachDoublings) {
-			a.detached[m.Address] = now
-			bound := callTimeout(a.c.Settings.Call, a.tries[m.Address])
+			a.detachedSince[m.Address] = now
+			timeout := callTimeout(a.claimer.Settings.Call, a.tries[m.Address])
 			a.tries[m.Address]++
-			orders = append(orders, order{address: m.Address, term: s.Term, primary: s.Primary, bound: bound})
+			attachments = append(attachments, attachment{address: m.Address, term: s.Term, primary: s.Primary, timeout: timeout})
 		}
 	}
-	return orders
+	return attachments
 }
 
-// maxAttachDoublings bounds how often the wait before one more try doubles. A member
-// that does not take the call for long, such as one that is cut off from its
-// primary alone, would else be connected to several times a second.
+// maxAttachDoublings limits how often the delay between tries doubles. Without the
+// backoff, a member that rejects the call for a long time, such as one that is cut
+// off only from its primary, would be dialed several times per second.
 const maxAttachDoublings = 4
 
-// detached reports whether a member neither leads nor follows in the term.
-func detached(m group.MemberView, term logpos.Term) bool {
+// isDetached reports whether a member has not entered the term or is fenced in it.
+func isDetached(m group.MemberView, term logpos.Term) bool {
 	return m.Status.Entered < term || m.Status.Role == member.RoleFenced
 }
 
-func (a *attacher) attachAll(ctx context.Context, orders []order) {
+func (a *attacher) attachAll(ctx context.Context, attachments []attachment) {
 	var wg sync.WaitGroup
-	for _, o := range orders {
+	for _, target := range attachments {
 		wg.Go(func() {
 			outcome := outcomeDone
-			if err := a.attach(ctx, o); err != nil {
+			if err := a.attachMember(ctx, target); err != nil {
 				outcome = outcomeAbandoned
-				a.c.log.Warn("Member was not attached.", "member", o.address, "term", o.term, "error", err)
+				a.claimer.log.Warn("Attaching a member failed.", "member", target.address, "term", target.term, "error", err)
 			}
-			a.c.Metrics.attaches.WithLabelValues(outcome).Inc()
+			a.claimer.Metrics.attaches.WithLabelValues(outcome).Inc()
 		})
 	}
 	wg.Wait()
 }
 
-// attach makes one member enter the term and follow.
-func (a *attacher) attach(ctx context.Context, o order) error {
-	ctx, cancel := context.WithTimeout(ctx, o.bound)
+// attachMember makes a member enter the term and follow the primary.
+func (a *attacher) attachMember(ctx context.Context, target attachment) error {
+	ctx, cancel := context.WithTimeout(ctx, target.timeout)
 	defer cancel()
-	control, err := a.c.Dialer.DialControl(ctx, o.address)
+	control, err := a.claimer.Dialer.DialControl(ctx, target.address)
 	if err != nil {
 		return err
 	}
 	defer control.Close()
-	if _, err := control.EnterTerm(ctx, o.term); err != nil {
+	if _, err := control.EnterTerm(ctx, target.term); err != nil {
 		return err
 	}
-	ticket := a.c.View.Ask()
-	s, err := control.Follow(ctx, o.term, o.primary)
+	ticket := a.claimer.View.Ask()
+	s, err := control.Follow(ctx, target.term, target.primary)
 	if err == nil {
-		a.c.View.Observe(o.address, ticket, s)
+		a.claimer.View.Observe(target.address, ticket, s)
 	}
 	return err
 }
--- a/internal/failover/attempt.go
+++ b/internal/failover/attempt.go
@@ -12,130 +12,132 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// attempt leads one claimed term: fence, choose, promote, attach, record.
+// attempt carries out the failover of one claimed term: it fences the members,
+// promotes one, attaches the others and records the result.
 type attempt struct {
-	c              *Claimer
+	claimer        *Claimer
 	claim          claim
 	term           logpos.Term
 	memberAttempts []*memberAttempt
-	// group is the view that the attempt began with: its members are fenced.
-	group *group.Snapshot
-	// fenced takes each member's report once it has entered the term.
-	fenced chan fencing
-	// chosen is closed after target was set, once in the attempt's life, and
-	// led after the target has answered that it leads.
-	chosen chan struct{}
-	target string
-	led    chan struct{}
-	// end abandons the attempt with a reason.
-	end context.CancelCauseFunc
+	// snapshot is the group's state when the attempt began; its members are fenced.
+	snapshot *group.Snapshot
+	// fenced receives each member's report once it has entered the term.
+	fenced chan fencedMember
+	// targetChosen is closed after target was set, which happens once per attempt.
+	// promoted is closed after the target has confirmed its promotion.
+	targetChosen chan struct{}
+	target       string
+	promoted     chan struct{}
+	// abort cancels the attempt with a reason.
+	abort context.CancelCauseFunc
 }
 
-// fencing is a member that has entered the term, and its log's end. Until it is
-// told to lead or follow, its log cannot change any more.
-type fencing struct {
+// fencedMember is a member that has entered the term, with its status at that time.
+// Its log cannot change until it is promoted or follows a primary.
+type fencedMember struct {
 	memberAttempt *memberAttempt
 	status        member.Status
 }
 
 func newAttempt(c *Claimer, won claim, s *group.Snapshot) *attempt {
 	a := &attempt{
-		c: c, claim: won, term: won.record.Term,
-		fenced: make(chan fencing, len(s.Members)),
-		chosen: make(chan struct{}),
-		led:    make(chan struct{}),
-		group:  s,
+		claimer: c, claim: won, term: won.record.Term,
+		fenced:       make(chan fencedMember, len(s.Members)),
+		targetChosen: make(chan struct{}),
+		promoted:     make(chan struct{}),
+		snapshot:     s,
 	}
 	for _, m := range s.Members {
 		stalled := won.record.Cause == CauseStalled && m.Address == s.Primary
-		a.memberAttempts = append(a.memberAttempts, &memberAttempt{a: a, address: m.Address, avoid: m.Leaving || stalled})
+		a.memberAttempts = append(a.memberAttempts, &memberAttempt{attempt: a, address: m.Address, avoid: m.Leaving || stalled})
 	}
 	return a
 }
 
-// run leads the term and fills in the phases of gap. Its error says why the term
-// was left without a primary of this attempt's making.
+// run carries out the failover and fills in the phases of gap. It returns an error if
+// the attempt ended before the chosen member confirmed its promotion.
 func (a *attempt) run(ctx context.Context, gap *Gap) error {
-	ctx, end := context.WithCancelCause(ctx)
-	a.end = end
+	ctx, abort := context.WithCancelCause(ctx)
+	a.abort = abort
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end(nil)
-	limit, cancel := context.WithTimeout(ctx, a.left())
+	defer abort(nil)
+	attemptCtx, cancel := context.WithTimeout(ctx, a.remaining())
 	defer cancel()
-	wg.Go(func() { a.watchTerm(limit) })
-	for _, w := range a.memberAttempts {
-		wg.Go(func() { w.tend(limit) })
+	wg.Go(func() { a.watchTerm(attemptCtx) })
+	for _, m := range a.memberAttempts {
+		wg.Go(func() { m.run(attemptCtx) })
 	}
-	start := a.c.Clock.Now()
-	if err := a.fenceAndChoose(limit); err != nil {
+	start := a.claimer.Clock.Now()
+	if err := a.fenceAndChoose(attemptCtx); err != nil {
 		return err
 	}
 	gap.Primary = a.target
-	gap.Fence, start = a.lap(start)
+	gap.Fence, start = a.elapsedSince(start)
 	select {
-	case <-a.led:
-	case <-limit.Done():
-		return context.Cause(limit)
+	case <-a.promoted:
+	case <-attemptCtx.Done():
+		return context.Cause(attemptCtx)
 	}
-	a.c.at(StepPromoted)
-	gap.Promote, start = a.lap(start)
+	a.claimer.callHook(StepPromoted)
+	gap.Promote, start = a.elapsedSince(start)
 	recorded := make(chan struct{})
 	wg.Go(func() {
 		defer close(recorded)
-		a.record(limit)
+		a.recordPrimary(attemptCtx)
 	})
-	a.learn(limit)
-	gap.Learn, _ = a.lap(start)
-	a.c.at(StepLearned)
-	waitFor(limit, recorded)
+	a.awaitAttachedReplica(attemptCtx)
+	gap.Learn, _ = a.elapsedSince(start)
+	a.claimer.callHook(StepLearned)
+	waitFor(attemptCtx, recorded)
 	return nil
 }
 
-// left is the time that the attempt has left. It runs from when the claim was sent: others
-// give a claim its time from when they read it, which cannot be before.
-func (a *attempt) left() time.Duration {
-	return a.claim.sent.Add(a.c.Settings.Attempt).Sub(a.c.Clock.Now())
+// remaining returns the time until the attempt expires. It is counted from when the
+// claim was sent: other instances start their takeover timeout when they read the
+// claim, which cannot be earlier.
+func (a *attempt) remaining() time.Duration {
+	return a.claim.sentAt.Add(a.claimer.Settings.Attempt).Sub(a.claimer.Clock.Now())
 }
 
-// lap returns the time since start, and now.
-func (a *attempt) lap(start time.Time) (time.Duration, time.Time) {
-	now := a.c.Clock.Now()
+// elapsedSince returns the time since start, and the current time.
+func (a *attempt) elapsedSince(start time.Time) (time.Duration, time.Time) {
+	now := a.claimer.Clock.Now()
 	return now.Sub(start), now
 }
 
-// fenceAndChoose waits for enough fenced members and names the one to promote.
+// fenceAndChoose waits for a quorum of fenced members and chooses the one to promote.
 //
-// One attempt names one target and never another: if the answer to its
-// promotion is lost, it may lead already, and a second primary of one term would
+// An attempt never changes its target: if the answer to the promotion is lost, the
+// target may already be primary, and a second primary in the same term would
 // acknowledge writes that the first does not have.
 func (a *attempt) fenceAndChoose(ctx context.Context) error {
-	candidates, err := a.gather(ctx)
+	candidates, err := a.awaitQuorum(ctx)
 	if err != nil {
 		return err
 	}
-	a.c.at(StepFenced)
-	winner := best(candidates)
+	a.claimer.callHook(StepFenced)
+	winner := selectCandidate(candidates)
 	a.target = winner.memberAttempt.address
-	a.c.log.Info("Member is promoted.", "term", a.term, "member", a.target, "log_end", winner.status.Last, "fenced", len(candidates))
-	close(a.chosen)
-	a.c.at(StepChosen)
+	a.claimer.log.Info("Member is promoted.", "term", a.term, "member", a.target, "log_end", winner.status.Last, "fenced", len(candidates))
+	close(a.targetChosen)
+	a.claimer.callHook(StepChosen)
 	return nil
 }
 
-// gather returns enough fenced members. Where the primary is to be avoided, it
-// first waits a little for enough of the other members; they hold all that was
-// acknowledged, so that the primary need not lead again.
-func (a *attempt) gather(ctx context.Context) ([]fencing, error) {
-	grace := a.c.Clock.NewTimer(a.c.Settings.SwitchGrace)
+// awaitQuorum returns a quorum of fenced members. In a planned switch-over it first
+// waits up to SwitchGrace for a quorum without the members to avoid: such a quorum holds
+// all acknowledged writes, so the primary does not need to be promoted again.
+func (a *attempt) awaitQuorum(ctx context.Context) ([]fencedMember, error) {
+	grace := a.claimer.Clock.NewTimer(a.claimer.Settings.SwitchGrace)
 	defer grace.Stop()
 	planned := a.claim.record.Cause.planned()
-	var all, others []fencing
+	var all, others []fencedMember
 	for {
 		switch {
-		case a.enough(others):
+		case a.isQuorum(others):
 			return others, nil
-		case a.enough(all) && !planned:
+		case a.isQuorum(all) && !planned:
 			return all, nil
 		}
 		select {
@@ -152,19 +154,19 @@
 	}
 }
 
-// enough reports whether the members that were fenced are a quorum of the group.
-func (a *attempt) enough(fenced []fencing) bool {
-	return a.group.Enough(func(m group.MemberView) bool {
-		return slices.ContainsFunc(fenced, func(f fencing) bool { return f.memberAttempt.address == m.Address })
+// isQuorum reports whether the fenced members are a quorum of the group.
+func (a *attempt) isQuorum(fenced []fencedMember) bool {
+	return a.snapshot.Enough(func(m group.MemberView) bool {
+		return slices.ContainsFunc(fenced, func(f fencedMember) bool { return f.memberAttempt.address == m.Address })
 	})
 }
 
-// watchTerm abandons the attempt once a higher term is seen.
+// watchTerm aborts the attempt once a higher term is seen.
 func (a *attempt) watchTerm(ctx context.Context) {
 	for {
-		changed := a.c.View.Changes()
-		if a.c.View.Snapshot().Term > a.term {
-			a.end(errReplaced)
+		changed := a.claimer.View.Changes()
+		if a.claimer.View.Snapshot().Term > a.term {
+			a.abort(errTermSuperseded)
 			return
 		}
 		select {
@@ -175,48 +177,49 @@
 	}
 }
 
-// learn waits until the view has the new primary and enough replicas attached
-// to it for a write to be confirmed, or the new primary fails.
-func (a *attempt) learn(ctx context.Context) {
+// awaitAttachedReplica waits until the view shows the new primary with enough replicas
+// attached for a write to be confirmed, or until the new primary fails.
+func (a *attempt) awaitAttachedReplica(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := a.c.View.Changes()
-		s := a.c.View.Snapshot()
+		changed := a.claimer.View.Changes()
+		s := a.claimer.View.Snapshot()
 		m, _ := s.Find(a.target)
 		if s.Term == a.term && s.Primary == a.target && !s.ConfirmedAt.IsZero() || m.Failures > 0 {
 			return
 		}
-		// An attachment is no change of the view, so look often for this while.
-		a.c.pause(ctx, learnPause, changed)
+		// Attaching a replica does not signal a change of the view, so poll for it.
+		a.claimer.pause(ctx, attachPollInterval, changed)
 	}
 }
 
-// learnPause is the time between two looks for an attached replica.
-const learnPause = 2 * time.Millisecond
+// attachPollInterval is the interval at which an attempt checks for an attached replica.
+const attachPollInterval = 2 * time.Millisecond
 
-// record notes the primary in the group's object. It is for operators and for
-// the next claimer's log; no promise rests on it, so that a few tries will do.
-func (a *attempt) record(ctx context.Context) {
+// recordPrimary stores the primary in the group's object. Operators and the next
+// claimer's log use it; correctness does not depend on it, so the number of tries
+// is limited.
+func (a *attempt) recordPrimary(ctx context.Context) {
 	r := a.claim.record
 	r.Primary = a.target
 	value, err := r.encode()
 	if err != nil {
 		return
 	}
-	for range recordTries {
-		if a.recordOnce(ctx, value) {
-			a.c.at(StepRecorded)
+	for range maxRecordTries {
+		if a.tryRecordPrimary(ctx, value) {
+			a.claimer.callHook(StepRecorded)
 			return
 		}
-		a.c.pause(ctx, a.c.Settings.MinBackoff, nil)
+		a.claimer.pause(ctx, a.claimer.Settings.MinBackoff, nil)
 	}
 }
 
-// recordTries bounds the tries to record the primary.
-const recordTries = 3
+// maxRecordTries limits the tries to record the primary.
+const maxRecordTries = 3
 
-func (a *attempt) recordOnce(ctx context.Context, value []byte) bool {
-	ctx, cancel := context.WithTimeout(ctx, a.c.Settings.Platform)
+func (a *attempt) tryRecordPrimary(ctx context.Context, value []byte) bool {
+	ctx, cancel := context.WithTimeout(ctx, a.claimer.Settings.PlatformTimeout)
 	defer cancel()
-	_, err := a.c.Platform.Put(ctx, platform.KindGroup, a.c.Group, value, a.claim.version)
+	_, err := a.claimer.Platform.Put(ctx, platform.KindGroup, a.claimer.Group, value, a.claim.version)
 	return err == nil
 }
--- a/internal/failover/backoff.go
+++ b/internal/failover/backoff.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// backoff gives growing waits with jitter.
+// backoff computes exponentially growing delays with jitter.
 type backoff struct {
-	low, high time.Duration
-	rand      *rand.Rand
-	tries     int
+	minDelay, maxDelay time.Duration
+	rand               *rand.Rand
+	attempts           int
 }
 
-// next returns a wait between half and the whole of a bound that doubles.
-func (b *backoff) next() time.Duration {
-	bound := b.high
-	if b.tries < 30 {
-		bound = min(b.high, b.low<<b.tries)
+// nextDelay returns a random delay between half and all of a bound that doubles
+// with each attempt, up to maxDelay.
+func (b *backoff) nextDelay() time.Duration {
+	bound := b.maxDelay
+	if b.attempts < 30 {
+		bound = min(b.maxDelay, b.minDelay<<b.attempts)
 	}
-	b.tries++
+	b.attempts++
 	return bound/2 + time.Duration(b.rand.Int64N(int64(bound/2)+1))
 }
 
-func (b *backoff) reset() { b.tries = 0 }
+func (b *backoff) reset() { b.attempts = 0 }
--- a/internal/failover/cause.go
+++ b/internal/failover/cause.go
@@ -1,21 +1,21 @@
 package failover
 
-// Cause is why a term is claimed.
+// Cause is the reason for claiming a term.
 type Cause string
 
-// planned reports whether the primary answers and is to be avoided for the term.
+// planned reports whether the primary still answers and another member is preferred.
 func (c Cause) planned() bool { return c == CauseLeaving || c == CauseStalled }
 
 // Causes of a claim.
 const (
-	// CauseNone: nothing is to be done.
+	// CauseNone: no claim is needed.
 	CauseNone Cause = "none"
 	// CauseLost: the primary does not answer.
 	CauseLost Cause = "lost"
-	// CauseLeaderless: the term has had no primary for the takeover time.
+	// CauseLeaderless: the term has had no primary for the takeover timeout.
 	CauseLeaderless Cause = "leaderless"
 	// CauseLeaving: the platform lists the primary as leaving.
 	CauseLeaving Cause = "leaving"
-	// CauseStalled: the primary answers, but too few replicas get its log.
+	// CauseStalled: the primary answers, but too few replicas receive its log.
 	CauseStalled Cause = "stalled"
 )
--- a/internal/failover/claim_model_test.go
+++ b/internal/failover/claim_model_test.go
@@ -17,16 +17,18 @@
 )
 
 // hurried is a clock whose timers fire at once; the model moves Now by hand.
-type hurried struct{ now time.Time }
+type immediateClock struct{ now time.Time }
 
 // Now implements clock.Clock.
-func (h *hurried) Now() time.Time { return h.now }
+func (c *immediateClock) Now() time.Time { return c.now }
 
 // NewTimer implements clock.Clock.
-func (h *hurried) NewTimer(time.Duration) *time.Timer { return time.NewTimer(0) }
+func (c *immediateClock) NewTimer(time.Duration) *time.Timer { return time.NewTimer(0) }
 
 // AfterFunc implements clock.Clock.
-func (h *hurried) AfterFunc(_ time.Duration, f func()) *time.Timer { return time.AfterFunc(0, f) }
+func (c *immediateClock) AfterFunc(_ time.Duration, f func()) *time.Timer {
+	return time.AfterFunc(0, f)
+}
 
 // fixedView is a view that the model replaces.
 type fixedView struct {
@@ -52,10 +54,10 @@
 // modelClaimer is a claimer, its calls, and the claim it has in progress.
 type modelClaimer struct {
 	platform.API
-	guard *guard
-	view  *fixedView
-	calls chan *platformCall
-	done  chan claimResult
+	monitor *primaryMonitor
+	view    *fixedView
+	calls   chan *platformCall
+	done    chan claimResult
 	// pending is the unanswered call; nil when no claim is in progress.
 	pending *platformCall
 }
@@ -85,7 +87,7 @@
 // claimModel is the group's object, its claimers, and the puts that are still on
 // their way although their claimers gave up on them.
 type claimModel struct {
-	clock    *hurried
+	clock    *immediateClock
 	object   platform.Object
 	claimers []*modelClaimer
 	delayed  []*platformCall
@@ -98,15 +100,15 @@
 
 func newClaimModel() *claimModel {
 	m := &claimModel{
-		clock:   &hurried{now: time.Unix(1000, 0)},
+		clock:   &immediateClock{now: time.Unix(1000, 0)},
 		granted: map[logpos.Term]string{},
 		won:     map[logpos.Term]string{},
 	}
 	for i := range 3 {
 		c := &modelClaimer{view: &fixedView{snapshot: lostPrimary(1)}, calls: make(chan *platformCall), done: make(chan claimResult)}
 		settings := DefaultSettings()
-		settings.Platform = time.Hour // the model decides which calls are late
-		c.guard = newGuard(New(Config{
+		settings.PlatformTimeout = time.Hour // the model decides which calls are late
+		c.monitor = newPrimaryMonitor(New(Config{
 			Group: "g", Self: platform.Instance{ID: fmt.Sprint("i", i)}, View: c.view, Platform: c,
 			Clock: m.clock, Rand: rand.New(rand.NewPCG(1, uint64(i))), Settings: settings,
 		}))
@@ -124,27 +126,27 @@
 }
 
 // start begins a claim at an idle claimer.
-func (m *claimModel) start(t *rapid.T) {
-	c := m.pick(t, func(c *modelClaimer) bool { return c.pending == nil })
+func (m *claimModel) startClaim(t *rapid.T) {
+	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending == nil })
 	s := c.view.snapshot
 	go func() {
-		won, err := c.guard.claim(context.Background(), s, verdict{cause: CauseLost})
+		won, err := c.monitor.claimTerm(context.Background(), s, assessment{cause: CauseLost})
 		c.done <- claimResult{won, err}
 	}()
-	m.advance(t, c)
+	m.awaitNextCall(t, c)
 }
 
 // advance waits for the claimer's next call or the end of its claim.
-func (m *claimModel) advance(t *rapid.T, c *modelClaimer) {
+func (m *claimModel) awaitNextCall(t *rapid.T, c *modelClaimer) {
 	select {
 	case c.pending = <-c.calls:
 	case r := <-c.done:
 		c.pending = nil
-		m.end(t, r)
+		m.checkResult(t, r)
 	}
 }
 
-func (m *claimModel) end(t *rapid.T, r claimResult) {
+func (m *claimModel) checkResult(t *rapid.T, r claimResult) {
 	if r.err != nil {
 		if !errors.Is(r.err, ErrLostClaim) && !errors.Is(r.err, ErrRivalClaim) && !errors.Is(r.err, platform.ErrUnavailable) {
 			t.Fatalf("claim ended with %v", r.err)
@@ -162,15 +164,15 @@
 }
 
 // answer ends a pending call in one of the ways that a platform can.
-func (m *claimModel) answer(t *rapid.T) {
-	c := m.pick(t, func(c *modelClaimer) bool { return c.pending != nil })
+func (m *claimModel) answerCall(t *rapid.T) {
+	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending != nil })
 	p := c.pending
 	var a platformAnswer
 	switch fault := rapid.IntRange(0, 5).Draw(t, "fault"); {
 	case fault == 0:
 		a.err = platform.ErrUnavailable
 	case fault == 1 && p.put != nil: // takes effect, and the answer is lost
-		_, _ = m.apply(t, p)
+		_, _ = m.applyCall(t, p)
 		a.err = platform.ErrOutcomeUnknown
 	case fault == 2 && p.put != nil: // lost on the way
 		a.err = platform.ErrOutcomeUnknown
@@ -178,25 +180,25 @@
 		m.delayed = append(m.delayed, p)
 		a.err = platform.ErrOutcomeUnknown
 	default:
-		a.object, a.err = m.apply(t, p)
+		a.object, a.err = m.applyCall(t, p)
 	}
 	p.answer <- a
-	m.advance(t, c)
+	m.awaitNextCall(t, c)
 }
 
 // arrive lets a delayed put reach the platform.
-func (m *claimModel) arrive(t *rapid.T) {
+func (m *claimModel) deliverDelayedPut(t *rapid.T) {
 	if len(m.delayed) == 0 {
 		t.Skip("none is delayed")
 	}
 	k := rapid.IntRange(0, len(m.delayed)-1).Draw(t, "delayed")
 	p := m.delayed[k]
 	m.delayed = append(m.delayed[:k], m.delayed[k+1:]...)
-	_, _ = m.apply(t, p)
+	_, _ = m.applyCall(t, p)
 }
 
 // apply does what the platform promises.
-func (m *claimModel) apply(t *rapid.T, p *platformCall) (platform.Object, error) {
+func (m *claimModel) applyCall(t *rapid.T, p *platformCall) (platform.Object, error) {
 	switch {
 	case p.put == nil && m.object.Version == 0:
 		return platform.Object{}, platform.ErrNotFound
@@ -214,38 +216,38 @@
 	return m.object, nil
 }
 
-// passTime lets rival claims run out.
-func (m *claimModel) passTime(t *rapid.T) {
+// advanceClock lets rival claims run out.
+func (m *claimModel) advanceClock(t *rapid.T) {
 	m.clock.now = m.clock.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond)
 }
 
 // learn shows an idle claimer the highest term that was claimed.
-func (m *claimModel) learn(t *rapid.T) {
-	c := m.pick(t, func(c *modelClaimer) bool { return c.pending == nil })
+func (m *claimModel) refreshView(t *rapid.T) {
+	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending == nil })
 	c.view.snapshot = lostPrimary(max(m.highest, 1))
 }
 
-func (m *claimModel) pick(t *rapid.T, fit func(*modelClaimer) bool) *modelClaimer {
-	var fits []*modelClaimer
+func (m *claimModel) drawClaimer(t *rapid.T, eligible func(*modelClaimer) bool) *modelClaimer {
+	var candidates []*modelClaimer
 	for _, c := range m.claimers {
-		if fit(c) {
-			fits = append(fits, c)
+		if eligible(c) {
+			candidates = append(candidates, c)
 		}
 	}
-	if len(fits) == 0 {
+	if len(candidates) == 0 {
 		t.Skip("no claimer fits")
 	}
-	return rapid.SampledFrom(fits).Draw(t, "claimer")
+	return rapid.SampledFrom(candidates).Draw(t, "claimer")
 }
 
 // drain answers what is pending so that no goroutine is left.
-func (m *claimModel) drain(t *rapid.T) {
+func (m *claimModel) drainCalls(t *rapid.T) {
 	for _, c := range m.claimers {
 		for c.pending != nil {
 			a := platformAnswer{}
-			a.object, a.err = m.apply(t, c.pending)
+			a.object, a.err = m.applyCall(t, c.pending)
 			c.pending.answer <- a
-			m.advance(t, c)
+			m.awaitNextCall(t, c)
 		}
 	}
 }
@@ -264,13 +266,13 @@
 func TestClaimModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClaimModel()
-		defer m.drain(t)
+		defer m.drainCalls(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"start":    m.start,
-			"answer":   m.answer,
-			"arrive":   m.arrive,
-			"passTime": m.passTime,
-			"learn":    m.learn,
+			"start":    m.startClaim,
+			"answer":   m.answerCall,
+			"arrive":   m.deliverDelayedPut,
+			"passTime": m.advanceClock,
+			"learn":    m.refreshView,
 		})
 	})
 }
--- a/internal/failover/claim_test.go
+++ b/internal/failover/claim_test.go
@@ -18,8 +18,8 @@
 	failover.StepChosen, failover.StepPromoted, failover.StepRecorded, failover.StepLearned,
 }
 
-// onFirst calls f with the first instance that comes to the step, once.
-func (x *cluster) onFirst(step failover.Step, f func(i *instance)) {
+// onFirstStep calls f with the first instance that comes to the step, once.
+func (x *cluster) onFirstStep(step failover.Step, f func(i *instance)) {
 	reached := false
 	for _, i := range x.instances {
 		i.onStep = func(s failover.Step) {
@@ -48,15 +48,15 @@
 func TestClaimerDiesAtEachStep(t *testing.T) {
 	for _, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
-			inCluster(t, seed, func(x *cluster) {
+			withCluster(t, seed, func(x *cluster) {
 				var dead *instance
-				x.onFirst(step, func(i *instance) {
+				x.onFirstStep(step, func(i *instance) {
 					dead = i
-					x.die(i)
+					x.killInstance(i)
 				})
 				x.wantWritable(x.instances[2], "before")
 				x.nodes[0].Kill()
-				x.after(1500 * time.Millisecond)
+				x.advance(1500 * time.Millisecond)
 				if dead == nil {
 					x.t.Fatal("the step was not reached")
 				}
@@ -75,16 +75,16 @@
 func TestClaimerFreezesAtEachStepAndThaws(t *testing.T) {
 	for _, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
-			inCluster(t, seed, func(x *cluster) {
+			withCluster(t, seed, func(x *cluster) {
 				thaw := make(chan struct{})
 				var frozen *instance
-				x.onFirst(step, func(i *instance) {
+				x.onFirstStep(step, func(i *instance) {
 					frozen = i
 					x.net.Freeze(i.ip)
 					<-thaw
 				})
 				x.nodes[0].Kill()
-				x.after(5 * time.Second)
+				x.advance(5 * time.Second)
 				if frozen == nil {
 					x.t.Fatal("the step was not reached")
 				}
@@ -92,7 +92,7 @@
 				term, leading := x.primaries()
 				x.net.Thaw(frozen.ip)
 				close(thaw)
-				x.after(5 * time.Second)
+				x.advance(5 * time.Second)
 				after, still := x.primaries()
 				if after != term || len(still) != 1 || still[0] != leading[0] {
 					x.t.Errorf("term %d led by %v became %d led by %v", term, leading, after, still)
@@ -105,12 +105,12 @@
 
 // The platform stores the claim and its answer is lost. The claimer must find
 // its own claim and go on in the same term, and not take it for a rival's.
-func TestLostAnswerToTheClaimIsSettled(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+func TestClaimWithLostAnswerIsResolved(t *testing.T) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		x.store.SetFaults(store.Faults{Delay: platformDelay, LoseAnswers: 1})
 		x.nodes[0].Kill()
-		x.after(time.Second)
+		x.advance(time.Second)
 		x.wantPrimary(2)
 		is.Equal(len(x.gaps), 1)
 		is.True(x.gaps[0].Total() < 400*time.Millisecond)
@@ -122,9 +122,9 @@
 // claim until the others are there. One gets the term; the others must leave it.
 func TestRacingClaimersGetOneTerm(t *testing.T) {
 	for s := range uint64(8) {
-		inCluster(t, s, func(x *cluster) {
+		withCluster(t, s, func(x *cluster) {
 			is := is.New(x.t)
-			together := make(chan struct{})
+			allReady := make(chan struct{})
 			waiting := 0
 			for _, i := range x.instances {
 				i.onStep = func(step failover.Step) {
@@ -134,14 +134,14 @@
 					x.mu.Lock()
 					waiting++
 					if waiting == len(x.instances) {
-						close(together)
+						close(allReady)
 					}
 					x.mu.Unlock()
-					<-together
+					<-allReady
 				}
 			}
 			x.nodes[0].Kill()
-			x.after(2 * time.Second)
+			x.advance(2 * time.Second)
 			is.Equal(waiting, len(x.instances))
 			is.Equal(len(x.gaps), 1)
 			x.wantPrimary(2)
@@ -154,21 +154,21 @@
 // is down when the primary is lost: writes are refused until it answers again,
 // and then the promotion follows.
 func TestPlatformOutage(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		x.store.SetFaults(store.Faults{Outage: true})
 		for k := range 60 {
-			x.after(time.Second)
+			x.advance(time.Second)
 			x.wantWritable(x.instances[k%3], fmt.Sprintf("out-%d", k))
 		}
 		x.nodes[0].Kill()
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		term, leading := x.primaries()
 		is.Equal(int(term), 1)
 		is.Equal(len(leading), 1) // the dead one's last state
 		is.True(x.write(x.instances[1], "refused") != nil)
 		x.store.SetFaults(store.Faults{Delay: platformDelay})
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		x.wantPrimary(2)
 		x.wantWritable(x.instances[1], "k")
 	})
@@ -177,12 +177,12 @@
 // The platform is slow when the primary is lost, slower than one call may take:
 // answers come after the claimer gave up, and take effect nevertheless.
 func TestPlatformSlowerThanItsBound(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		x.store.SetFaults(store.Faults{Delay: 700 * time.Millisecond})
 		x.nodes[0].Kill()
-		x.after(5 * time.Second)
+		x.advance(5 * time.Second)
 		x.store.SetFaults(store.Faults{Delay: platformDelay})
-		x.after(3 * time.Second)
+		x.advance(3 * time.Second)
 		_, leading := x.primaries()
 		if len(leading) != 1 {
 			x.t.Fatalf("leading %v", leading)
@@ -194,17 +194,17 @@
 // The group's object cannot be read. Nobody may guess a term; the failover
 // waits until an operator has put it right.
 func TestMalformedObjectStopsClaims(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		o, err := x.store.Put(x.t.Context(), platform.KindGroup, "g", []byte("{"), 0)
 		is.NoErr(err)
 		x.nodes[0].Kill()
-		x.after(5 * time.Second)
+		x.advance(5 * time.Second)
 		term, _ := x.primaries()
 		is.Equal(int(term), 1)
 		_, err = x.store.Put(x.t.Context(), platform.KindGroup, "g", []byte(`{"term":1}`), o.Version)
 		is.NoErr(err)
-		x.after(3 * time.Second)
+		x.advance(3 * time.Second)
 		x.wantPrimary(2)
 		x.wantWritable(x.instances[1], "k")
 	})
--- a/internal/failover/claimer.go
+++ b/internal/failover/claimer.go
@@ -11,13 +11,13 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Claimer watches over one group's primary.
+// Claimer detects the failure of one group's primary and replaces it.
 type Claimer struct {
 	Config
 	log hclog.Logger
 }
 
-// New returns a Claimer; Run makes it work.
+// New returns a Claimer; call Run to start it.
 func New(c Config) *Claimer {
 	if c.Settings == (Settings{}) {
 		c.Settings = DefaultSettings()
@@ -37,31 +37,31 @@
 	return &Claimer{Config: c, log: c.Logger.Named("failover").With("group", c.Group)}
 }
 
-// Run guards the primary and attaches members until ctx ends.
+// Run monitors the primary and attaches members until ctx ends.
 func (c *Claimer) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { newGuard(c).run(ctx) })
+	wg.Go(func() { newPrimaryMonitor(c).run(ctx) })
 	wg.Go(func() { newAttacher(c).run(ctx) })
 	wg.Wait()
 }
 
-// rank is this instance's place among the claimers of the snapshot's trouble.
+// rank returns this instance's rank among the claimers for the given snapshot.
 func (c *Claimer) rank(s *group.Snapshot) int {
 	m, _ := s.Find(s.Primary)
-	troubled := ""
+	failingDomain := ""
 	if m.Failures > 0 {
-		troubled = m.FailureDomain
+		failingDomain = m.FailureDomain
 	}
-	return rank(c.Group, c.Self.ID, troubled, c.Instances())
+	return rank(c.Group, c.Self.ID, failingDomain, c.Instances())
 }
 
-func (c *Claimer) at(step Step) {
+func (c *Claimer) callHook(step Step) {
 	if c.Hook != nil {
 		c.Hook(step)
 	}
 }
 
-// pause waits for d, a change, or the end of ctx. A nil channel never changes.
+// pause waits for d, a change, or the end of ctx. A nil channel never signals a change.
 func (c *Claimer) pause(ctx context.Context, d time.Duration, changed <-chan struct{}) {
 	t := c.Clock.NewTimer(d)
 	defer t.Stop()
--- a/internal/failover/config.go
+++ b/internal/failover/config.go
@@ -10,34 +10,34 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Config is what a Claimer is made of.
+// Config configures a Claimer.
 type Config struct {
 	Group string
-	// Self is this instance; its ID and failure domain are used.
+	// Self is this instance; only its ID and failure domain are used.
 	Self platform.Instance
-	// Instances returns the instances that follow the group, this one included,
-	// as far as is known. The list may lag. Nil means this one alone.
+	// Instances returns the known instances that follow the group, this one included.
+	// The list may lag. Nil means this one alone.
 	Instances func() []platform.Instance
 	View      View
 	Platform  platform.API
-	// Dialer opens the connections that fence, promote and attach.
+	// Dialer opens the connections used to fence, promote and attach members.
 	Dialer member.Dialer
-	// Witness may be nil where there are no other instances.
+	// Witness may be nil if there are no other instances.
 	Witness Witness
 	Clock   clock.Clock
-	// Rand is used by the Claimer's guard only; nothing else may use it.
+	// Rand is used by the Claimer's primaryMonitor without a lock and must not be shared.
 	Rand *rand.Rand
 	// Logger may be nil.
 	Logger hclog.Logger
-	// Metrics may be nil. All claimers of an instance share one.
+	// Metrics may be nil. All claimers of an instance share one value.
 	Metrics *Metrics
-	// Settings default to DefaultSettings.
+	// Settings defaults to DefaultSettings if zero.
 	Settings Settings
-	// MembersNumberTerms says that members count terms by themselves: a promotion
-	// leads to the term behind the highest that they know.
+	// MembersNumberTerms is set if members assign terms themselves: a promotion
+	// results in the successor of the highest term that they know.
 	MembersNumberTerms bool
-	// OnFailover, if set, is told of every failover that this claimer completed.
+	// OnFailover, if set, is called after every failover that this claimer completed.
 	OnFailover func(Gap)
-	// Hook, if set, is called at every Step. A test stops a claimer there.
+	// Hook, if set, is called at every Step. Tests use it to stop a claimer there.
 	Hook func(Step)
 }
--- a/internal/failover/calm_test.go
+++ b/internal/failover/detector_test.go
@@ -13,17 +13,17 @@
 // Primaries are lost one after the other. One that falls silent right behind a
 // change is waited for longer; one that is lost out of a calm, or whose machine
 // refuses connections, is replaced as fast as the first.
-func TestLossOutOfACalmIsDetectedAtOnce(t *testing.T) {
+func TestLossAfterStablePeriodUsesBaseDetectionTime(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
-	p := &suspicion{settings: settings}
+	detector := &failureDetector{settings: settings}
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	detection := func(term logpos.Term, at time.Duration) time.Duration {
 		now := start.Add(at)
 		healthy := lostSnapshot(term, time.Time{}, now)
-		p.assess(now, healthy, 0)
+		detector.assess(now, healthy, 0)
 		lost := lostSnapshot(term, now, now)
-		v := p.assess(now, lost, 0)
+		v := detector.assess(now, lost, 0)
 		is.Equal(v.cause, CauseLost)
 		return v.due.Sub(now)
 	}
@@ -32,8 +32,8 @@
 	is.Equal(detection(3, 2*time.Second), 4*settings.Detect)
 	refused := lostSnapshot(3, start.Add(3*time.Second), start.Add(3*time.Second))
 	refused.Members[0].Refused = true
-	is.Equal(p.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.Detect))
-	after := 3*time.Second + settings.Calm + time.Millisecond
+	is.Equal(detector.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.Detect))
+	after := 3*time.Second + settings.StablePeriod + time.Millisecond
 	is.Equal(detection(3, after), settings.Detect)
 }
 
--- a/internal/failover/errors.go
+++ b/internal/failover/errors.go
@@ -3,16 +3,16 @@
 import "errors"
 
 var (
-	// ErrBadRecord says that a group's object on the platform cannot be read.
+	// ErrBadRecord means that a group's object on the platform cannot be decoded.
 	ErrBadRecord = errors.New("failover: group object is malformed")
-	// ErrRivalClaim says that another claim of a higher term is in its time.
-	ErrRivalClaim = errors.New("failover: another claim is under way")
-	// ErrLostClaim says that another claimer got the term.
-	ErrLostClaim = errors.New("failover: the term went to another claim")
-	// errRecovered says that the reason for a claim went away before it.
-	errRecovered = errors.New("failover: the primary answers again")
-	// errReplaced ends an attempt whose term has passed.
-	errReplaced = errors.New("failover: a higher term was seen")
-	// errLate says that the attempt's time is over and another claim may stand.
-	errLate = errors.New("failover: the claim's time is over")
+	// ErrRivalClaim means that another claim of a higher term has not expired yet.
+	ErrRivalClaim = errors.New("failover: another claim is in progress")
+	// ErrLostClaim means that another claimer was granted the term.
+	ErrLostClaim = errors.New("failover: the term was granted to another claim")
+	// errRecovered means that the cause of a claim no longer applies.
+	errRecovered = errors.New("failover: the cause of the claim no longer applies")
+	// errTermSuperseded aborts an attempt once a higher term is known.
+	errTermSuperseded = errors.New("failover: a higher term was seen")
+	// errClaimExpired means that the attempt expired and another claim may be in effect.
+	errClaimExpired = errors.New("failover: the claim has expired")
 )
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -11,10 +11,10 @@
 
 const seed = 7
 
-func TestHealthyGroupIsLeftAlone(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+func TestHealthyGroupIsUnchanged(t *testing.T) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		x.after(time.Minute)
+		x.advance(time.Minute)
 		is.Equal(x.wantPrimary(1), 0)
 		is.Equal(len(x.store.Calls()), 0)
 		x.wantWritable(x.instances[1], "k")
@@ -25,14 +25,14 @@
 // errors for the gap, then writes go on at a replica; none of those that were
 // acknowledged may be missing there. The old primary comes back and follows.
 func TestKilledPrimaryIsReplaced(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		for _, i := range x.instances {
-			defer x.writer(i)()
+			defer x.startWriter(i)()
 		}
-		x.after(200 * time.Millisecond)
+		x.advance(200 * time.Millisecond)
 		x.nodes[0].Kill()
-		x.after(time.Second)
+		x.advance(time.Second)
 		p := x.wantPrimary(2)
 		is.True(p != 0)
 		is.Equal(len(x.gaps), 1)
@@ -43,7 +43,7 @@
 		}
 		x.nodes[0].Stop()
 		is.NoErr(x.nodes[0].Start())
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		x.wantAttached(0, 2)
 	})
 }
@@ -52,14 +52,14 @@
 // believes that it leads and takes writes, and the instance there sends them
 // and gets answers. It must acknowledge none that the other side does not have.
 func TestCutOffDomainIsReplaced(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		stop := x.writer(x.instances[0])
-		x.after(200 * time.Millisecond)
+		stop := x.startWriter(x.instances[0])
+		x.advance(200 * time.Millisecond)
 		x.cutDomain(0, x.net.Cut)
-		x.after(20 * time.Millisecond)
+		x.advance(20 * time.Millisecond)
 		acked := x.ackedCount()
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		is.Equal(x.ackedCount(), acked)
 		is.Equal(len(x.gaps), 1)
 		x.t.Logf("gap %+v", x.gaps[0])
@@ -67,7 +67,7 @@
 		is.True(x.nodes[0].Status().Entered == 1)
 		stop()
 		x.cutDomain(0, x.net.Heal)
-		x.after(3 * time.Second)
+		x.advance(3 * time.Second)
 		is.True(x.wantPrimary(2) != 0)
 		x.wantAttached(0, 2)
 		x.wantWritable(x.instances[0], "healed")
@@ -77,16 +77,16 @@
 // What the primary sends is lost, and what is sent to it arrives: it commits
 // writes and hears commands, but nobody hears it.
 func TestCutOneWayIsReplaced(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		defer x.writer(x.instances[1])()
-		x.after(100 * time.Millisecond)
+		defer x.startWriter(x.instances[1])()
+		x.advance(100 * time.Millisecond)
 		for _, h := range x.allHosts() {
 			if h != x.hosts[0] {
 				x.net.CutOneWay(x.hosts[0], h)
 			}
 		}
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		is.True(x.wantPrimary(2) != 0)
 		x.wantWritable(x.instances[1], "k")
 	})
@@ -95,18 +95,18 @@
 // The primary's process stops and goes on ten seconds later, with a write of
 // before the stop still in its sockets. That write commits in the old term when
 // it thaws; it must never be acknowledged.
-func TestFrozenPrimaryConfirmsNothingWhenItThaws(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+func TestFrozenPrimaryAcknowledgesNothingAfterThaw(t *testing.T) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		x.net.Freeze(x.hosts[0])
 		frozen := make(chan error, 1)
 		go func() { frozen <- x.writeAt(x.instances[1], 1, x.addresses[0], "frozen") }()
-		x.after(10 * time.Second)
+		x.advance(10 * time.Second)
 		is.True(x.wantPrimary(2) != 0)
 		is.True(<-frozen != nil)
 		x.net.Thaw(x.hosts[0])
 		is.True(x.writeAt(x.instances[1], 1, x.addresses[0], "thawed") != nil)
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		x.wantAttached(0, 2)
 		x.wantWritable(x.instances[2], "k")
 	})
@@ -114,11 +114,11 @@
 
 // One link fails, that between one instance and the primary. Two domains see the
 // primary and one does not: nothing may move.
-func TestOneCutLinkMovesNothing(t *testing.T) {
+func TestOneCutLinkCausesNoFailover(t *testing.T) {
 	for k := 1; k < 3; k++ {
-		inCluster(t, seed, func(x *cluster) {
+		withCluster(t, seed, func(x *cluster) {
 			x.net.Cut(x.instances[k].ip, x.hosts[0])
-			x.after(30 * time.Second)
+			x.advance(30 * time.Second)
 			x.wantPrimary(1)
 			x.wantWritable(x.instances[3-k], "k")
 		})
@@ -127,14 +127,14 @@
 
 // The same after a failover: the cut instance never hears from the new primary
 // itself, and must not take its term for one without a primary.
-func TestOneCutLinkToANewPrimaryMovesNothing(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+func TestOneCutLinkToANewPrimaryCausesNoFailover(t *testing.T) {
+	withCluster(t, seed, func(x *cluster) {
 		x.nodes[0].Kill()
 		x.net.Cut(x.instances[0].ip, x.hosts[1])
 		x.net.Cut(x.instances[2].ip, x.hosts[2])
-		x.after(5 * time.Second)
+		x.advance(5 * time.Second)
 		term, _ := x.primaries()
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		again, leading := x.primaries()
 		if again != term || len(leading) != 1 {
 			x.t.Errorf("term %d became %d, leading %v", term, again, leading)
@@ -147,12 +147,12 @@
 // is promoted.
 func TestShortPausePromotesNobody(t *testing.T) {
 	for _, pause := range []time.Duration{75 * time.Millisecond, 145 * time.Millisecond} {
-		inCluster(t, seed, func(x *cluster) {
+		withCluster(t, seed, func(x *cluster) {
 			for k := range 150 {
 				x.net.Freeze(x.hosts[0])
-				x.after(pause)
+				x.advance(pause)
 				x.net.Thaw(x.hosts[0])
-				x.after(time.Duration(50+k) * time.Millisecond)
+				x.advance(time.Duration(50+k) * time.Millisecond)
 			}
 			x.wantPrimary(1)
 			x.wantWritable(x.instances[1], "k")
@@ -163,7 +163,7 @@
 // A replica carries a longer tail of an older term. The shorter log of the newer
 // term is worth more: the tail was never acknowledged, and must be dropped.
 func TestLongerTailOfAnOlderTermIsDiscarded(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		for k := 1; k < 3; k++ {
 			x.net.Cut(x.hosts[0], x.hosts[k])
@@ -172,7 +172,7 @@
 			is.True(x.writeAt(x.instances[0], 1, x.addresses[0], key) != nil)
 		}
 		x.nodes[0].Kill()
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		p := x.wantPrimary(2)
 		x.wantWritable(x.instances[1], "kept")
 		x.nodes[0].Stop()
@@ -182,7 +182,7 @@
 		}
 		is.True(x.nodes[0].Status().Last.Position > x.nodes[p].Status().Last.Position)
 		x.nodes[p].Kill()
-		x.after(3 * time.Second)
+		x.advance(3 * time.Second)
 		is.Equal(x.wantPrimary(3), 3-p)
 		x.wantAttached(0, 3)
 		_, tail := x.nodes[0].Rows("kv")["t8"]
@@ -194,20 +194,20 @@
 // The primary leaves, as planned. Another member leads within seconds, the old
 // one follows it, and no acknowledged write is lost.
 func TestLeavingPrimaryIsSwitchedOver(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
 		for _, i := range x.instances {
-			defer x.writer(i)()
+			defer x.startWriter(i)()
 		}
-		x.after(200 * time.Millisecond)
+		x.advance(200 * time.Millisecond)
 		for _, i := range x.instances {
-			i.w.SetLeaving(x.addresses[:1])
+			i.watcher.SetLeaving(x.addresses[:1])
 		}
-		x.after(time.Second)
+		x.advance(time.Second)
 		is.True(x.wantPrimary(2) != 0)
 		x.wantAttached(0, 2)
 		x.wantWritable(x.instances[0], "k")
-		x.after(10 * time.Second)
+		x.advance(10 * time.Second)
 		term, _ := x.primaries()
 		is.Equal(term, logpos.Term(2))
 	})
@@ -217,18 +217,18 @@
 // of the primary and of everybody who could object. It must not promote its
 // replica: the others still have a majority and go on acknowledging.
 func TestMinorityDomainPromotesNobody(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		defer x.writer(x.instances[0])()
+		defer x.startWriter(x.instances[0])()
 		x.cutDomain(2, x.net.Cut)
-		x.after(10 * time.Second)
+		x.advance(10 * time.Second)
 		is.Equal(x.wantPrimary(1), 0)
 		is.True(x.write(x.instances[2], "minority") != nil)
 		before := x.ackedCount()
-		x.after(time.Second)
+		x.advance(time.Second)
 		is.True(x.ackedCount() > before)
 		x.cutDomain(2, x.net.Heal)
-		x.after(3 * time.Second)
+		x.advance(3 * time.Second)
 		is.Equal(x.wantPrimary(1), 0)
 		x.wantWritable(x.instances[2], "healed")
 	})
@@ -237,15 +237,15 @@
 // One replica is a second behind, so that the other alone holds what was
 // acknowledged last. The primary is killed. Whichever replica answers first, the
 // one that holds more must be promoted.
-func TestReplicaFarBehindIsNotPromoted(t *testing.T) {
+func TestLaggingReplicaIsNotPromoted(t *testing.T) {
 	for behind := 1; behind < 3; behind++ {
-		inCluster(t, seed, func(x *cluster) {
+		withCluster(t, seed, func(x *cluster) {
 			x.nodes[behind].SetReplicationLag(time.Second)
-			stop := x.writer(x.instances[3-behind])
-			x.after(2 * time.Second)
+			stop := x.startWriter(x.instances[3-behind])
+			x.advance(2 * time.Second)
 			x.nodes[0].Kill()
 			stop()
-			x.after(2 * time.Second)
+			x.advance(2 * time.Second)
 			if p := x.wantPrimary(2); p != 3-behind {
 				x.t.Errorf("member %d was promoted", p)
 			}
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -27,17 +27,17 @@
 )
 
 const (
-	oneWay        = time.Millisecond
-	platformDelay = 4 * time.Millisecond
-	connectDelay  = 10 * time.Millisecond
-	lag           = 5 * time.Millisecond
+	oneWay         = time.Millisecond
+	platformDelay  = 4 * time.Millisecond
+	connectDelay   = 10 * time.Millisecond
+	replicationLag = 5 * time.Millisecond
 )
 
 // instance is one entry instance: a watcher, a claimer and a peer server.
 type instance struct {
 	platform.Instance
 	ip      string
-	w       *group.Watcher
+	watcher *group.Watcher
 	cancel  context.CancelFunc
 	done    chan struct{}
 	onStep  func(failover.Step)
@@ -67,20 +67,20 @@
 	acked []string
 }
 
-// inCluster runs f with a started cluster, and checks afterwards that every
+// withCluster runs f with a started cluster, and checks afterwards that every
 // acknowledged write is in the log of the primary.
-func inCluster(t *testing.T, seed uint64, f func(x *cluster)) {
+func withCluster(t *testing.T, seed uint64, f func(x *cluster)) {
 	t.Helper()
-	inClusterOf(t, 3, seed, f)
+	withClusterOf(t, 3, seed, f)
 }
 
-func inClusterOf(t *testing.T, members int, seed uint64, f func(x *cluster)) {
+func withClusterOf(t *testing.T, members int, seed uint64, f func(x *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		x := &cluster{t: t, seed: seed, net: memnet.New(), store: store.NewStore()}
 		defer x.stop()
 		x.start(members)
-		x.after(time.Second)
+		x.advance(time.Second)
 		f(x)
 		x.checkAcked()
 	})
@@ -102,14 +102,14 @@
 			x.net.SetLatency(a, b, oneWay)
 		}
 	}
-	options := standin.Options{ConnectDelay: connectDelay, ReplicationLag: lag}
+	options := standin.Options{ConnectDelay: connectDelay, ReplicationLag: replicationLag}
 	nodes, err := standin.StartGroup(options, func(ip string) netio.Network { return x.net.Host(ip) }, x.addresses...)
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	x.nodes = nodes
 	for _, i := range x.instances {
-		x.run(i)
+		x.startInstance(i)
 	}
 }
 
@@ -123,7 +123,7 @@
 	return all
 }
 
-func (x *cluster) list() []platform.Instance {
+func (x *cluster) platformInstances() []platform.Instance {
 	var l []platform.Instance
 	for _, i := range x.instances {
 		l = append(l, i.Instance)
@@ -132,7 +132,7 @@
 }
 
 // run starts an instance's parts.
-func (x *cluster) run(i *instance) {
+func (x *cluster) startInstance(i *instance) {
 	i.network = x.net.Host(i.ip)
 	dialer := pgcontrol.NewDialer(i.network, pgcontrol.Options{User: "topazrock"})
 	var members []document.Member
@@ -140,16 +140,16 @@
 		members = append(members, document.Member{Address: a, FailureDomain: domain(k % 3)})
 	}
 	r := func(part uint64) *rand.Rand { return rand.New(rand.NewPCG(x.seed, part+uint64(i.ID[1]))) }
-	i.w = group.NewWatcher(group.Config{Group: "g", Members: members, Clock: clock.System{}, Rand: r(100), Dialer: dialer})
+	i.watcher = group.NewWatcher(group.Config{Group: "g", Members: members, Clock: clock.System{}, Rand: r(100), Dialer: dialer})
 	i.caller = peer.NewClient(i.ID, i.network)
 	i.server = peer.NewServer(hclog.NewNullLogger())
 	failover.ServeWitness(i.server, clock.System{}, failover.DefaultSettings().Detect,
-		func(string) (failover.View, bool) { return i.w, true })
+		func(string) (failover.View, bool) { return i.watcher, true })
 	claimer := failover.New(failover.Config{
-		Group: "g", Self: i.Instance, Instances: x.list, View: i.w, Platform: x.store, Dialer: dialer,
-		Witness: failover.NewPeerWitness(i.caller, i.Instance, x.list, r(200)),
+		Group: "g", Self: i.Instance, Instances: x.platformInstances, View: i.watcher, Platform: x.store, Dialer: dialer,
+		Witness: failover.NewPeerWitness(i.caller, i.Instance, x.platformInstances, r(200)),
 		Clock:   clock.System{}, Rand: r(300),
-		OnFailover: x.noteGap,
+		OnFailover: x.recordGap,
 		Hook: func(s failover.Step) {
 			if i.onStep != nil {
 				i.onStep(s)
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	i.cancel, i.done = cancel, done
-	server, caller, watcher := i.server, i.caller, i.w
+	server, caller, watcher := i.server, i.caller, i.watcher
 	var wg sync.WaitGroup
 	wg.Go(func() { watcher.Run(ctx) })
 	wg.Go(func() { claimer.Run(ctx) })
@@ -180,7 +180,7 @@
 }
 
 // die ends an instance as SIGKILL does. A step hook may call it.
-func (x *cluster) die(i *instance) {
+func (x *cluster) killInstance(i *instance) {
 	x.net.Kill(i.ip)
 	i.cancel()
 }
@@ -204,14 +204,14 @@
 	synctest.Wait()
 }
 
-func (x *cluster) noteGap(g failover.Gap) {
+func (x *cluster) recordGap(g failover.Gap) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.gaps = append(x.gaps, g)
 }
 
 // after lets virtual time pass.
-func (x *cluster) after(d time.Duration) {
+func (x *cluster) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
@@ -222,9 +222,9 @@
 		if k == i {
 			continue
 		}
-		for _, mine := range []string{x.hosts[i], x.instances[i].ip} {
-			for _, theirs := range []string{x.hosts[k], x.instances[k].ip} {
-				change(mine, theirs)
+		for _, local := range []string{x.hosts[i], x.instances[i].ip} {
+			for _, remote := range []string{x.hosts[k], x.instances[k].ip} {
+				change(local, remote)
 			}
 		}
 	}
--- a/internal/failover/gap.go
+++ b/internal/failover/gap.go
@@ -6,7 +6,7 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Gap tells how long one failover took, phase by phase, as its claimer saw it.
+// Gap holds the duration of each phase of one failover, as measured by its claimer.
 type Gap struct {
 	Group   string
 	Term    logpos.Term
@@ -14,9 +14,9 @@
 	Primary string
 	// Detect runs from the first failed probe to the decision to claim.
 	Detect time.Duration
-	// Claim runs until the platform gave the term.
+	// Claim runs until the platform granted the term.
 	Claim time.Duration
-	// Fence runs until a majority had entered it.
+	// Fence runs until a majority of the members entered the term.
 	Fence time.Duration
 	// Promote runs until the new primary answered.
 	Promote time.Duration
@@ -24,5 +24,5 @@
 	Learn time.Duration
 }
 
-// Total is the whole of the gap.
+// Total returns the duration of the whole failover.
 func (g Gap) Total() time.Duration { return g.Detect + g.Claim + g.Fence + g.Promote + g.Learn }
--- a/internal/failover/gap_test.go
+++ b/internal/failover/gap_test.go
@@ -44,7 +44,7 @@
 		{name: "kill", lose: kill, median: maxMedianGap},
 		{name: "cut", lose: cut, median: maxMedianGap},
 		{name: "kill, claimer dies", median: maxP99Gap, lose: func(x *cluster) {
-			x.onFirst(failover.StepClaimed, x.die)
+			x.onFirstStep(failover.StepClaimed, x.killInstance)
 			kill(x)
 		}},
 		{name: "kill, lease of 1 s", lose: kill, lease: time.Second},
@@ -53,12 +53,12 @@
 		var gaps []time.Duration
 		phases := map[string][]time.Duration{}
 		for s := range *gapRuns {
-			inCluster(t, uint64(s), func(x *cluster) {
+			withCluster(t, uint64(s), func(x *cluster) {
 				r := rand.New(rand.NewPCG(x.seed, 9))
-				x.holdForLease(r, c.lease)
-				x.after(time.Duration(r.IntN(100_000)) * time.Microsecond)
+				x.delayClaimsForLease(r, c.lease)
+				x.advance(time.Duration(r.IntN(100_000)) * time.Microsecond)
 				gaps = append(gaps, x.measureGap(c.lose))
-				x.after(100 * time.Millisecond)
+				x.advance(100 * time.Millisecond)
 				for name, d := range phasesOf(x.gaps[0]) {
 					phases[name] = append(phases[name], d)
 				}
@@ -74,9 +74,9 @@
 	}
 }
 
-// holdForLease makes every claim wait for the end of the lease: renewed a random
+// delayClaimsForLease makes every claim wait for the end of the lease: renewed a random
 // part of a third of its length before the primary is lost.
-func (x *cluster) holdForLease(r *rand.Rand, lease time.Duration) {
+func (x *cluster) delayClaimsForLease(r *rand.Rand, lease time.Duration) {
 	if lease == 0 {
 		return
 	}
--- a/internal/failover/groupsize_test.go
+++ b/internal/failover/groupsize_test.go
@@ -15,30 +15,30 @@
 // one of the three that are left holds them all.
 func TestTwoOfFiveAreLost(t *testing.T) {
 	for ahead := 1; ahead < 5; ahead++ {
-		inClusterOf(t, 5, seed, func(x *cluster) {
+		withClusterOf(t, 5, seed, func(x *cluster) {
 			for k := 1; k < 5; k++ {
 				if k != ahead {
 					x.nodes[k].SetReplicationLag(time.Duration(k) * 100 * time.Millisecond)
 				}
 			}
 			for _, i := range x.instances {
-				defer x.writer(i)()
+				defer x.startWriter(i)()
 			}
-			x.after(2 * time.Second)
+			x.advance(2 * time.Second)
 			x.nodes[0].Kill()
 			x.nodes[ahead].Kill()
-			x.after(2 * time.Second)
+			x.advance(2 * time.Second)
 			p := x.wantPrimary(2)
 			if p == 0 || p == ahead {
 				x.t.Errorf("member %d leads", p)
 			}
 			for k, n := range x.nodes {
-				n.SetReplicationLag(lag)
+				n.SetReplicationLag(replicationLag)
 				if k != 0 && k != ahead && k != p {
 					x.wantAttached(k, 2)
 				}
 			}
-			x.after(time.Second)
+			x.advance(time.Second)
 			x.wantWritable(x.instances[1], "k")
 		})
 	}
@@ -47,18 +47,18 @@
 // Three of five are lost. Nobody may be promoted: the two that are left may lack
 // what was acknowledged. When a third comes back, the group goes on.
 func TestThreeOfFiveAreLost(t *testing.T) {
-	inClusterOf(t, 5, seed, func(x *cluster) {
+	withClusterOf(t, 5, seed, func(x *cluster) {
 		is := is.New(x.t)
 		x.wantWritable(x.instances[1], "before")
 		for k := range 3 {
 			x.nodes[k].Kill()
 		}
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		term, _ := x.primaries()
 		is.Equal(term, logpos.Term(1))
 		is.True(x.write(x.instances[1], "refused") != nil)
-		x.revive(1)
-		x.after(5 * time.Second)
+		x.restartMember(1)
+		x.advance(5 * time.Second)
 		x.wantPrimary(2)
 		x.wantWritable(x.instances[1], "k")
 	})
@@ -67,11 +67,11 @@
 // Three members that have entered no term come up. The group has no object on
 // the platform and no primary to lose; it must get its first one all the same.
 func TestNewGroupGetsItsFirstPrimary(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		for k, n := range x.nodes {
 			n.Stop()
 			x.nodes[k] = standin.New(standin.Options{
-				Address: x.addresses[k], Network: x.net.Host(x.hosts[k]), ConnectDelay: connectDelay, ReplicationLag: lag})
+				Address: x.addresses[k], Network: x.net.Host(x.hosts[k]), ConnectDelay: connectDelay, ReplicationLag: replicationLag})
 		}
 		for _, i := range x.instances {
 			i.cancel()
@@ -83,9 +83,9 @@
 			}
 		}
 		for _, i := range x.instances {
-			x.run(i)
+			x.startInstance(i)
 		}
-		x.after(4 * time.Second)
+		x.advance(4 * time.Second)
 		x.wantPrimary(1)
 		x.wantWritable(x.instances[0], "first")
 	})
--- /dev/null
+++ b/internal/failover/lateclaim_test.go
@@ -0,0 +1,80 @@
+package failover
+
+import (
+	"context"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/topazrock/topazrock/internal/group"
+	"github.com/topazrock/topazrock/internal/member"
+	"github.com/topazrock/topazrock/internal/platform"
+)
+
+// slowPlatform is a platform that stores a claim at once and loses the answer; what it
+// holds is told seconds later.
+type slowPlatform struct {
+	platform.API
+	clock  *immediateClock
+	stored []byte
+}
+
+// Put implements platform.API.
+func (p *slowPlatform) Put(_ context.Context, _ platform.Kind, _ string, value []byte, _ int64) (platform.Object, error) {
+	p.stored = value
+	p.clock.now = p.clock.now.Add(time.Second)
+	return platform.Object{}, platform.ErrOutcomeUnknown
+}
+
+// Get implements platform.API.
+func (p *slowPlatform) Get(context.Context, platform.Kind, string) (platform.Object, error) {
+	p.clock.now = p.clock.now.Add(time.Second)
+	return platform.Object{Value: p.stored, Version: 1}, nil
+}
+
+// A claim is stored at once, and its claimer learns of it two seconds later. Others gave
+// it its time from when they read it, so that another claim may stand by now. Nothing
+// is promoted for it any more.
+func TestClaimLearnedLatePromotesNobody(t *testing.T) {
+	is := is.New(t)
+	clock := &immediateClock{now: time.Unix(1_000_000, 0)}
+	store := &slowPlatform{clock: clock}
+	settings := DefaultSettings()
+	settings.Attempt = 1500 * time.Millisecond
+	c := New(Config{Group: "g", View: ticketView{}, Platform: store, Clock: clock, Rand: rand.New(rand.NewPCG(1, 1)), Settings: settings})
+	monitor := newPrimaryMonitor(c)
+	sent := clock.now
+	won, err := monitor.putClaim(t.Context(), Record{Term: 2, Number: 1, Claim: "a"}, 0)
+	is.NoErr(err)
+	is.Equal(won.sentAt, sent)
+	a := &attempt{claimer: c, claim: won, term: 2, promoted: make(chan struct{})}
+	is.True(a.remaining() <= 0)
+	ctx, cancel := context.WithCancel(t.Context())
+	m := &memberAttempt{attempt: a, control: &controlRecorder{cancel: cancel}}
+	m.promote(ctx)
+	select {
+	case <-a.promoted:
+		t.Error("a member was promoted")
+	default:
+	}
+}
+
+// asked is a view that gives out tickets.
+type ticketView struct{ View }
+
+// Ask implements View.
+func (ticketView) Ask() group.Ticket { return group.Ticket{} }
+
+// orders is a member that must not be promoted.
+type controlRecorder struct {
+	member.Control
+	cancel context.CancelFunc
+}
+
+// Close implements member.Control.
+func (c *controlRecorder) Close() error {
+	c.cancel()
+	return nil
+}
--- a/internal/failover/memberattempt.go
+++ b/internal/failover/memberattempt.go
@@ -8,110 +8,110 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// memberAttempt is one member under an attempt, with one connection kept through it.
+// memberAttempt carries out an attempt at one member, over one connection where possible.
 type memberAttempt struct {
-	a       *attempt
+	attempt *attempt
 	address string
-	// avoid says that the member should not lead if another may.
+	// avoid is set if the member is promoted only when no other member is equally up to date.
 	avoid   bool
 	control member.Control
 }
 
-// call is one control call of the attempt's term.
-type call func(ctx context.Context, c member.Control) (member.Status, error)
+// controlCall is a control call of the attempt's term.
+type controlCall func(ctx context.Context, c member.Control) (member.Status, error)
 
-// tend fences the member, and then lets it lead or follow.
-func (w *memberAttempt) tend(ctx context.Context) {
-	defer w.disconnect()
-	s, err := w.persist(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
-		return c.EnterTerm(ctx, w.a.term)
+// run fences the member, then promotes it or attaches it to the new primary.
+func (m *memberAttempt) run(ctx context.Context) {
+	defer m.disconnect()
+	s, err := m.callWithRetry(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
+		return c.EnterTerm(ctx, m.attempt.term)
 	})
 	if err != nil {
 		return
 	}
-	w.a.fenced <- fencing{memberAttempt: w, status: s}
-	if !waitFor(ctx, w.a.chosen) {
+	m.attempt.fenced <- fencedMember{memberAttempt: m, status: s}
+	if !waitFor(ctx, m.attempt.targetChosen) {
 		return
 	}
-	if w.address == w.a.target {
-		w.lead(ctx)
-	} else if waitFor(ctx, w.a.led) {
-		w.follow(ctx)
+	if m.address == m.attempt.target {
+		m.promote(ctx)
+	} else if waitFor(ctx, m.attempt.promoted) {
+		m.followPrimary(ctx)
 	}
 }
 
-func (w *memberAttempt) lead(ctx context.Context) {
-	_, err := w.persist(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
-		// A process that was stopped may wake behind its time before its timers do.
-		if w.a.left() <= 0 {
-			return member.Status{}, errLate
+func (m *memberAttempt) promote(ctx context.Context) {
+	_, err := m.callWithRetry(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
+		// A process that was paused may resume after the attempt expired, before its timers fire.
+		if m.attempt.remaining() <= 0 {
+			return member.Status{}, errClaimExpired
 		}
-		return c.Promote(ctx, member.Promotion{Term: w.a.term, Claimer: w.a.claim.record.Claimer, Claim: w.a.claim.record.Number})
+		return c.Promote(ctx, member.Promotion{Term: m.attempt.term, Claimer: m.attempt.claim.record.Claimer, Claim: m.attempt.claim.record.Number})
 	})
 	if err == nil {
-		close(w.a.led)
+		close(m.attempt.promoted)
 	}
 }
 
-func (w *memberAttempt) follow(ctx context.Context) {
-	// A member that cannot follow now is left to the attacher.
-	_, _ = w.persist(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
-		return c.Follow(ctx, w.a.term, w.a.target)
+func (m *memberAttempt) followPrimary(ctx context.Context) {
+	// If this member cannot follow now, the attacher will attach it.
+	_, _ = m.callWithRetry(ctx, func(ctx context.Context, c member.Control) (member.Status, error) {
+		return c.Follow(ctx, m.attempt.term, m.attempt.target)
 	})
 }
 
-// persist calls until the member answers, the term has passed, or ctx ends. All
-// calls are idempotent within their term.
-func (w *memberAttempt) persist(ctx context.Context, f call) (member.Status, error) {
+// callWithRetry calls the member until it answers, the term is superseded, or ctx ends.
+// All calls are idempotent within their term.
+func (m *memberAttempt) callWithRetry(ctx context.Context, f controlCall) (member.Status, error) {
 	for tries := 0; ; tries++ {
-		s, err := w.try(ctx, f, callTimeout(w.a.c.Settings.Call, tries))
+		s, err := m.callOnce(ctx, f, callTimeout(m.attempt.claimer.Settings.Call, tries))
 		if err == nil {
 			return s, nil
 		}
 		if errors.Is(err, member.ErrTermPassed) {
-			w.a.end(errReplaced)
+			m.attempt.abort(errTermSuperseded)
 			return member.Status{}, err
 		}
-		w.disconnect()
-		w.a.c.pause(ctx, w.a.c.Settings.Retry, nil)
+		m.disconnect()
+		m.attempt.claimer.pause(ctx, m.attempt.claimer.Settings.RetryInterval, nil)
 		if ctx.Err() != nil {
 			return member.Status{}, ctx.Err()
 		}
 	}
 }
 
-// maxCallDoublings bounds how often the bound of a call doubles.
+// maxCallDoublings limits how often the timeout of a call doubles.
 const maxCallDoublings = 4
 
-// callTimeout is the bound of a call after a number of failed tries. It doubles,
-// for a member that is merely slow would else never be fenced.
-func callTimeout(least time.Duration, tries int) time.Duration {
-	return least << min(tries, maxCallDoublings)
+// callTimeout returns the timeout of a call after a number of failed tries. It doubles
+// with each one; otherwise a member that is merely slow would never be fenced.
+func callTimeout(initial time.Duration, tries int) time.Duration {
+	return initial << min(tries, maxCallDoublings)
 }
 
-func (w *memberAttempt) try(ctx context.Context, f call, bound time.Duration) (member.Status, error) {
-	c := w.a.c
-	ctx, cancel := context.WithTimeout(ctx, bound)
+func (m *memberAttempt) callOnce(ctx context.Context, f controlCall, timeout time.Duration) (member.Status, error) {
+	c := m.attempt.claimer
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if w.control == nil {
-		control, err := c.Dialer.DialControl(ctx, w.address)
+	if m.control == nil {
+		control, err := c.Dialer.DialControl(ctx, m.address)
 		if err != nil {
 			return member.Status{}, err
 		}
-		w.control = control
+		m.control = control
 	}
 	ticket := c.View.Ask()
-	s, err := f(ctx, w.control)
+	s, err := f(ctx, m.control)
 	if err == nil {
-		c.View.Observe(w.address, ticket, s)
+		c.View.Observe(m.address, ticket, s)
 	}
 	return s, err
 }
 
-func (w *memberAttempt) disconnect() {
-	if w.control != nil {
-		_ = w.control.Close()
-		w.control = nil
+func (m *memberAttempt) disconnect() {
+	if m.control != nil {
+		_ = m.control.Close()
+		m.control = nil
 	}
 }
 
--- a/internal/failover/metrics.go
+++ b/internal/failover/metrics.go
@@ -6,14 +6,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the measurements of all claimers of an instance.
+// Metrics holds the failover metrics shared by all claimers of an instance.
 type Metrics struct {
 	phases   *prometheus.HistogramVec
 	claims   *prometheus.CounterVec
 	attaches *prometheus.CounterVec
 }
 
-// Outcomes of a claim, as the outcome label tells them.
+// Values of the outcome label.
 const (
 	outcomeWon         = "won"
 	outcomeLost        = "lost"
@@ -24,7 +24,7 @@
 	outcomeDone        = "done"
 )
 
-// NewMetrics registers the measurements with reg; nil registers nowhere.
+// NewMetrics creates the metrics and registers them with reg, unless reg is nil.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		phases: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -47,7 +47,7 @@
 	return m
 }
 
-func (m *Metrics) observe(g Gap) {
+func (m *Metrics) observeGap(g Gap) {
 	for phase, d := range map[string]time.Duration{
 		"detect": g.Detect, "claim": g.Claim, "fence": g.Fence,
 		"promote": g.Promote, "learn": g.Learn, "total": g.Total(),
@@ -56,6 +56,6 @@
 	}
 }
 
-func (m *Metrics) claim(c Cause, outcome string) {
+func (m *Metrics) countClaim(c Cause, outcome string) {
 	m.claims.WithLabelValues(string(c), outcome).Inc()
 }
--- /dev/null
+++ b/internal/failover/monitor.go
@@ -0,0 +1,134 @@
+package failover
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/topazrock/topazrock/internal/group"
+)
+
+// idleInterval is the longest time between two checks of a healthy group. Changes
+// wake the monitor earlier; the interval covers what signals no change, such as
+// the first report of a member of a group that has no term yet.
+const idleInterval = time.Second
+
+// primaryMonitor claims a term when the primary is lost, stalled, leaving or missing.
+type primaryMonitor struct {
+	claimer  *Claimer
+	detector failureDetector
+	rival    rivalClaim
+	backoff  backoff
+	// holdUntil is the time before which no claim is made.
+	holdUntil time.Time
+}
+
+func newPrimaryMonitor(c *Claimer) *primaryMonitor {
+	return &primaryMonitor{
+		claimer:  c,
+		detector: failureDetector{settings: c.Settings},
+		backoff:  backoff{minDelay: c.Settings.MinBackoff, maxDelay: c.Settings.MaxBackoff, rand: c.Rand},
+	}
+}
+
+// run evaluates each change of the group until ctx ends.
+func (m *primaryMonitor) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		changed := m.claimer.View.Changes()
+		now, s := m.claimer.Clock.Now(), m.claimer.View.Snapshot()
+		a := m.detector.assess(now, s, m.claimer.rank(s))
+		due := a.due
+		if due.Before(m.holdUntil) {
+			due = m.holdUntil
+		}
+		switch {
+		case a.cause == CauseNone:
+			m.backoff.reset()
+			m.claimer.pause(ctx, idleInterval, changed)
+		case now.Before(due):
+			m.claimer.pause(ctx, due.Sub(now), changed)
+		default:
+			m.failOver(ctx, s, a)
+		}
+	}
+}
+
+// failOver queries the witnesses, claims the next term and runs the attempt.
+func (m *primaryMonitor) failOver(ctx context.Context, s *group.Snapshot, a assessment) {
+	c := m.claimer
+	c.callHook(StepSuspected)
+	if !a.cause.planned() && !m.lossConfirmed(ctx, s) {
+		c.Metrics.countClaim(a.cause, outcomeRefused)
+		m.holdFor(c.Settings.MinBackoff)
+		return
+	}
+	c.callHook(StepWitnessed)
+	decidedAt := c.Clock.Now()
+	won, err := m.claimTerm(ctx, s, a)
+	if err != nil {
+		m.handleClaimError(a, err)
+		return
+	}
+	c.log.Info("Term claimed.", "term", won.record.Term, "cause", a.cause, "before", s.Term, "primary", s.Primary,
+		"suspected_for", decidedAt.Sub(a.since).String(), "members", len(s.Members), "majority_of", s.Size)
+	c.Metrics.countClaim(a.cause, outcomeWon)
+	c.callHook(StepClaimed)
+	gap := Gap{Group: c.Group, Term: won.record.Term, Cause: a.cause,
+		Detect: decidedAt.Sub(a.since), Claim: c.Clock.Now().Sub(decidedAt)}
+	if err := newAttempt(c, won, s).run(ctx, &gap); err != nil {
+		c.log.Warn("Claimed term was left.", "term", won.record.Term, "error", err)
+		c.Metrics.countClaim(a.cause, outcomeAbandoned)
+		m.holdFor(m.backoff.nextDelay())
+		return
+	}
+	c.Metrics.countClaim(a.cause, outcomeDone)
+	m.backoff.reset()
+	m.reportGap(gap)
+	if a.cause.planned() && gap.Primary == s.Primary {
+		m.holdFor(c.Settings.SwitchCooldown)
+	}
+}
+
+// lossConfirmed reports whether the other failure domains agree that the primary is lost.
+func (m *primaryMonitor) lossConfirmed(ctx context.Context, s *group.Snapshot) bool {
+	ctx, cancel := context.WithTimeout(ctx, m.claimer.Settings.WitnessTimeout)
+	defer cancel()
+	reports := m.claimer.Witness.Query(ctx, WitnessRequest{Group: m.claimer.Group, Term: s.Term})
+	ok := majorityReportsLoss(m.claimer.Self.FailureDomain, reports)
+	if !ok {
+		m.claimer.log.Info("Others reach the primary.", "term", s.Term, "answers", len(reports))
+	}
+	return ok
+}
+
+// handleClaimError counts a failed claim and schedules the next try.
+func (m *primaryMonitor) handleClaimError(a assessment, err error) {
+	outcome := outcomeUnavailable
+	switch {
+	case errors.Is(err, ErrRivalClaim):
+		outcome = outcomeRival
+		m.holdUntil = m.rival.deadline
+	case errors.Is(err, ErrLostClaim):
+		outcome = outcomeLost
+		m.holdFor(m.claimer.Settings.MinBackoff)
+	case errors.Is(err, errRecovered):
+		outcome = outcomeRefused
+		m.holdFor(m.claimer.Settings.MinBackoff)
+	default:
+		m.claimer.log.Warn("Claim failed.", "error", err)
+		m.holdFor(m.backoff.nextDelay())
+	}
+	m.claimer.Metrics.countClaim(a.cause, outcome)
+}
+
+func (m *primaryMonitor) holdFor(d time.Duration) { m.holdUntil = m.claimer.Clock.Now().Add(d) }
+
+func (m *primaryMonitor) reportGap(gap Gap) {
+	m.claimer.Metrics.observeGap(gap)
+	m.claimer.log.Info("Primary replaced.", "term", gap.Term, "member", gap.Primary, "cause", gap.Cause,
+		"detect", gap.Detect.String(), "claim", gap.Claim.String(), "fence", gap.Fence.String(),
+		"promote", gap.Promote.String(), "learn", gap.Learn.String())
+	if m.claimer.OnFailover != nil {
+		m.claimer.OnFailover(gap)
+	}
+}
--- a/internal/failover/random_test.go
+++ b/internal/failover/random_test.go
@@ -11,8 +11,8 @@
 
 // schedules is how many random schedules of faults run, from which seed on.
 var (
-	schedules = flag.Uint64("schedules", 12, "random schedules of faults to run")
-	firstSeed = flag.Uint64("first-seed", 1, "seed of the first random schedule")
+	scheduleCount = flag.Uint64("schedules", 12, "random schedules of faults to run")
+	firstSeed     = flag.Uint64("first-seed", 1, "seed of the first random schedule")
 )
 
 // faultsPerSchedule is how many faults come and go in one schedule.
@@ -22,28 +22,28 @@
 // instances write. When all is healed, one member leads, everybody can write,
 // and nothing that was acknowledged is missing.
 func TestRandomFaultsLoseNothing(t *testing.T) {
-	for k := range *schedules {
+	for k := range *scheduleCount {
 		s := *firstSeed + k
-		inCluster(t, s, func(x *cluster) {
+		withCluster(t, s, func(x *cluster) {
 			r := rand.New(rand.NewPCG(s, 1))
 			var stops []func()
 			for _, i := range x.instances {
-				stops = append(stops, x.writer(i))
+				stops = append(stops, x.startWriter(i))
 			}
 			for range faultsPerSchedule {
-				heal := x.randomFault(r)
-				x.after(time.Duration(r.IntN(1500)) * time.Millisecond)
+				heal := x.injectRandomFault(r)
+				x.advance(time.Duration(r.IntN(1500)) * time.Millisecond)
 				// One fault in three stays until the end.
 				if r.IntN(3) > 0 {
 					heal()
 				}
-				x.after(time.Duration(r.IntN(800)) * time.Millisecond)
+				x.advance(time.Duration(r.IntN(800)) * time.Millisecond)
 			}
 			x.healAll()
 			for _, stop := range stops {
 				stop()
 			}
-			x.after(5 * time.Second)
+			x.advance(5 * time.Second)
 			term, leading := x.primaries()
 			if len(leading) != 1 {
 				x.t.Fatalf("seed %d: term %d, leading %v", s, term, leading)
@@ -58,15 +58,15 @@
 	}
 }
 
-// randomFault sets one fault and returns what ends it.
-func (x *cluster) randomFault(r *rand.Rand) func() {
+// injectRandomFault sets one fault and returns what ends it.
+func (x *cluster) injectRandomFault(r *rand.Rand) func() {
 	k := r.IntN(3)
 	host, ip := x.hosts[k], x.instances[k].ip
 	other := x.hosts[(k+1+r.IntN(2))%3]
 	switch r.IntN(9) {
 	case 0:
 		x.nodes[k].Kill()
-		return func() { x.revive(k) }
+		return func() { x.restartMember(k) }
 	case 1:
 		x.cutDomain(k, x.net.Cut)
 		return func() { x.cutDomain(k, x.net.Heal) }
@@ -90,12 +90,12 @@
 		return func() {}
 	default:
 		x.nodes[k].SetReplicationLag(time.Duration(r.IntN(1000)) * time.Millisecond)
-		return func() { x.nodes[k].SetReplicationLag(lag) }
+		return func() { x.nodes[k].SetReplicationLag(replicationLag) }
 	}
 }
 
 // revive starts a member that was killed, with what it had persisted.
-func (x *cluster) revive(k int) {
+func (x *cluster) restartMember(k int) {
 	x.nodes[k].Stop()
 	if err := x.nodes[k].Start(); err != nil {
 		x.t.Logf("member %d runs already: %v", k, err)
@@ -113,7 +113,7 @@
 		}
 	}
 	for k, n := range x.nodes {
-		n.SetReplicationLag(lag)
-		x.revive(k)
+		n.SetReplicationLag(replicationLag)
+		x.restartMember(k)
 	}
 }
--- a/internal/failover/record.go
+++ b/internal/failover/record.go
@@ -11,15 +11,15 @@
 type Record struct {
 	// Term is the highest term that was claimed.
 	Term logpos.Term `json:"term"`
-	// Number counts the group's claims; it rises with each.
+	// Number counts the group's claims; each claim increments it.
 	Number uint64 `json:"number,omitempty"`
-	// Claim names the claim uniquely, so that a claimer whose answer was lost
-	// can tell its own claim from a rival's.
+	// Claim is the unique ID of the claim. A claimer that lost the answer to its
+	// update compares it to tell its own claim from another instance's.
 	Claim string `json:"claim"`
-	// Claimer is the instance that claimed the term.
+	// Claimer is the ID of the instance that claimed the term.
 	Claimer string `json:"claimer"`
 	Cause   Cause  `json:"cause"`
-	// Primary is the member that was promoted; empty until then.
+	// Primary is the address of the promoted member; empty until then.
 	Primary string `json:"primary,omitempty"`
 }
 
--- a/internal/failover/settings.go
+++ b/internal/failover/settings.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// Settings are the times of failover. None of them bears on safety.
+// Settings holds the timing parameters of failover. None of them affects safety.
 type Settings struct {
 	// Detect is how long probes on new connections must have failed.
 	Detect time.Duration
-	// Calm is how long the term must not have risen, and its primary not have
-	// missed a probe, for past rises no longer to lengthen the detection.
-	Calm time.Duration
-	// MinFailures is how many of them must have failed. A process that was
-	// paused finds its probe in flight late, but only one; see Watcher.
+	// StablePeriod is how long the term must not have increased and its primary must not
+	// have missed a probe before past term increases stop extending the detection time.
+	StablePeriod time.Duration
+	// MinFailures is how many of these probes must have failed. In a process that was
+	// paused, the probe in flight times out, but only that one; see group.Watcher.
 	MinFailures int
-	// Stagger is the time between the starts of claimers of successive ranks.
+	// Stagger is the delay between the starts of claimers of successive ranks.
 	Stagger time.Duration
-	// Takeover is how long a claimed term may be without a primary before
-	// another claims the next one.
+	// Takeover is how long a claimed term may have no primary before another instance
+	// claims the next one.
 	Takeover time.Duration
-	// Attempt bounds the work on one claimed term.
+	// Attempt limits the duration of a failover, from when its claim was sent.
 	Attempt time.Duration
-	// Call bounds the first try of a call to a member, with its dial.
+	// Call is the timeout of the first try of a call to a member, dialing included.
 	Call time.Duration
-	// Retry is the time between two tries of a call to a member.
-	Retry time.Duration
-	// Witness bounds the round of questions to peers.
-	Witness time.Duration
-	// Platform bounds one call to the platform.
-	Platform time.Duration
-	// MinBackoff and MaxBackoff bound the time between tries while the platform
-	// does not answer or a claim did not go through.
+	// RetryInterval is the delay between two tries of a call to a member.
+	RetryInterval time.Duration
+	// WitnessTimeout limits the query of the witnesses.
+	WitnessTimeout time.Duration
+	// PlatformTimeout is the timeout of one call to the platform.
+	PlatformTimeout time.Duration
+	// MinBackoff and MaxBackoff bound the delay between tries while the platform
+	// does not answer or after a claim failed.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// Stall is how long replicas may not get on before a primary that answers
-	// is replaced. It must be above every lag that is normal.
-	Stall time.Duration
-	// Reattach is how long a member may be detached before the first-ranked
+	// StallTimeout is how long too few replicas may make progress before a primary that
+	// answers is replaced. It must exceed any normal replication lag.
+	StallTimeout time.Duration
+	// ReattachDelay is how long a member may be detached before the first-ranked
 	// instance attaches it.
-	Reattach time.Duration
-	// SwitchGrace is how long a planned switch-over waits for a majority of the
-	// members that stay before it settles for any majority.
+	ReattachDelay time.Duration
+	// SwitchGrace is how long a planned switch-over waits for a quorum without the
+	// members to avoid before it accepts any quorum.
 	SwitchGrace time.Duration
-	// SwitchPause is how long nothing is tried again after a switch-over that
-	// had to leave the lead where it was.
-	SwitchPause time.Duration
+	// SwitchCooldown is how long no claim is made after a switch-over that
+	// had to promote the same primary again.
+	SwitchCooldown time.Duration
 }
 
-// DefaultSettings suits one-way latencies of a few milliseconds and members that
-// take about 10 ms to open a connection.
+// DefaultSettings returns settings for one-way latencies of a few milliseconds and
+// members that take about 10 ms to open a connection.
 func DefaultSettings() Settings {
 	return Settings{
-		Detect:      150 * time.Millisecond,
-		Calm:        5 * time.Second,
-		MinFailures: 3,
-		Stagger:     100 * time.Millisecond,
-		Takeover:    400 * time.Millisecond,
-		Attempt:     5 * time.Second,
-		Call:        100 * time.Millisecond,
-		Retry:       20 * time.Millisecond,
-		Witness:     50 * time.Millisecond,
-		Platform:    500 * time.Millisecond,
-		MinBackoff:  50 * time.Millisecond,
-		MaxBackoff:  time.Second,
-		Stall:       5 * time.Second,
-		Reattach:    200 * time.Millisecond,
-		SwitchGrace: 500 * time.Millisecond,
-		SwitchPause: 10 * time.Second,
+		Detect:          150 * time.Millisecond,
+		StablePeriod:    5 * time.Second,
+		MinFailures:     3,
+		Stagger:         100 * time.Millisecond,
+		Takeover:        400 * time.Millisecond,
+		Attempt:         5 * time.Second,
+		Call:            100 * time.Millisecond,
+		RetryInterval:   20 * time.Millisecond,
+		WitnessTimeout:  50 * time.Millisecond,
+		PlatformTimeout: 500 * time.Millisecond,
+		MinBackoff:      50 * time.Millisecond,
+		MaxBackoff:      time.Second,
+		StallTimeout:    5 * time.Second,
+		ReattachDelay:   200 * time.Millisecond,
+		SwitchGrace:     500 * time.Millisecond,
+		SwitchCooldown:  10 * time.Second,
 	}
 }
--- a/internal/failover/slowness_test.go
+++ b/internal/failover/slowness_test.go
@@ -11,20 +11,20 @@
 // it, and it commits writes that no replica gets. Callers hear that the outcome
 // is unknown, and nothing answers late. A replica is promoted all the same.
 func TestPrimaryCutOffFromItsReplicasIsReplaced(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		defer x.writer(x.instances[1])()
-		x.after(100 * time.Millisecond)
+		defer x.startWriter(x.instances[1])()
+		x.advance(100 * time.Millisecond)
 		x.net.Cut(x.hosts[0], x.hosts[1])
 		x.net.Cut(x.hosts[0], x.hosts[2])
-		x.after(8 * time.Second)
+		x.advance(8 * time.Second)
 		is.True(x.wantPrimary(2) != 0)
 		x.wantWritable(x.instances[0], "k")
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		x.wantPrimary(2)
 		x.net.Heal(x.hosts[0], x.hosts[1])
 		x.net.Heal(x.hosts[0], x.hosts[2])
-		x.after(2 * time.Second)
+		x.advance(2 * time.Second)
 		x.wantAttached(0, 2)
 	})
 }
@@ -32,13 +32,13 @@
 // Both replicas are three seconds behind and the group is nearly idle, so that
 // their positions stand still for seconds. That is lag and no reason to move.
 func TestLagIsNotAStall(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		for k := 1; k < 3; k++ {
 			x.nodes[k].SetReplicationLag(3 * time.Second)
 		}
 		for k := range 10 {
 			_ = x.write(x.instances[k%3], "late-"+domain(k))
-			x.after(4 * time.Second)
+			x.advance(4 * time.Second)
 		}
 		x.wantPrimary(1)
 	})
@@ -47,15 +47,15 @@
 // The primary answers more and more slowly, as under growing load, until it
 // takes forty times as long as at first. It is there all the time: nobody is promoted.
 func TestGrowingLatencyPromotesNobody(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
-		defer x.writer(x.instances[1])()
+	withCluster(t, seed, func(x *cluster) {
+		defer x.startWriter(x.instances[1])()
 		for ms := 1; ms <= 40; ms++ {
 			for _, h := range x.allHosts() {
 				if h != x.hosts[0] {
 					x.net.SetLatency(x.hosts[0], h, time.Duration(ms)*time.Millisecond)
 				}
 			}
-			x.after(2 * time.Second)
+			x.advance(2 * time.Second)
 		}
 		x.wantPrimary(1)
 	})
@@ -64,32 +64,32 @@
 // From one moment to the next everything takes seventy times as long, more than
 // any probe was given. The members are slow and not gone: after a while they are
 // seen again and writes go through, and they do not depose each other.
-func TestSuddenSlownessDoesNotGoRound(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+func TestSuddenSlownessDoesNotRepeatFailovers(t *testing.T) {
+	withCluster(t, seed, func(x *cluster) {
 		all := x.allHosts()
 		for k, a := range all {
 			for _, b := range all[k+1:] {
 				x.net.SetLatency(a, b, 70*time.Millisecond)
 			}
 		}
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		term, leading := x.primaries()
 		if term > 3 || len(leading) != 1 {
 			x.t.Errorf("term %d, leading %v", term, leading)
 		}
-		x.after(2 * time.Minute)
+		x.advance(2 * time.Minute)
 		if again, _ := x.primaries(); again != term {
 			x.t.Errorf("term %d became %d", term, again)
 		}
 		for _, i := range x.instances {
-			for _, m := range i.w.Snapshot().Members {
+			for _, m := range i.watcher.Snapshot().Members {
 				if m.Failures > 0 || time.Since(m.SeenAt) > time.Second {
 					x.t.Errorf("%s does not see %s", i.ID, m.Address)
 				}
 			}
 		}
 		x.nodes[leading[0]].Kill()
-		x.after(30 * time.Second)
+		x.advance(30 * time.Second)
 		after, still := x.primaries()
 		if after == term || len(still) != 1 || still[0] == leading[0] {
 			x.t.Errorf("the primary was killed in term %d; term %d is led by %v", term, after, still)
@@ -101,17 +101,17 @@
 // once, it would hand the load and the stops on to the next, for ever. After a
 // few terms the group must stay with its primary.
 func TestStallingPrimariesDoNotDeposeEachOther(t *testing.T) {
-	inCluster(t, seed, func(x *cluster) {
+	withCluster(t, seed, func(x *cluster) {
 		for range 50 {
 			_, leading := x.primaries()
 			for _, k := range leading {
 				x.net.Freeze(x.hosts[k])
 			}
-			x.after(400 * time.Millisecond)
+			x.advance(400 * time.Millisecond)
 			for _, h := range x.hosts {
 				x.net.Thaw(h)
 			}
-			x.after(600 * time.Millisecond)
+			x.advance(600 * time.Millisecond)
 		}
 		if term, _ := x.primaries(); term > 4 {
 			x.t.Errorf("term %d after 50 stops", term)
--- a/internal/failover/step.go
+++ b/internal/failover/step.go
@@ -1,9 +1,9 @@
 package failover
 
-// Step names a point of a claim at which Config.Hook is called.
+// Step is a point during a failover at which Config.Hook is called.
 type Step string
 
-// Steps of a claim, in order.
+// Steps of a failover, in order.
 const (
 	StepSuspected Step = "suspected"
 	StepWitnessed Step = "witnessed"
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -7,22 +7,24 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// View is what a claimer knows of the group. *group.Watcher implements it.
+// View gives a claimer the current state of its group. *group.Watcher implements it.
 type View interface {
 	Snapshot() *group.Snapshot
-	// Changes is closed at the next change of term, primary or suspicion.
+	// Changes returns a channel that is closed at the next change of the term, the
+	// primary or its failure state.
 	Changes() <-chan struct{}
-	// Ask and Observe hand in the reports that calls of the claimer bring.
+	// Ask returns the ticket of a call that is about to be sent to a member. Observe
+	// submits the status that the call returned, with that ticket.
 	Ask() group.Ticket
 	Observe(address string, t group.Ticket, s member.Status)
-	// HeardAt returns when a member was last asked anything that it answered, a
-	// statement included, and Recheck has it asked for its report.
+	// HeardAt returns when the newest request that a member answered was sent,
+	// statements included. Recheck requests a new report from the member.
 	HeardAt(address string) time.Time
 	Recheck(address string)
 }
 
-// answering reports whether the member answered lately, by the last probe.
+// answering reports whether the member has reported and its last probe succeeded.
 func answering(m group.MemberView) bool { return m.Failing.IsZero() && !m.SeenAt.IsZero() }
 
-// reaches reports whether enough members answer for a promotion.
-func reaches(s *group.Snapshot) bool { return s.Enough(answering) }
+// quorumReachable reports whether enough members answer for a promotion.
+func quorumReachable(s *group.Snapshot) bool { return s.Enough(answering) }
--- a/internal/failover/witness.go
+++ b/internal/failover/witness.go
@@ -2,14 +2,14 @@
 
 import "context"
 
-// Witness asks instances in other failure domains about a group's primary.
+// Witness queries instances in other failure domains for the state of a group's primary.
 type Witness interface {
-	// Ask returns the answers that came before ctx ended, in any order.
-	Ask(ctx context.Context, q Question) []WitnessReport
+	// Query returns the reports that arrived before ctx ended, in any order.
+	Query(ctx context.Context, request WitnessRequest) []WitnessReport
 }
 
-// noWitness stands where there are no other instances.
+// noWitness is the Witness of an instance that has no peers.
 type noWitness struct{}
 
-// Ask implements Witness.
-func (noWitness) Ask(context.Context, Question) []WitnessReport { return nil }
+// Query implements Witness.
+func (noWitness) Query(context.Context, WitnessRequest) []WitnessReport { return nil }
--- a/internal/failover/witnessreport.go
+++ b/internal/failover/witnessreport.go
@@ -9,107 +9,108 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Opinion is what an instance holds of a group's primary.
-type Opinion string
+// PrimaryState is an instance's assessment of a group's primary.
+type PrimaryState string
 
-// Opinions.
+// States of a primary, as seen from one instance.
 const (
-	// OpinionAlive: the primary of the term asked about, or of a later one,
-	// answers here.
-	OpinionAlive Opinion = "alive"
-	// OpinionLost: it does not answer here, or none is known.
-	OpinionLost Opinion = "lost"
-	// OpinionNone: this instance cannot tell.
-	OpinionNone Opinion = "none"
+	// PrimaryAlive: the primary of the requested term, or of a later one, answers
+	// this instance.
+	PrimaryAlive PrimaryState = "alive"
+	// PrimaryLost: the primary does not answer this instance, or none is known.
+	PrimaryLost PrimaryState = "lost"
+	// PrimaryUnknown: this instance has too little current information.
+	PrimaryUnknown PrimaryState = "none"
 )
 
-// Question asks an instance about a group's primary.
-type Question struct {
+// WitnessRequest asks an instance for the state of a group's primary.
+type WitnessRequest struct {
 	Group string      `json:"group"`
 	Term  logpos.Term `json:"term"`
 }
 
-// WitnessReport is the answer of one instance.
+// WitnessReport is the answer of one instance to a WitnessRequest.
 type WitnessReport struct {
-	FailureDomain string  `json:"failure_domain"`
-	Opinion       Opinion `json:"opinion"`
+	FailureDomain string       `json:"failure_domain"`
+	Primary       PrimaryState `json:"opinion"`
 }
 
 const (
-	// witnessReportWait bounds the time that a witness takes to look for itself: a few
-	// round trips and reports, and less than a claimer waits for its witnesses.
-	witnessReportWait = 30 * time.Millisecond
-	// witnessReportPause is the time between two looks at what has come.
-	witnessReportPause = 3 * time.Millisecond
+	// recheckTimeout limits how long a witness waits for rechecked members: a few round
+	// trips and reports, and less than a claimer waits for its witnesses.
+	recheckTimeout = 30 * time.Millisecond
+	// recheckPollInterval is the interval at which a witness checks for new answers.
+	recheckPollInterval = 3 * time.Millisecond
 )
 
-// witnessOpinion answers a question from what this instance sees, and has members asked where
-// that is too old to tell. Where answers to statements stand for reports, and in a
-// group that has little to do, nothing may have come from the primary for seconds: a
-// claimer whose own link was cut then heard of nobody who reached it, and replaced a
-// primary that served everybody else.
-func witnessOpinion(ctx context.Context, k clock.Clock, v View, q Question, detect time.Duration) Opinion {
-	asked := k.Now()
+// observePrimary determines the state of the primary from the view, and rechecks the
+// members if their last answers are too old. The recheck is necessary where answers to
+// statements replace reports and in groups with little traffic: the primary may not have
+// answered anything for seconds. Without it, a claimer whose own link was cut would find
+// no witness that reaches the primary, and would replace a primary that serves every
+// other instance.
+func observePrimary(ctx context.Context, clk clock.Clock, v View, request WitnessRequest, detect time.Duration) PrimaryState {
+	started := clk.Now()
 	rechecked := false
 	for {
 		s := v.Snapshot()
-		o := opinionOf(k.Now(), s, v.HeardAt, q, detect)
-		if o != OpinionNone || s.Term < q.Term || s.Primary == "" {
-			return o
+		state := primaryStateFrom(clk.Now(), s, v.HeardAt, request, detect)
+		if state != PrimaryUnknown || s.Term < request.Term || s.Primary == "" {
+			return state
 		}
 		if !rechecked {
 			rechecked = true
-			recheck(v, s)
+			recheckMembers(v, s)
 		}
-		if k.Now().Sub(asked) >= witnessReportWait || clock.Sleep(ctx, k, witnessReportPause) != nil {
-			return OpinionNone
+		if clk.Now().Sub(started) >= recheckTimeout || clock.Sleep(ctx, clk, recheckPollInterval) != nil {
+			return PrimaryUnknown
 		}
 	}
 }
 
-// recheck has all members asked for their reports.
-func recheck(v View, s *group.Snapshot) {
+// recheckMembers requests a new report from all members.
+func recheckMembers(v View, s *group.Snapshot) {
 	for _, m := range s.Members {
 		v.Recheck(m.Address)
 	}
 }
 
-// opinionOf answers a question from a snapshot and from when members were last heard.
-// An instance that has not seen the term cannot tell, and neither can one that has
-// heard nothing for longer than the detection time and had no failed probe yet. One
-// that hears the primary and not enough members to confirm a write by cannot either:
-// it may be cut off with the primary from all the others.
-func opinionOf(now time.Time, s *group.Snapshot, heardAt func(address string) time.Time, q Question, detect time.Duration) Opinion {
-	if s.Term < q.Term || (s.Term == 0 && s.Primary == "") {
-		return OpinionNone
+// primaryStateFrom determines the state of the primary from a snapshot and the times of
+// the members' last answers. The state is unknown if this instance has not seen the term,
+// or if it has heard nothing for longer than the detection time without a failed probe. It
+// is also unknown if the primary answers but too few members for a quorum do: this instance
+// may be cut off, together with the primary, from all other members.
+func primaryStateFrom(now time.Time, s *group.Snapshot, heardAt func(address string) time.Time, request WitnessRequest, detect time.Duration) PrimaryState {
+	if s.Term < request.Term || (s.Term == 0 && s.Primary == "") {
+		return PrimaryUnknown
 	}
 	m, known := s.Find(s.Primary)
 	if !known || m.Failures > 0 {
-		return OpinionLost
+		return PrimaryLost
 	}
 	heard := func(m group.MemberView) bool {
 		return m.Failing.IsZero() && now.Sub(heardAt(m.Address)) <= detect
 	}
 	if heard(m) && s.Enough(heard) {
-		return OpinionAlive
+		return PrimaryAlive
 	}
-	return OpinionNone
+	return PrimaryUnknown
 }
 
-// agreed reports whether more failure domains call the primary lost than alive.
-// The own domain counts as lost. Of several answers of one domain an alive one
-// stands: the primary is reached from there.
-func agreed(own string, answers []WitnessReport) bool {
-	domains := map[string]Opinion{own: OpinionLost}
-	for _, a := range answers {
-		if a.Opinion == OpinionNone || domains[a.FailureDomain] == OpinionAlive {
+// majorityReportsLoss reports whether more failure domains report the primary lost than
+// alive. This instance's own domain starts as lost. If instances of a domain disagree,
+// the domain counts as alive, because the primary can be reached from it.
+func majorityReportsLoss(ownDomain string, reports []WitnessReport) bool {
+	domains := map[string]PrimaryState{ownDomain: PrimaryLost}
+	for _, report := range reports {
+		if report.Primary == PrimaryUnknown || domains[report.FailureDomain] == PrimaryAlive {
 			continue
 		}
-		domains[a.FailureDomain] = a.Opinion
+		domains[report.FailureDomain] = report.Primary
 	}
 	lost, alive := 0, 0
-	for _, o := range domains {
-		if o == OpinionAlive {
+	for _, state := range domains {
+		if state == PrimaryAlive {
 			alive++
 		} else {
 			lost++
--- a/internal/failover/witnessreport_test.go
+++ b/internal/failover/witnessreport_test.go
@@ -16,9 +16,9 @@
 )
 
 func TestAgreementCountsDomainsAndNotInstances(t *testing.T) {
-	lost := func(d string) WitnessReport { return WitnessReport{d, OpinionLost} }
-	alive := func(d string) WitnessReport { return WitnessReport{d, OpinionAlive} }
-	none := func(d string) WitnessReport { return WitnessReport{d, OpinionNone} }
+	lost := func(d string) WitnessReport { return WitnessReport{d, PrimaryLost} }
+	alive := func(d string) WitnessReport { return WitnessReport{d, PrimaryAlive} }
+	none := func(d string) WitnessReport { return WitnessReport{d, PrimaryUnknown} }
 	for _, c := range []struct {
 		name    string
 		answers []WitnessReport
@@ -33,13 +33,13 @@
 		{"many of one domain", []WitnessReport{lost("b"), alive("b"), lost("b")}, false},
 		{"own domain reaches it", []WitnessReport{alive("a"), lost("b")}, false},
 	} {
-		if got := agreed("a", c.answers); got != c.want {
+		if got := majorityReportsLoss("a", c.answers); got != c.want {
 			t.Errorf("%s: got %v", c.name, got)
 		}
 	}
 }
 
-func TestOpinionNeedsTheTermAndAFreshReport(t *testing.T) {
+func TestPrimaryStateNeedsTermAndFreshReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	detect := 150 * time.Millisecond
@@ -53,60 +53,62 @@
 			return m.SeenAt
 		}
 	}
-	opinion := func(s *group.Snapshot, q Question) Opinion { return opinionOf(now, s, heardIn(s), q, detect) }
+	state := func(s *group.Snapshot, q WitnessRequest) PrimaryState {
+		return primaryStateFrom(now, s, heardIn(s), q, detect)
+	}
 	fresh := snapshot(group.MemberView{SeenAt: now.Add(-detect)})
-	is.Equal(opinion(fresh, Question{Term: 2}), OpinionAlive)
-	is.Equal(opinion(fresh, Question{Term: 1}), OpinionAlive)
-	is.Equal(opinion(fresh, Question{Term: 3}), OpinionNone)
-	is.Equal(opinion(snapshot(group.MemberView{SeenAt: now.Add(-time.Second)}), Question{Term: 2}), OpinionNone)
-	is.Equal(opinion(snapshot(group.MemberView{SeenAt: now, Failures: 1}), Question{Term: 2}), OpinionLost)
-	is.Equal(opinion(&group.Snapshot{Term: 2}, Question{Term: 2}), OpinionLost)
-	is.Equal(opinion(&group.Snapshot{}, Question{}), OpinionNone)
+	is.Equal(state(fresh, WitnessRequest{Term: 2}), PrimaryAlive)
+	is.Equal(state(fresh, WitnessRequest{Term: 1}), PrimaryAlive)
+	is.Equal(state(fresh, WitnessRequest{Term: 3}), PrimaryUnknown)
+	is.Equal(state(snapshot(group.MemberView{SeenAt: now.Add(-time.Second)}), WitnessRequest{Term: 2}), PrimaryUnknown)
+	is.Equal(state(snapshot(group.MemberView{SeenAt: now, Failures: 1}), WitnessRequest{Term: 2}), PrimaryLost)
+	is.Equal(state(&group.Snapshot{Term: 2}, WitnessRequest{Term: 2}), PrimaryLost)
+	is.Equal(state(&group.Snapshot{}, WitnessRequest{}), PrimaryUnknown)
 }
 
 // A primary answers this witness, and of its two replicas none does: both may be cut off
 // from the primary together with everybody else. Its word must not keep the others from
 // replacing the primary. With one replica heard it does.
-func TestWitnessWithoutAMajorityCannotTell(t *testing.T) {
+func TestWitnessWithoutMajorityReportsUnknown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	detect := 150 * time.Millisecond
 	s := &group.Snapshot{Term: 2, Primary: "p", Size: 3, Members: []group.MemberView{{Address: "p"}, {Address: "r"}, {Address: "q"}}}
 	heard := map[string]time.Time{"p": now}
 	heardAt := func(address string) time.Time { return heard[address] }
-	is.Equal(opinionOf(now, s, heardAt, Question{Term: 2}, detect), OpinionNone)
+	is.Equal(primaryStateFrom(now, s, heardAt, WitnessRequest{Term: 2}, detect), PrimaryUnknown)
 	heard["r"] = now.Add(-detect)
-	is.Equal(opinionOf(now, s, heardAt, Question{Term: 2}, detect), OpinionAlive)
+	is.Equal(primaryStateFrom(now, s, heardAt, WitnessRequest{Term: 2}, detect), PrimaryAlive)
 }
 
-// quietView is of a group that nobody has asked anything for minutes; its members answer
+// idleView is of a group that nobody has asked anything for minutes; its members answer
 // a question after some time, or never.
-type quietView struct {
+type idleView struct {
 	View
-	snapshot group.Snapshot
-	after    time.Duration
+	snapshot    group.Snapshot
+	answerDelay time.Duration
 
 	mu    sync.Mutex
 	heard map[string]time.Time
 }
 
 // Snapshot implements View.
-func (q *quietView) Snapshot() *group.Snapshot { return &q.snapshot }
+func (v *idleView) Snapshot() *group.Snapshot { return &v.snapshot }
 
 // HeardAt implements View.
-func (q *quietView) HeardAt(address string) time.Time {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	return q.heard[address]
+func (v *idleView) HeardAt(address string) time.Time {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.heard[address]
 }
 
 // Recheck implements View.
-func (q *quietView) Recheck(address string) {
+func (v *idleView) Recheck(address string) {
 	asked := time.Now()
-	time.AfterFunc(q.after, func() {
-		q.mu.Lock()
-		defer q.mu.Unlock()
-		q.heard[address] = asked
+	time.AfterFunc(v.answerDelay, func() {
+		v.mu.Lock()
+		defer v.mu.Unlock()
+		v.heard[address] = asked
 	})
 }
 
@@ -114,34 +116,34 @@
 // the others. They have heard nothing of the primary for long. They look, and say within
 // the time that the claimer waits that it is well; of one that does not answer they
 // cannot tell.
-func TestWitnessLooksForItself(t *testing.T) {
+func TestWitnessRechecksStaleMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		for after, want := range map[time.Duration]Opinion{5 * time.Millisecond: OpinionAlive, time.Hour: OpinionNone} {
-			v := &quietView{after: after, heard: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
+		for after, want := range map[time.Duration]PrimaryState{5 * time.Millisecond: PrimaryAlive, time.Hour: PrimaryUnknown} {
+			v := &idleView{answerDelay: after, heard: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
 				Members: []group.MemberView{{Address: "p"}, {Address: "r"}, {Address: "q"}}}}
 			began := time.Now()
-			is.Equal(witnessOpinion(t.Context(), clock.System{}, v, Question{Term: 2}, 150*time.Millisecond), want)
-			is.True(time.Since(began) < DefaultSettings().Witness)
+			is.Equal(observePrimary(t.Context(), clock.System{}, v, WitnessRequest{Term: 2}, 150*time.Millisecond), want)
+			is.True(time.Since(began) < DefaultSettings().WitnessTimeout)
 		}
 	})
 }
 
 // stuck is a caller whose calls outlive their context.
-type stuck struct{ release chan struct{} }
+type hangingCaller struct{ release chan struct{} }
 
 // Call implements peer.Caller.
-func (s stuck) Call(context.Context, string, string, any, any) error {
-	<-s.release
+func (c hangingCaller) Call(context.Context, string, string, any, any) error {
+	<-c.release
 	return context.Canceled
 }
 
 // A call to a peer that is cut off hangs beyond its bound. The claimer must go on
 // at the bound, without that peer's opinion.
-func TestWitnessIsBoundedWhateverACallDoes(t *testing.T) {
+func TestWitnessQueryReturnsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		caller := stuck{release: make(chan struct{})}
+		caller := hangingCaller{release: make(chan struct{})}
 		defer close(caller.release)
 		self := platform.Instance{ID: "i1", FailureDomain: "a"}
 		list := func() []platform.Instance { return []platform.Instance{self, {ID: "i2", FailureDomain: "b"}} }
@@ -149,12 +151,12 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		start := time.Now()
-		is.Equal(len(w.Ask(ctx, Question{Group: "g", Term: 1})), 0)
+		is.Equal(len(w.Query(ctx, WitnessRequest{Group: "g", Term: 1})), 0)
 		is.Equal(time.Since(start), 50*time.Millisecond)
 	})
 }
 
-func TestRankPutsTroubledAndLeavingLast(t *testing.T) {
+func TestRankPutsFailingDomainAndLeavingLast(t *testing.T) {
 	is := is.New(t)
 	list := []platform.Instance{
 		{ID: "i1", FailureDomain: "a"}, {ID: "i2", FailureDomain: "b"}, {ID: "i3", FailureDomain: "c", Leaving: true}, {ID: "i4", FailureDomain: "b"},
--- a/internal/failover/writes_test.go
+++ b/internal/failover/writes_test.go
@@ -18,15 +18,15 @@
 var (
 	// errNoPrimary says that an instance knows no primary to write to.
 	errNoPrimary = errors.New("no primary known")
-	// errReplaced says that the member did not lead in the write's term any more.
-	errReplaced = errors.New("primary replaced")
+	// errTermSuperseded says that the member did not lead in the write's term any more.
+	errTermSuperseded = errors.New("primary replaced")
 )
 
 // write runs one write through an instance as execution does: at the primary
 // that the instance knows, with the member's status behind it, then confirmed.
 // No error means that it was acknowledged.
 func (x *cluster) write(i *instance, key string) error {
-	s := i.w.Snapshot()
+	s := i.watcher.Snapshot()
 	if s.Primary == "" {
 		return errNoPrimary
 	}
@@ -37,7 +37,7 @@
 func (x *cluster) writeAt(i *instance, term logpos.Term, address, key string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	status, err := x.commit(ctx, i, address, key)
+	status, err := x.commitRow(ctx, i, address, key)
 	if err != nil {
 		return err
 	}
@@ -45,10 +45,10 @@
 	// attached to another log, or even promoted again in between. Only a report
 	// of the term in which the write was sent tells where the write is.
 	if status.Role != member.RolePrimary || status.Entered != term {
-		return errReplaced
+		return errTermSuperseded
 	}
 	mark := logpos.Mark{Term: term, Position: status.Last.Position}
-	if err := i.w.Confirm(ctx, mark); err != nil {
+	if err := i.watcher.Confirm(ctx, mark); err != nil {
 		return err
 	}
 	x.mu.Lock()
@@ -58,7 +58,7 @@
 }
 
 // commit writes a row at a member and returns the report that comes behind it.
-func (x *cluster) commit(ctx context.Context, i *instance, address, key string) (member.Status, error) {
+func (x *cluster) commitRow(ctx context.Context, i *instance, address, key string) (member.Status, error) {
 	cfg, err := pgconn.ParseConfig("host=h port=1 user=u password=p dbname=d sslmode=disable")
 	if err != nil {
 		return member.Status{}, err
@@ -89,7 +89,7 @@
 }
 
 // writer writes through an instance until the returned function is called.
-func (x *cluster) writer(i *instance) func() {
+func (x *cluster) startWriter(i *instance) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
