--- a/internal/failover/claim_model_test.go
+++ b/internal/failover/claim_model_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// hurried is a clock whose timers fire at once; the model moves Now by hand.
+// immediateClock is a clock whose timers fire immediately; the model advances Now.
 type immediateClock struct{ now time.Time }
 
 // Now implements clock.Clock.
@@ -30,7 +30,7 @@
 	return time.AfterFunc(0, f)
 }
 
-// fixedView is a view that the model replaces.
+// fixedView is a View whose snapshot the model replaces.
 type fixedView struct {
 	View
 	snapshot *group.Snapshot
@@ -39,7 +39,7 @@
 // Snapshot implements View.
 func (v *fixedView) Snapshot() *group.Snapshot { return v.snapshot }
 
-// platformCall is one call of a claimer to the platform that the model has not answered.
+// platformCall is a claimer's call to the platform that the model has not answered yet.
 type platformCall struct {
 	put       []byte // nil for a Get
 	ifVersion int64
@@ -51,7 +51,8 @@
 	err    error
 }
 
-// modelClaimer is a claimer, its calls, and the claim it has in progress.
+// modelClaimer is a claimer with its calls and the claim in progress. It implements
+// platform.API for its own monitor.
 type modelClaimer struct {
 	platform.API
 	monitor *primaryMonitor
@@ -84,15 +85,15 @@
 	return a.object, a.err
 }
 
-// claimModel is the group's object, its claimers, and the puts that are still on
-// their way although their claimers gave up on them.
+// claimModel holds the group's object, its claimers, and the puts that are still in
+// transit although their claimers received ErrOutcomeUnknown.
 type claimModel struct {
 	clock    *immediateClock
 	object   platform.Object
 	claimers []*modelClaimer
 	delayed  []*platformCall
-	// granted is which claim the object gave each term to, and won which claim
-	// a claimer believes to have won it by.
+	// granted holds the claim that the platform granted each term to, and won the claim
+	// that a claimer reported as successful.
 	granted map[logpos.Term]string
 	won     map[logpos.Term]string
 	highest logpos.Term
@@ -117,7 +118,7 @@
 	return m
 }
 
-// lostPrimary is a group of three whose primary fails in the term.
+// lostPrimary returns the snapshot of a group of three whose primary has failed in the term.
 func lostPrimary(term logpos.Term) *group.Snapshot {
 	seen := time.Unix(999, 0)
 	return &group.Snapshot{Group: "g", Term: term, Primary: "p", Members: []group.MemberView{
@@ -125,7 +126,7 @@
 	}}
 }
 
-// start begins a claim at an idle claimer.
+// startClaim starts a claim at an idle claimer.
 func (m *claimModel) startClaim(t *rapid.T) {
 	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending == nil })
 	s := c.view.snapshot
@@ -136,7 +137,7 @@
 	m.awaitNextCall(t, c)
 }
 
-// advance waits for the claimer's next call or the end of its claim.
+// awaitNextCall waits for the claimer's next call or the end of its claim.
 func (m *claimModel) awaitNextCall(t *rapid.T, c *modelClaimer) {
 	select {
 	case c.pending = <-c.calls:
@@ -163,7 +164,7 @@
 	m.won[term] = id
 }
 
-// answer ends a pending call in one of the ways that a platform can.
+// answerCall completes a pending call with one of the possible outcomes.
 func (m *claimModel) answerCall(t *rapid.T) {
 	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending != nil })
 	p := c.pending
@@ -174,9 +175,9 @@
 	case fault == 1 && p.put != nil: // takes effect, and the answer is lost
 		_, _ = m.applyCall(t, p)
 		a.err = platform.ErrOutcomeUnknown
-	case fault == 2 && p.put != nil: // lost on the way
+	case fault == 2 && p.put != nil: // the request is lost
 		a.err = platform.ErrOutcomeUnknown
-	case fault == 3 && p.put != nil: // takes effect later, if it still can
+	case fault == 3 && p.put != nil: // takes effect later, unless the version has changed
 		m.delayed = append(m.delayed, p)
 		a.err = platform.ErrOutcomeUnknown
 	default:
@@ -186,7 +187,7 @@
 	m.awaitNextCall(t, c)
 }
 
-// arrive lets a delayed put reach the platform.
+// deliverDelayedPut applies one of the delayed puts.
 func (m *claimModel) deliverDelayedPut(t *rapid.T) {
 	if len(m.delayed) == 0 {
 		t.Skip("none is delayed")
@@ -197,7 +198,7 @@
 	_, _ = m.applyCall(t, p)
 }
 
-// apply does what the platform promises.
+// applyCall applies a call with the semantics that the platform guarantees.
 func (m *claimModel) applyCall(t *rapid.T, p *platformCall) (platform.Object, error) {
 	switch {
 	case p.put == nil && m.object.Version == 0:
@@ -216,12 +217,12 @@
 	return m.object, nil
 }
 
-// advanceClock lets rival claims run out.
+// advanceClock advances the time, so that the claims of others can expire.
 func (m *claimModel) advanceClock(t *rapid.T) {
 	m.clock.now = m.clock.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// learn shows an idle claimer the highest term that was claimed.
+// refreshView updates an idle claimer's view to the highest term that was claimed.
 func (m *claimModel) refreshView(t *rapid.T) {
 	c := m.drawClaimer(t, func(c *modelClaimer) bool { return c.pending == nil })
 	c.view.snapshot = lostPrimary(max(m.highest, 1))
@@ -240,7 +241,7 @@
 	return rapid.SampledFrom(candidates).Draw(t, "claimer")
 }
 
-// drain answers what is pending so that no goroutine is left.
+// drainCalls answers the pending calls so that no goroutine leaks.
 func (m *claimModel) drainCalls(t *rapid.T) {
 	for _, c := range m.claimers {
 		for c.pending != nil {
@@ -252,17 +253,17 @@
 	}
 }
 
-// init fixes the seed, so that every run has the same verdict; the command line
-// can set another.
+// init sets a fixed seed, so that every run has the same result; the command line
+// can override it.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// Claimers claim terms at a platform that fails, loses answers and applies
-// updates late. However the calls interleave, a term is won by one claim at
-// most, it is the one that the platform holds, and terms only rise.
+// Claimers claim terms on a platform that fails, loses answers and applies
+// updates late. In any interleaving of the calls, a term is won by at most one
+// claim, which is the one that the platform holds, and terms only increase.
 func TestClaimModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClaimModel()
--- a/internal/failover/claim_test.go
+++ b/internal/failover/claim_test.go
@@ -12,13 +12,13 @@
 	store "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// steps are the points of a claim at which a claimer can die or freeze.
+// steps lists the points of a failover at which a claimer can die or freeze.
 var steps = []failover.Step{
 	failover.StepSuspected, failover.StepWitnessed, failover.StepClaimed, failover.StepFenced,
 	failover.StepChosen, failover.StepPromoted, failover.StepRecorded, failover.StepLearned,
 }
 
-// onFirstStep calls f with the first instance that comes to the step, once.
+// onFirstStep calls f once, with the first instance that reaches the step.
 func (x *cluster) onFirstStep(step failover.Step, f func(i *instance)) {
 	reached := false
 	for _, i := range x.instances {
@@ -34,7 +34,7 @@
 	}
 }
 
-// survivor returns an instance other than the one given.
+// survivor returns an instance other than dead.
 func (x *cluster) survivor(dead *instance) *instance {
 	if x.instances[1] == dead {
 		return x.instances[2]
@@ -43,8 +43,8 @@
 }
 
 // The primary is killed, and the instance that claims the next term dies at one
-// step of it. Callers see a longer gap; another instance finishes or claims the
-// term after that, and exactly one member leads.
+// step of the failover. Callers see a longer gap. Another instance finishes the
+// failover or claims the following term, and there is exactly one primary.
 func TestClaimerDiesAtEachStep(t *testing.T) {
 	for _, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// The same, but the claimer stops at the step and goes on after five seconds,
-// when another has claimed the next term. What it then does must move nothing.
+// The same, but the claimer freezes at the step and resumes after five seconds, when
+// another instance has claimed the next term. What it does then must change nothing.
 func TestClaimerFreezesAtEachStepAndThaws(t *testing.T) {
 	for _, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
@@ -93,9 +93,9 @@
 				x.net.Thaw(frozen.ip)
 				close(thaw)
 				x.advance(5 * time.Second)
-				after, still := x.primaries()
-				if after != term || len(still) != 1 || still[0] != leading[0] {
-					x.t.Errorf("term %d led by %v became %d led by %v", term, leading, after, still)
+				termAfter, leadingAfter := x.primaries()
+				if termAfter != term || len(leadingAfter) != 1 || leadingAfter[0] != leading[0] {
+					x.t.Errorf("term %d led by %v became %d led by %v", term, leading, termAfter, leadingAfter)
 				}
 				x.wantWritable(frozen, "thawed")
 			})
@@ -103,8 +103,8 @@
 	}
 }
 
-// The platform stores the claim and its answer is lost. The claimer must find
-// its own claim and go on in the same term, and not take it for a rival's.
+// The platform stores the claim and its answer is lost. The claimer must recognize
+// its own claim and continue in the same term instead of treating it as a rival's.
 func TestClaimWithLostAnswerIsResolved(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -118,8 +118,8 @@
 	})
 }
 
-// All three instances claim at the same moment: each is stopped before its
-// claim until the others are there. One gets the term; the others must leave it.
+// All three instances claim at the same time: each is blocked before its claim
+// until the others reach it too. One is granted the term; the others must give up.
 func TestRacingClaimersGetOneTerm(t *testing.T) {
 	for s := range uint64(8) {
 		withCluster(t, s, func(x *cluster) {
@@ -150,9 +150,9 @@
 	}
 }
 
-// The platform is down for a minute while the primary is well: writes go on. It
-// is down when the primary is lost: writes are refused until it answers again,
-// and then the promotion follows.
+// The platform is down for a minute while the primary is healthy: writes continue.
+// The primary is lost while the platform is down: writes are refused until the
+// platform answers again, and then a member is promoted.
 func TestPlatformOutage(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -165,7 +165,7 @@
 		x.advance(30 * time.Second)
 		term, leading := x.primaries()
 		is.Equal(int(term), 1)
-		is.Equal(len(leading), 1) // the dead one's last state
+		is.Equal(len(leading), 1) // the last state of the killed primary
 		is.True(x.write(x.instances[1], "refused") != nil)
 		x.store.SetFaults(store.Faults{Delay: platformDelay})
 		x.advance(2 * time.Second)
@@ -174,8 +174,8 @@
 	})
 }
 
-// The platform is slow when the primary is lost, slower than one call may take:
-// answers come after the claimer gave up, and take effect nevertheless.
+// The platform is slow when the primary is lost, slower than the timeout of a call:
+// answers arrive after the claimer gave up, but the updates still take effect.
 func TestPlatformSlowerThanItsBound(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		x.store.SetFaults(store.Faults{Delay: 700 * time.Millisecond})
@@ -191,8 +191,8 @@
 	})
 }
 
-// The group's object cannot be read. Nobody may guess a term; the failover
-// waits until an operator has put it right.
+// The group's object cannot be decoded. No instance may guess a term; the failover
+// waits until an operator has repaired the object.
 func TestMalformedObjectStopsClaims(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -10,9 +10,9 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Primaries are lost one after the other. One that falls silent right behind a
-// change is waited for longer; one that is lost out of a calm, or whose machine
-// refuses connections, is replaced as fast as the first.
+// Primaries are lost in succession. The detection time grows for one that stops answering
+// shortly after a change of primary. It does not for one that is lost after a stable
+// period or whose machine refuses connections.
 func TestLossAfterStablePeriodUsesBaseDetectionTime(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
@@ -37,8 +37,8 @@
 	is.Equal(detection(3, after), settings.Detect)
 }
 
-// lostSnapshot is a group of three whose primary fails since a moment, or not
-// at all when it is zero.
+// lostSnapshot returns the snapshot of a group of three whose primary has been failing
+// since the given time, or is healthy if that is zero.
 func lostSnapshot(term logpos.Term, failing, now time.Time) *group.Snapshot {
 	primary := group.MemberView{Address: "a", SeenAt: now, Failing: failing}
 	if !failing.IsZero() {
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -21,9 +21,9 @@
 	})
 }
 
-// The primary's process is killed while three instances write. Callers see
-// errors for the gap, then writes go on at a replica; none of those that were
-// acknowledged may be missing there. The old primary comes back and follows.
+// The primary's process is killed while three instances write. Callers see errors
+// during the gap, then writes continue at a replica, which must have every
+// acknowledged write. The old primary restarts and follows.
 func TestKilledPrimaryIsReplaced(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -48,9 +48,9 @@
 	})
 }
 
-// The primary's failure domain is cut off both ways. The primary there still
-// believes that it leads and takes writes, and the instance there sends them
-// and gets answers. It must acknowledge none that the other side does not have.
+// The primary's failure domain is cut off in both directions. The primary there still
+// considers itself primary and accepts writes, and the instance there sends writes and
+// gets answers. No write may be acknowledged that the other side does not have.
 func TestCutOffDomainIsReplaced(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -74,8 +74,8 @@
 	})
 }
 
-// What the primary sends is lost, and what is sent to it arrives: it commits
-// writes and hears commands, but nobody hears it.
+// Everything that the primary sends is lost, but it still receives: it commits
+// writes and gets commands, but nobody gets its answers.
 func TestCutOneWayIsReplaced(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -92,9 +92,9 @@
 	})
 }
 
-// The primary's process stops and goes on ten seconds later, with a write of
-// before the stop still in its sockets. That write commits in the old term when
-// it thaws; it must never be acknowledged.
+// The primary's process freezes and resumes ten seconds later, with a write from
+// before the freeze still in its sockets. After the thaw that write commits in the
+// old term; it must never be acknowledged.
 func TestFrozenPrimaryAcknowledgesNothingAfterThaw(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -112,8 +112,8 @@
 	})
 }
 
-// One link fails, that between one instance and the primary. Two domains see the
-// primary and one does not: nothing may move.
+// The link between one instance and the primary fails. Two domains reach the
+// primary and one does not: there must be no failover.
 func TestOneCutLinkCausesNoFailover(t *testing.T) {
 	for k := 1; k < 3; k++ {
 		withCluster(t, seed, func(x *cluster) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// The same after a failover: the cut instance never hears from the new primary
-// itself, and must not take its term for one without a primary.
+// The same after a failover: the cut-off instance never hears from the new primary
+// itself, and must not conclude that the term has no primary.
 func TestOneCutLinkToANewPrimaryCausesNoFailover(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		x.nodes[0].Kill()
@@ -135,16 +135,15 @@
 		x.advance(5 * time.Second)
 		term, _ := x.primaries()
 		x.advance(30 * time.Second)
-		again, leading := x.primaries()
-		if again != term || len(leading) != 1 {
-			x.t.Errorf("term %d became %d, leading %v", term, again, leading)
+		termAfter, leading := x.primaries()
+		if termAfter != term || len(leading) != 1 {
+			x.t.Errorf("term %d became %d, leading %v", term, termAfter, leading)
 		}
 	})
 }
 
-// The primary stops for half the detection time, again and again, and then for
-// nearly all of the time that three probes take. It is slow and not lost: nobody
-// is promoted.
+// The primary pauses repeatedly for half the detection time, and then for nearly
+// the time that three probes take. It is slow and not lost: nobody is promoted.
 func TestShortPausePromotesNobody(t *testing.T) {
 	for _, pause := range []time.Duration{75 * time.Millisecond, 145 * time.Millisecond} {
 		withCluster(t, seed, func(x *cluster) {
@@ -160,8 +159,8 @@
 	}
 }
 
-// A replica carries a longer tail of an older term. The shorter log of the newer
-// term is worth more: the tail was never acknowledged, and must be dropped.
+// A replica has a longer tail from an older term. The shorter log of the newer
+// term must win: the tail was never acknowledged, and must be dropped.
 func TestLongerTailOfAnOlderTermIsDiscarded(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -191,8 +190,8 @@
 	})
 }
 
-// The primary leaves, as planned. Another member leads within seconds, the old
-// one follows it, and no acknowledged write is lost.
+// The primary leaves as planned. Another member becomes primary within seconds, the
+// old one follows it, and no acknowledged write is lost.
 func TestLeavingPrimaryIsSwitchedOver(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -213,9 +212,9 @@
 	})
 }
 
-// A failure domain with one replica is cut off. The instance there loses sight
-// of the primary and of everybody who could object. It must not promote its
-// replica: the others still have a majority and go on acknowledging.
+// A failure domain with one replica is cut off. The instance there reaches neither
+// the primary nor any witness. It must not promote its replica: the other members
+// still have a majority and continue to acknowledge writes.
 func TestMinorityDomainPromotesNobody(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -234,19 +233,19 @@
 	})
 }
 
-// One replica is a second behind, so that the other alone holds what was
-// acknowledged last. The primary is killed. Whichever replica answers first, the
-// one that holds more must be promoted.
+// One replica lags by a second, so that only the other one has the latest
+// acknowledged writes. The primary is killed. Regardless of which replica answers
+// first, the one with the longer log must be promoted.
 func TestLaggingReplicaIsNotPromoted(t *testing.T) {
-	for behind := 1; behind < 3; behind++ {
+	for lagging := 1; lagging < 3; lagging++ {
 		withCluster(t, seed, func(x *cluster) {
-			x.nodes[behind].SetReplicationLag(time.Second)
-			stop := x.startWriter(x.instances[3-behind])
+			x.nodes[lagging].SetReplicationLag(time.Second)
+			stop := x.startWriter(x.instances[3-lagging])
 			x.advance(2 * time.Second)
 			x.nodes[0].Kill()
 			stop()
 			x.advance(2 * time.Second)
-			if p := x.wantPrimary(2); p != 3-behind {
+			if p := x.wantPrimary(2); p != 3-lagging {
 				x.t.Errorf("member %d was promoted", p)
 			}
 		})
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -33,7 +33,7 @@
 	replicationLag = 5 * time.Millisecond
 )
 
-// instance is one entry instance: a watcher, a claimer and a peer server.
+// instance is one instance: a watcher, a claimer and a peer server.
 type instance struct {
 	platform.Instance
 	ip      string
@@ -47,8 +47,8 @@
 }
 
 // cluster is a group of members and one instance in each of three failure domains,
-// under virtual time. Member i and instance i share domain i; members past the
-// third are spread over the domains again.
+// under virtual time. Member i and instance i share domain i; members from the
+// fourth on are assigned to the domains round-robin.
 type cluster struct {
 	t         *testing.T
 	seed      uint64
@@ -59,7 +59,7 @@
 	nodes     []*standin.Node
 	instances []*instance
 
-	// stopWriters ends the writers that still run.
+	// stopWriters holds the stop functions of the writers.
 	stopWriters []func()
 
 	mu    sync.Mutex
@@ -67,7 +67,7 @@
 	acked []string
 }
 
-// withCluster runs f with a started cluster, and checks afterwards that every
+// withCluster runs f with a started cluster, and then checks that every
 // acknowledged write is in the log of the primary.
 func withCluster(t *testing.T, seed uint64, f func(x *cluster)) {
 	t.Helper()
@@ -131,7 +131,7 @@
 	return l
 }
 
-// run starts an instance's parts.
+// startInstance starts the components of an instance.
 func (x *cluster) startInstance(i *instance) {
 	i.network = x.net.Host(i.ip)
 	dialer := pgcontrol.NewDialer(i.network, pgcontrol.Options{User: "topazrock"})
@@ -179,7 +179,7 @@
 	}()
 }
 
-// die ends an instance as SIGKILL does. A step hook may call it.
+// killInstance ends an instance as SIGKILL does. It may be called from a step hook.
 func (x *cluster) killInstance(i *instance) {
 	x.net.Kill(i.ip)
 	i.cancel()
@@ -210,13 +210,14 @@
 	x.gaps = append(x.gaps, g)
 }
 
-// after lets virtual time pass.
+// advance lets virtual time pass and waits until all goroutines are blocked.
 func (x *cluster) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-// cutDomain separates a failure domain from the two others, or heals it.
+// cutDomain applies change, which cuts or heals a link, to every link between a
+// failure domain and the two others.
 func (x *cluster) cutDomain(i int, change func(a, b string)) {
 	for k := range 3 {
 		if k == i {
@@ -230,7 +231,8 @@
 	}
 }
 
-// primaries returns the members that lead in the highest term any has entered.
+// primaries returns the highest term that any member has entered and the members that
+// are primary in it.
 func (x *cluster) primaries() (logpos.Term, []int) {
 	var highest logpos.Term
 	var leading []int
@@ -245,7 +247,7 @@
 	return highest, leading
 }
 
-// wantPrimary checks that one member leads in the term, and returns it.
+// wantPrimary checks that there is one primary in the term, and returns it.
 func (x *cluster) wantPrimary(term logpos.Term) int {
 	x.t.Helper()
 	highest, leading := x.primaries()
--- a/internal/failover/gap_test.go
+++ b/internal/failover/gap_test.go
@@ -16,39 +16,39 @@
 // gapRuns is how many failovers of each kind TestFailoverGap measures.
 var gapRuns = flag.Int("gaps", 6, "failovers of each kind to measure")
 
-// Bounds of the failover gap, in virtual time. The median is bounded where the
-// claimer lives.
+// Upper bounds of the failover gap, in virtual time. The bound of the median applies
+// where the claimer survives.
 const (
 	maxMedianGap = 400 * time.Millisecond
 	maxP99Gap    = time.Second
 )
 
-// gapCase is one way to lose a primary, and what holds a claim back.
+// gapCase is one way to lose a primary, with an optional lease that delays claims.
 type gapCase struct {
-	name string
-	lose func(x *cluster)
-	// median bounds the median; zero for the baseline.
+	name         string
+	breakPrimary func(x *cluster)
+	// median is the upper bound of the median; zero for the baseline.
 	median time.Duration
-	// lease is the time-limited lease of the baseline; zero for the product.
+	// lease is the length of the baseline's lease; zero for the design under test.
 	lease time.Duration
 }
 
-// The primary is lost at a random moment. The gap is the time until a write
-// through an instance of another failure domain is acknowledged, with a new try
-// every two milliseconds. The baseline may claim only when a lease on the
-// platform, renewed every third of its length, has run out.
+// The primary is lost at a random time. The gap is the time until a write through an
+// instance of another failure domain is acknowledged, with a new try every two
+// milliseconds. The baseline may claim only after a lease on the platform, renewed
+// every third of its length, has expired.
 func TestFailoverGap(t *testing.T) {
 	kill := func(x *cluster) { x.nodes[0].Kill() }
 	cut := func(x *cluster) { x.cutDomain(0, x.net.Cut) }
 	for _, c := range []gapCase{
-		{name: "kill", lose: kill, median: maxMedianGap},
-		{name: "cut", lose: cut, median: maxMedianGap},
-		{name: "kill, claimer dies", median: maxP99Gap, lose: func(x *cluster) {
+		{name: "kill", breakPrimary: kill, median: maxMedianGap},
+		{name: "cut", breakPrimary: cut, median: maxMedianGap},
+		{name: "kill, claimer dies", median: maxP99Gap, breakPrimary: func(x *cluster) {
 			x.onFirstStep(failover.StepClaimed, x.killInstance)
 			kill(x)
 		}},
-		{name: "kill, lease of 1 s", lose: kill, lease: time.Second},
-		{name: "kill, lease of 3 s", lose: kill, lease: 3 * time.Second},
+		{name: "kill, lease of 1 s", breakPrimary: kill, lease: time.Second},
+		{name: "kill, lease of 3 s", breakPrimary: kill, lease: 3 * time.Second},
 	} {
 		var gaps []time.Duration
 		phases := map[string][]time.Duration{}
@@ -57,7 +57,7 @@
 				r := rand.New(rand.NewPCG(x.seed, 9))
 				x.delayClaimsForLease(r, c.lease)
 				x.advance(time.Duration(r.IntN(100_000)) * time.Microsecond)
-				gaps = append(gaps, x.measureGap(c.lose))
+				gaps = append(gaps, x.measureGap(c.breakPrimary))
 				x.advance(100 * time.Millisecond)
 				for name, d := range phasesOf(x.gaps[0]) {
 					phases[name] = append(phases[name], d)
@@ -74,13 +74,13 @@
 	}
 }
 
-// delayClaimsForLease makes every claim wait for the end of the lease: renewed a random
-// part of a third of its length before the primary is lost.
+// delayClaimsForLease blocks every claim until the lease expires. The lease was last
+// renewed a random part of a third of its length before the primary is lost.
 func (x *cluster) delayClaimsForLease(r *rand.Rand, lease time.Duration) {
 	if lease == 0 {
 		return
 	}
-	left := lease - time.Duration(r.Int64N(int64(lease/3)))
+	remaining := lease - time.Duration(r.Int64N(int64(lease/3)))
 	var once sync.Once
 	var end time.Time
 	for _, i := range x.instances {
@@ -88,17 +88,17 @@
 			if s != failover.StepWitnessed {
 				return
 			}
-			once.Do(func() { end = time.Now().Add(left - failover.DefaultSettings().Detect) })
+			once.Do(func() { end = time.Now().Add(remaining - failover.DefaultSettings().Detect) })
 			<-time.After(time.Until(end))
 		}
 	}
 }
 
-// measureGap loses the primary and returns when the first write after it was
-// acknowledged.
-func (x *cluster) measureGap(lose func(*cluster)) time.Duration {
+// measureGap makes the primary fail and returns the time until the first write after
+// that is acknowledged.
+func (x *cluster) measureGap(breakPrimary func(*cluster)) time.Duration {
 	const every = 2 * time.Millisecond
-	lose(x)
+	breakPrimary(x)
 	start := time.Now()
 	acked := make(chan time.Duration, 1)
 	var wg sync.WaitGroup
@@ -127,7 +127,7 @@
 	}
 }
 
-// percentile returns the smallest value that p percent do not exceed.
+// percentile returns the smallest value that at least p percent of the values do not exceed.
 func percentile(all []time.Duration, p int) time.Duration {
 	sorted := slices.Sorted(slices.Values(all))
 	return sorted[(len(sorted)*p+99)/100-1].Round(time.Millisecond)
--- a/internal/failover/groupsize_test.go
+++ b/internal/failover/groupsize_test.go
@@ -10,9 +10,9 @@
 	standin "github.com/topazrock/topazrock/internal/standin/member"
 )
 
-// Five members, of which two are lost at once: the primary and the replica that
-// is ahead of the others. Writes were acknowledged by two replicas each, so that
-// one of the three that are left holds them all.
+// Two of five members are lost at the same time: the primary and the replica with the
+// longest log. Each acknowledged write is on two replicas, so one of the three
+// remaining members has all of them.
 func TestTwoOfFiveAreLost(t *testing.T) {
 	for ahead := 1; ahead < 5; ahead++ {
 		withClusterOf(t, 5, seed, func(x *cluster) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Three of five are lost. Nobody may be promoted: the two that are left may lack
-// what was acknowledged. When a third comes back, the group goes on.
+// Three of five members are lost. No member may be promoted: the remaining two may lack
+// acknowledged writes. When a third member comes back, the group recovers.
 func TestThreeOfFiveAreLost(t *testing.T) {
 	withClusterOf(t, 5, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -64,8 +64,8 @@
 	})
 }
 
-// Three members that have entered no term come up. The group has no object on
-// the platform and no primary to lose; it must get its first one all the same.
+// Three members that have not entered any term start. The group has no object on the
+// platform and no primary that could fail; it must still get its first primary.
 func TestNewGroupGetsItsFirstPrimary(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		for k, n := range x.nodes {
--- a/internal/failover/lateclaim_test.go
+++ b/internal/failover/lateclaim_test.go
@@ -13,8 +13,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// slowPlatform is a platform that stores a claim at once and loses the answer; what it
-// holds is told seconds later.
+// slowPlatform stores a claim, takes a second per call, and loses the answer to the Put.
 type slowPlatform struct {
 	platform.API
 	clock  *immediateClock
@@ -34,9 +33,9 @@
 	return platform.Object{Value: p.stored, Version: 1}, nil
 }
 
-// A claim is stored at once, and its claimer learns of it two seconds later. Others gave
-// it its time from when they read it, so that another claim may stand by now. Nothing
-// is promoted for it any more.
+// A claim is stored, and its claimer finds out two seconds later. Other instances
+// started the claim's timeout when they read it, so another claim may be in effect
+// by then. The late claimer must not promote any member.
 func TestClaimLearnedLatePromotesNobody(t *testing.T) {
 	is := is.New(t)
 	clock := &immediateClock{now: time.Unix(1_000_000, 0)}
@@ -52,7 +51,7 @@
 	a := &attempt{claimer: c, claim: won, term: 2, promoted: make(chan struct{})}
 	is.True(a.remaining() <= 0)
 	ctx, cancel := context.WithCancel(t.Context())
-	m := &memberAttempt{attempt: a, control: &controlRecorder{cancel: cancel}}
+	m := &memberAttempt{attempt: a, control: &cancelingControl{cancel: cancel}}
 	m.promote(ctx)
 	select {
 	case <-a.promoted:
@@ -61,20 +60,21 @@
 	}
 }
 
-// asked is a view that gives out tickets.
+// ticketView is a View that issues tickets.
 type ticketView struct{ View }
 
 // Ask implements View.
 func (ticketView) Ask() group.Ticket { return group.Ticket{} }
 
-// orders is a member that must not be promoted.
-type controlRecorder struct {
+// cancelingControl is the connection of a member that must not be promoted. It cancels
+// the context when it is closed.
+type cancelingControl struct {
 	member.Control
 	cancel context.CancelFunc
 }
 
 // Close implements member.Control.
-func (c *controlRecorder) Close() error {
+func (c *cancelingControl) Close() error {
 	c.cancel()
 	return nil
 }
--- a/internal/failover/random_test.go
+++ b/internal/failover/random_test.go
@@ -9,18 +9,19 @@
 	store "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// schedules is how many random schedules of faults run, from which seed on.
+// scheduleCount is how many random fault schedules run, and firstSeed is the seed of
+// the first one.
 var (
 	scheduleCount = flag.Uint64("schedules", 12, "random schedules of faults to run")
 	firstSeed     = flag.Uint64("first-seed", 1, "seed of the first random schedule")
 )
 
-// faultsPerSchedule is how many faults come and go in one schedule.
+// faultsPerSchedule is how many faults are injected in one schedule.
 const faultsPerSchedule = 10
 
-// Faults of all kinds come and go at random, several at once, while three
-// instances write. When all is healed, one member leads, everybody can write,
-// and nothing that was acknowledged is missing.
+// Random faults of all kinds, which may overlap, are injected and healed while three
+// instances write. After all are healed, there is one primary, every instance can
+// write, and no acknowledged write is missing.
 func TestRandomFaultsLoseNothing(t *testing.T) {
 	for k := range *scheduleCount {
 		s := *firstSeed + k
@@ -33,7 +34,7 @@
 			for range faultsPerSchedule {
 				heal := x.injectRandomFault(r)
 				x.advance(time.Duration(r.IntN(1500)) * time.Millisecond)
-				// One fault in three stays until the end.
+				// On average, one fault in three lasts until the end.
 				if r.IntN(3) > 0 {
 					heal()
 				}
@@ -58,7 +59,7 @@
 	}
 }
 
-// injectRandomFault sets one fault and returns what ends it.
+// injectRandomFault injects one fault and returns the function that heals it.
 func (x *cluster) injectRandomFault(r *rand.Rand) func() {
 	k := r.IntN(3)
 	host, ip := x.hosts[k], x.instances[k].ip
@@ -94,7 +95,7 @@
 	}
 }
 
-// revive starts a member that was killed, with what it had persisted.
+// restartMember restarts a killed member with its persisted data.
 func (x *cluster) restartMember(k int) {
 	x.nodes[k].Stop()
 	if err := x.nodes[k].Start(); err != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// healAll ends every fault that is left.
+// healAll heals all remaining faults.
 func (x *cluster) healAll() {
 	x.store.SetFaults(store.Faults{Delay: platformDelay})
 	all := x.allHosts()
--- a/internal/failover/slowness_test.go
+++ b/internal/failover/slowness_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// The primary is cut off from the other members alone: every instance reaches
-// it, and it commits writes that no replica gets. Callers hear that the outcome
-// is unknown, and nothing answers late. A replica is promoted all the same.
+// The primary is cut off only from the other members: every instance reaches it, and
+// it commits writes that no replica receives. Callers are told that the outcome is
+// unknown, and no member answers late. A replica must still be promoted.
 func TestPrimaryCutOffFromItsReplicasIsReplaced(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
@@ -29,8 +29,8 @@
 	})
 }
 
-// Both replicas are three seconds behind and the group is nearly idle, so that
-// their positions stand still for seconds. That is lag and no reason to move.
+// Both replicas lag by three seconds and the group is nearly idle, so their
+// positions do not change for seconds. That is lag and must not cause a failover.
 func TestLagIsNotAStall(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		for k := 1; k < 3; k++ {
@@ -44,8 +44,8 @@
 	})
 }
 
-// The primary answers more and more slowly, as under growing load, until it
-// takes forty times as long as at first. It is there all the time: nobody is promoted.
+// The primary's latency grows, as under increasing load, to forty times its initial
+// value. It is reachable all the time: nobody is promoted.
 func TestGrowingLatencyPromotesNobody(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		defer x.startWriter(x.instances[1])()
@@ -61,9 +61,9 @@
 	})
 }
 
-// From one moment to the next everything takes seventy times as long, more than
-// any probe was given. The members are slow and not gone: after a while they are
-// seen again and writes go through, and they do not depose each other.
+// All latencies suddenly grow by a factor of seventy, beyond the timeout of any probe.
+// The members are slow and not lost: after a while they are reachable again, writes
+// succeed, and the members do not depose each other.
 func TestSuddenSlownessDoesNotRepeatFailovers(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		all := x.allHosts()
@@ -78,8 +78,8 @@
 			x.t.Errorf("term %d, leading %v", term, leading)
 		}
 		x.advance(2 * time.Minute)
-		if again, _ := x.primaries(); again != term {
-			x.t.Errorf("term %d became %d", term, again)
+		if termAfter, _ := x.primaries(); termAfter != term {
+			x.t.Errorf("term %d became %d", term, termAfter)
 		}
 		for _, i := range x.instances {
 			for _, m := range i.watcher.Snapshot().Members {
@@ -90,16 +90,16 @@
 		}
 		x.nodes[leading[0]].Kill()
 		x.advance(30 * time.Second)
-		after, still := x.primaries()
-		if after == term || len(still) != 1 || still[0] == leading[0] {
-			x.t.Errorf("the primary was killed in term %d; term %d is led by %v", term, after, still)
+		termAfter, leadingAfter := x.primaries()
+		if termAfter == term || len(leadingAfter) != 1 || leadingAfter[0] == leading[0] {
+			x.t.Errorf("the primary was killed in term %d; term %d is led by %v", term, termAfter, leadingAfter)
 		}
 	})
 }
 
-// Whoever leads is under a load that stops it for 400 ms each second. Replaced at
-// once, it would hand the load and the stops on to the next, for ever. After a
-// few terms the group must stay with its primary.
+// The current primary is under a load that stops it for 400 ms each second. If it were
+// replaced immediately each time, the load and the stops would move to its successor
+// without end. After a few terms the group must keep its primary.
 func TestStallingPrimariesDoNotDeposeEachOther(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		for range 50 {
--- a/internal/failover/witnessreport_test.go
+++ b/internal/failover/witnessreport_test.go
@@ -66,9 +66,9 @@
 	is.Equal(state(&group.Snapshot{}, WitnessRequest{}), PrimaryUnknown)
 }
 
-// A primary answers this witness, and of its two replicas none does: both may be cut off
-// from the primary together with everybody else. Its word must not keep the others from
-// replacing the primary. With one replica heard it does.
+// The primary answers this witness, but neither of its two replicas does: the witness and
+// the primary may both be cut off from all others. Its report must not prevent the others
+// from replacing the primary. If one replica answers, the report counts.
 func TestWitnessWithoutMajorityReportsUnknown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -81,8 +81,8 @@
 	is.Equal(primaryStateFrom(now, s, heardAt, WitnessRequest{Term: 2}, detect), PrimaryAlive)
 }
 
-// idleView is of a group that nobody has asked anything for minutes; its members answer
-// a question after some time, or never.
+// idleView is the View of a group that has received no requests for minutes. Its members
+// answer a recheck after answerDelay.
 type idleView struct {
 	View
 	snapshot    group.Snapshot
@@ -112,24 +112,24 @@
 	})
 }
 
-// One instance loses its link to the primary of a group that has little to do, and asks
-// the others. They have heard nothing of the primary for long. They look, and say within
-// the time that the claimer waits that it is well; of one that does not answer they
-// cannot tell.
+// One instance loses its link to the primary of a mostly idle group and queries its
+// witnesses, which have not heard from the primary for a long time. They recheck it and
+// report it alive within the claimer's timeout. If it does not answer, they report it as
+// unknown.
 func TestWitnessRechecksStaleMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		for after, want := range map[time.Duration]PrimaryState{5 * time.Millisecond: PrimaryAlive, time.Hour: PrimaryUnknown} {
-			v := &idleView{answerDelay: after, heard: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
+		for answerDelay, want := range map[time.Duration]PrimaryState{5 * time.Millisecond: PrimaryAlive, time.Hour: PrimaryUnknown} {
+			v := &idleView{answerDelay: answerDelay, heard: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
 				Members: []group.MemberView{{Address: "p"}, {Address: "r"}, {Address: "q"}}}}
-			began := time.Now()
+			start := time.Now()
 			is.Equal(observePrimary(t.Context(), clock.System{}, v, WitnessRequest{Term: 2}, 150*time.Millisecond), want)
-			is.True(time.Since(began) < DefaultSettings().WitnessTimeout)
+			is.True(time.Since(start) < DefaultSettings().WitnessTimeout)
 		}
 	})
 }
 
-// stuck is a caller whose calls outlive their context.
+// hangingCaller is a peer.Caller whose calls outlive their context.
 type hangingCaller struct{ release chan struct{} }
 
 // Call implements peer.Caller.
@@ -138,8 +138,8 @@
 	return context.Canceled
 }
 
-// A call to a peer that is cut off hangs beyond its bound. The claimer must go on
-// at the bound, without that peer's opinion.
+// A call to a peer that is cut off hangs beyond its deadline. The claimer must continue
+// at the deadline, without that peer's report.
 func TestWitnessQueryReturnsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/failover/writes_test.go
+++ b/internal/failover/writes_test.go
@@ -16,15 +16,15 @@
 )
 
 var (
-	// errNoPrimary says that an instance knows no primary to write to.
+	// errNoPrimary means that the instance knows no primary to write to.
 	errNoPrimary = errors.New("no primary known")
-	// errTermSuperseded says that the member did not lead in the write's term any more.
+	// errTermSuperseded means that the member was no longer primary in the write's term.
 	errTermSuperseded = errors.New("primary replaced")
 )
 
-// write runs one write through an instance as execution does: at the primary
-// that the instance knows, with the member's status behind it, then confirmed.
-// No error means that it was acknowledged.
+// write runs one write through an instance in the same way as execution: it sends the
+// write and a status query to the primary that the instance knows, and then waits for the
+// confirmation. A nil error means that the write was acknowledged.
 func (x *cluster) write(i *instance, key string) error {
 	s := i.watcher.Snapshot()
 	if s.Primary == "" {
@@ -33,7 +33,7 @@
 	return x.writeAt(i, s.Term, s.Primary, key)
 }
 
-// writeAt writes at a member that led in the term when the write was sent.
+// writeAt writes to a member that was primary in the term when the write was sent.
 func (x *cluster) writeAt(i *instance, term logpos.Term, address, key string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
@@ -41,9 +41,9 @@
 	if err != nil {
 		return err
 	}
-	// The report comes behind the commit, and the member may have been fenced,
-	// attached to another log, or even promoted again in between. Only a report
-	// of the term in which the write was sent tells where the write is.
+	// The report follows the commit; in between, the member may have been fenced,
+	// attached to another log, or even promoted again. The report gives the position of
+	// the write only if it is from the term in which the write was sent.
 	if status.Role != member.RolePrimary || status.Entered != term {
 		return errTermSuperseded
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// commit writes a row at a member and returns the report that comes behind it.
+// commitRow writes a row at a member and returns the status report that follows it.
 func (x *cluster) commitRow(ctx context.Context, i *instance, address, key string) (member.Status, error) {
 	cfg, err := pgconn.ParseConfig("host=h port=1 user=u password=p dbname=d sslmode=disable")
 	if err != nil {
@@ -88,7 +88,7 @@
 	return pgcontrol.ParseStatus(results[0].Rows[0])
 }
 
-// writer writes through an instance until the returned function is called.
+// startWriter writes through an instance until the returned function is called.
 func (x *cluster) startWriter(i *instance) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
