--- a/internal/failover/calm_test.go
+++ b/internal/failover/detector_test.go
@@ -10,20 +10,20 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Primaries are lost one after the other. One that falls silent right behind a
-// change is waited for longer; one that is lost out of a calm, or whose machine
-// refuses connections, is replaced as fast as the first.
-func TestLossOutOfACalmIsDetectedAtOnce(t *testing.T) {
+// Primaries are lost in succession. The detection time grows for one that stops answering
+// shortly after a change of primary. It does not for one that is lost after a stable
+// period or whose machine refuses connections.
+func TestLossAfterStablePeriodUsesBaseDetectionTime(t *testing.T) {
 	is := is.New(t)
 	settings := DefaultSettings()
-	p := &suspicion{settings: settings}
+	detector := &failureDetector{settings: settings}
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	detection := func(term logpos.Term, at time.Duration) time.Duration {
 		now := start.Add(at)
 		healthy := lostSnapshot(term, time.Time{}, now)
-		p.assess(now, healthy, 0)
+		detector.assess(now, healthy, 0)
 		lost := lostSnapshot(term, now, now)
-		v := p.assess(now, lost, 0)
+		v := detector.assess(now, lost, 0)
 		is.Equal(v.cause, CauseLost)
 		return v.due.Sub(now)
 	}
@@ -32,13 +32,13 @@
 	is.Equal(detection(3, 2*time.Second), 4*settings.Detect)
 	refused := lostSnapshot(3, start.Add(3*time.Second), start.Add(3*time.Second))
 	refused.Members[0].Refused = true
-	is.Equal(p.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.Detect))
-	after := 3*time.Second + settings.Calm + time.Millisecond
+	is.Equal(detector.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.Detect))
+	after := 3*time.Second + settings.StablePeriod + time.Millisecond
 	is.Equal(detection(3, after), settings.Detect)
 }
 
-// lostSnapshot is a group of three whose primary fails since a moment, or not
-// at all when it is zero.
+// lostSnapshot returns the snapshot of a group of three whose primary has been failing
+// since the given time, or is healthy if that is zero.
 func lostSnapshot(term logpos.Term, failing, now time.Time) *group.Snapshot {
 	primary := group.MemberView{Address: "a", SeenAt: now, Failing: failing}
 	if !failing.IsZero() {
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -27,17 +27,17 @@
 )
 
 const (
-	oneWay        = time.Millisecond
-	platformDelay = 4 * time.Millisecond
-	connectDelay  = 10 * time.Millisecond
-	lag           = 5 * time.Millisecond
+	oneWay         = time.Millisecond
+	platformDelay  = 4 * time.Millisecond
+	connectDelay   = 10 * time.Millisecond
+	replicationLag = 5 * time.Millisecond
 )
 
-// instance is one entry instance: a watcher, a claimer and a peer server.
+// instance is one instance: a watcher, a claimer and a peer server.
 type instance struct {
 	platform.Instance
 	ip      string
-	w       *group.Watcher
+	watcher *group.Watcher
 	cancel  context.CancelFunc
 	done    chan struct{}
 	onStep  func(failover.Step)
@@ -47,8 +47,8 @@
 }
 
 // cluster is a group of members and one instance in each of three failure domains,
-// under virtual time. Member i and instance i share domain i; members past the
-// third are spread over the domains again.
+// under virtual time. Member i and instance i share domain i; members from the
+// fourth on are assigned to the domains round-robin.
 type cluster struct {
 	t         *testing.T
 	seed      uint64
@@ -59,7 +59,7 @@
 	nodes     []*standin.Node
 	instances []*instance
 
-	// stopWriters ends the writers that still run.
+	// stopWriters holds the stop functions of the writers.
 	stopWriters []func()
 
 	mu    sync.Mutex
@@ -67,20 +67,20 @@
 	acked []string
 }
 
-// inCluster runs f with a started cluster, and checks afterwards that every
+// withCluster runs f with a started cluster, and then checks that every
 // acknowledged write is in the log of the primary.
-func inCluster(t *testing.T, seed uint64, f func(x *cluster)) {
+func withCluster(t *testing.T, seed uint64, f func(x *cluster)) {
 	t.Helper()
-	inClusterOf(t, 3, seed, f)
+	withClusterOf(t, 3, seed, f)
 }
 
-func inClusterOf(t *testing.T, members int, seed uint64, f func(x *cluster)) {
+func withClusterOf(t *testing.T, members int, seed uint64, f func(x *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		x := &cluster{t: t, seed: seed, net: memnet.New(), store: store.NewStore()}
 		defer x.stop()
 		x.start(members)
-		x.after(time.Second)
+		x.advance(time.Second)
 		f(x)
 		x.checkAcked()
 	})
@@ -102,14 +102,14 @@
 			x.net.SetLatency(a, b, oneWay)
 		}
 	}
-	options := standin.Options{ConnectDelay: connectDelay, ReplicationLag: lag}
+	options := standin.Options{ConnectDelay: connectDelay, ReplicationLag: replicationLag}
 	nodes, err := standin.StartGroup(options, func(ip string) netio.Network { return x.net.Host(ip) }, x.addresses...)
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	x.nodes = nodes
 	for _, i := range x.instances {
-		x.run(i)
+		x.startInstance(i)
 	}
 }
 
@@ -123,7 +123,7 @@
 	return all
 }
 
-func (x *cluster) list() []platform.Instance {
+func (x *cluster) platformInstances() []platform.Instance {
 	var l []platform.Instance
 	for _, i := range x.instances {
 		l = append(l, i.Instance)
@@ -131,8 +131,8 @@
 	return l
 }
 
-// run starts an instance's parts.
-func (x *cluster) run(i *instance) {
+// startInstance starts the components of an instance.
+func (x *cluster) startInstance(i *instance) {
 	i.network = x.net.Host(i.ip)
 	dialer := pgcontrol.NewDialer(i.network, pgcontrol.Options{User: "topazrock"})
 	var members []document.Member
@@ -140,16 +140,16 @@
 		members = append(members, document.Member{Address: a, FailureDomain: domain(k % 3)})
 	}
 	r := func(part uint64) *rand.Rand { return rand.New(rand.NewPCG(x.seed, part+uint64(i.ID[1]))) }
-	i.w = group.NewWatcher(group.Config{Group: "g", Members: members, Clock: clock.System{}, Rand: r(100), Dialer: dialer})
+	i.watcher = group.NewWatcher(group.Config{Group: "g", Members: members, Clock: clock.System{}, Rand: r(100), Dialer: dialer})
 	i.caller = peer.NewClient(i.ID, i.network)
 	i.server = peer.NewServer(hclog.NewNullLogger())
 	failover.ServeWitness(i.server, clock.System{}, failover.DefaultSettings().Detect,
-		func(string) (failover.View, bool) { return i.w, true })
+		func(string) (failover.View, bool) { return i.watcher, true })
 	claimer := failover.New(failover.Config{
-		Group: "g", Self: i.Instance, Instances: x.list, View: i.w, Platform: x.store, Dialer: dialer,
-		Witness: failover.NewPeerWitness(i.caller, i.Instance, x.list, r(200)),
+		Group: "g", Self: i.Instance, Instances: x.platformInstances, View: i.watcher, Platform: x.store, Dialer: dialer,
+		Witness: failover.NewPeerWitness(i.caller, i.Instance, x.platformInstances, r(200)),
 		Clock:   clock.System{}, Rand: r(300),
-		OnFailover: x.noteGap,
+		OnFailover: x.recordGap,
 		Hook: func(s failover.Step) {
 			if i.onStep != nil {
 				i.onStep(s)
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	i.cancel, i.done = cancel, done
-	server, caller, watcher := i.server, i.caller, i.w
+	server, caller, watcher := i.server, i.caller, i.watcher
 	var wg sync.WaitGroup
 	wg.Go(func() { watcher.Run(ctx) })
 	wg.Go(func() { claimer.Run(ctx) })
@@ -179,8 +179,8 @@
 	}()
 }
 
-// die ends an instance as SIGKILL does. A step hook may call it.
-func (x *cluster) die(i *instance) {
+// killInstance ends an instance as SIGKILL does. It may be called from a step hook.
+func (x *cluster) killInstance(i *instance) {
 	x.net.Kill(i.ip)
 	i.cancel()
 }
@@ -204,33 +204,35 @@
 	synctest.Wait()
 }
 
-func (x *cluster) noteGap(g failover.Gap) {
+func (x *cluster) recordGap(g failover.Gap) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.gaps = append(x.gaps, g)
 }
 
-// after lets virtual time pass.
-func (x *cluster) after(d time.Duration) {
+// advance lets virtual time pass and waits until all goroutines are blocked.
+func (x *cluster) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-// cutDomain separates a failure domain from the two others, or heals it.
+// cutDomain applies change, which cuts or heals a link, to every link between a
+// failure domain and the two others.
 func (x *cluster) cutDomain(i int, change func(a, b string)) {
 	for k := range 3 {
 		if k == i {
 			continue
 		}
-		for _, mine := range []string{x.hosts[i], x.instances[i].ip} {
-			for _, theirs := range []string{x.hosts[k], x.instances[k].ip} {
-				change(mine, theirs)
+		for _, local := range []string{x.hosts[i], x.instances[i].ip} {
+			for _, remote := range []string{x.hosts[k], x.instances[k].ip} {
+				change(local, remote)
 			}
 		}
 	}
 }
 
-// primaries returns the members that lead in the highest term any has entered.
+// primaries returns the highest term that any member has entered and the members that
+// are primary in it.
 func (x *cluster) primaries() (logpos.Term, []int) {
 	var highest logpos.Term
 	var leading []int
@@ -245,7 +247,7 @@
 	return highest, leading
 }
 
-// wantPrimary checks that one member leads in the term, and returns it.
+// wantPrimary checks that there is one primary in the term, and returns it.
 func (x *cluster) wantPrimary(term logpos.Term) int {
 	x.t.Helper()
 	highest, leading := x.primaries()
