--- a/internal/shares/amount.go
+++ b/internal/shares/amount.go
@@ -1,6 +1,6 @@
 package shares
 
-// Amount counts connections, those for control included, and slots.
+// Amount is a number of connections, including control connections, and of slots.
 type Amount struct {
 	Connections int `json:"connections"`
 	Slots       int `json:"slots"`
@@ -16,20 +16,20 @@
 	return Amount{a.Connections - b.Connections, a.Slots - b.Slots}
 }
 
-// Min returns the smaller of each count.
+// Min returns the element-wise minimum.
 func (a Amount) Min(b Amount) Amount {
 	return Amount{min(a.Connections, b.Connections), min(a.Slots, b.Slots)}
 }
 
-// Max returns the larger of each count.
+// Max returns the element-wise maximum.
 func (a Amount) Max(b Amount) Amount {
 	return Amount{max(a.Connections, b.Connections), max(a.Slots, b.Slots)}
 }
 
-// Over returns by how much a is above b, and zero where it is not.
-func (a Amount) Over(b Amount) Amount { return a.Minus(b).Max(Amount{}) }
+// ExcessOver returns a - b, with negative counts replaced by zero.
+func (a Amount) ExcessOver(b Amount) Amount { return a.Minus(b).Max(Amount{}) }
 
-// Within reports whether no count of a is above that of b.
+// Within reports whether no count of a exceeds that of b.
 func (a Amount) Within(b Amount) bool {
 	return a.Connections <= b.Connections && a.Slots <= b.Slots
 }
--- a/internal/shares/borrowing.go
+++ b/internal/shares/borrowing.go
@@ -7,75 +7,79 @@
 	"time"
 )
 
-// Pauses between searches for share to borrow.
+// Bounds of the backoff between attempts to borrow.
 const (
-	minSeekPause = 200 * time.Millisecond
-	maxSeekPause = 10 * time.Second
+	minBorrowBackoff = 200 * time.Millisecond
+	maxBorrowBackoff = 10 * time.Second
 )
 
-// look samples the use and borrows or gives back.
-func (m *Manager) look(ctx context.Context) {
+// sampleAndBorrow samples usage, notifies refused borrowers of idle capacity, and
+// borrows if this instance is short.
+func (m *Manager) sampleAndBorrow(ctx context.Context) {
 	now := m.cfg.Clock.Now()
 	inUse, waiting := m.cfg.Connections.Use()
-	m.connections.sample(now, inUse, waiting)
+	m.connectionUsage.addSample(now, inUse, waiting)
 	inUse, waiting = m.cfg.Slots.Use()
-	m.slots.sample(now, inUse, waiting)
-	if m.ledger.seatOf(m.self) == nil {
+	m.slotUsage.addSample(now, inUse, waiting)
+	if m.ledger.shareOf(m.self) == nil {
 		return
 	}
-	m.offer(ctx)
-	if !m.takeOffer() && now.Before(m.seekAfter) {
+	m.notifyRefusedBorrowers(ctx)
+	if !m.consumeOffer() && now.Before(m.nextBorrowAt) {
 		return
 	}
-	want := Amount{m.connections.wanted(), m.slots.wanted()}
+	want := Amount{m.connectionUsage.shortage(), m.slotUsage.shortage()}
 	if m.Limit().Slots == 0 {
-		// Without any slot all requests are refused and none waits.
+		// Without any slot all requests are refused, so none waits.
 		want.Slots = 1
 	}
 	if want.IsZero() {
-		m.seekPause = 0
+		m.borrowBackoff = 0
 		return
 	}
-	m.seekPause = min(max(2*m.seekPause, minSeekPause), maxSeekPause)
-	m.seekAfter = now.Add(m.seekPause/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.seekPause/2))))
-	m.seek(ctx, want)
+	m.borrowBackoff = min(max(2*m.borrowBackoff, minBorrowBackoff), maxBorrowBackoff)
+	m.nextBorrowAt = now.Add(m.borrowBackoff/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.borrowBackoff/2))))
+	m.borrowCapacity(ctx, want)
 }
 
-// offer tells those that were refused a loan that there is idle share now. They
-// would ask again only after a pause of up to maxSeekPause.
-func (m *Manager) offer(ctx context.Context) {
-	if len(m.turnedAway) == 0 || m.idle(m.ledger.seatOf(m.self)).IsZero() {
+// notifyRefusedBorrowers notifies instances that were refused a loan once there is idle
+// capacity. Without the notice they would ask again only after a backoff of up to
+// maxBorrowBackoff.
+func (m *Manager) notifyRefusedBorrowers(ctx context.Context) {
+	if len(m.refusedBorrowers) == 0 || m.idleCapacity(m.ledger.shareOf(m.self)).IsZero() {
 		return
 	}
-	addresses := slices.Collect(maps.Keys(m.turnedAway))
-	clear(m.turnedAway)
-	go m.tell(context.WithoutCancel(ctx), addresses)
+	addresses := slices.Collect(maps.Keys(m.refusedBorrowers))
+	clear(m.refusedBorrowers)
+	go m.notifyHolders(context.WithoutCancel(ctx), addresses)
 }
 
-// seek takes from free seats what they can spare, or else asks another holder.
-func (m *Manager) seek(ctx context.Context, want Amount) {
+// borrowCapacity borrows from free shares, or from another holder if they have nothing
+// to spare.
+func (m *Manager) borrowCapacity(ctx context.Context, want Amount) {
 	call, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
-	if m.change(call, changeBorrow, func(l *Ledger) bool { return m.takeSpare(l, want) }) {
+	if m.changeLedger(call, changeBorrow, func(l *Ledger) bool { return m.borrowFromFreeShares(l, want) }) {
 		return
 	}
-	// In its own goroutine, because two holders may ask each other.
-	go m.borrow(ctx, m.lenders(want), want)
+	// This runs in its own goroutine because two holders may ask each other.
+	go m.borrowFromHolders(ctx, m.possibleLenders(want), want)
 }
 
-// takeSpare moves what free seats have above their floor to this instance's.
-func (m *Manager) takeSpare(l *Ledger, want Amount) bool {
-	mine := l.seatOf(m.self)
+// borrowFromFreeShares moves what free shares have above their floor to this instance's
+// share.
+func (m *Manager) borrowFromFreeShares(l *Ledger, want Amount) bool {
+	mine := l.shareOf(m.self)
 	if mine == nil {
 		return false
 	}
 	var taken Amount
-	for i := range l.Seats {
-		s := &l.Seats[i]
-		if !s.free() {
+	for i := range l.Shares {
+		s := &l.Shares[i]
+		if !s.isFree() {
 			continue
 		}
-		part := s.Size.Over(s.Floor).Min(want.Minus(taken))
+		part := s.Size.ExcessOver(s.Floor).Min(want.Minus(taken))
 		s.Size = s.Size.Minus(part)
 		taken = taken.Plus(part)
 	}
@@ -83,11 +87,12 @@
 	return !taken.IsZero()
 }
 
-// lenders returns the holders that have more than their floor, in random order.
-func (m *Manager) lenders(want Amount) []string {
+// possibleLenders returns the addresses of the holders that have more than their floor,
+// in random order.
+func (m *Manager) possibleLenders(want Amount) []string {
 	var addresses []string
-	for _, s := range m.ledger.Seats {
-		if s.free() || s.Holder.same(m.self) || s.Size.Over(s.Floor).Min(want).IsZero() {
+	for _, s := range m.ledger.Shares {
+		if s.isFree() || s.Holder.sameAs(m.self) || s.Size.ExcessOver(s.Floor).Min(want).IsZero() {
 			continue
 		}
 		addresses = append(addresses, s.Holder.Address)
@@ -96,18 +101,18 @@
 	return addresses
 }
 
-// borrow asks holders one after the other until one lends: with one question a
-// pause, busy holders would hide an idle one for several pauses. The answer only
-// says that the ledger is worth reading.
-func (m *Manager) borrow(ctx context.Context, addresses []string, want Amount) {
+// borrowFromHolders asks holders one after the other until one lends. If it asked only
+// one per attempt, busy holders could hide an idle one for several backoffs. The answer
+// only indicates that the ledger should be read.
+func (m *Manager) borrowFromHolders(ctx context.Context, addresses []string, want Amount) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
 	request := BorrowRequest{Group: m.cfg.Group, Borrower: m.self, Want: want}
 	var reply BorrowReply
 	for i := 0; i < len(addresses) && reply.Lent.IsZero() && ctx.Err() == nil; i++ {
 		if err := m.cfg.Peers.Call(ctx, addresses[i], MethodBorrow, request, &reply); err != nil {
-			m.failed("peer", err)
+			m.recordCallFailure("peer", err)
 		}
 	}
-	m.notify()
+	m.requestRefresh()
 }
--- a/internal/shares/close.go
+++ b/internal/shares/close.go
@@ -6,48 +6,49 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// Close gives the seat up. Run must have ended or be ending. It first waits
-// until nothing is in use, so drain the group before; when ctx ends earlier,
-// the seat stays taken and is found again by proof or by age.
+// Close releases the share. Run must have returned or its ctx must have ended. Close
+// first waits until nothing is in use, so the group should be drained before. If ctx
+// ends earlier, the share stays taken until another instance proves that this process
+// has ended or HolderExpiry passes.
 func (m *Manager) Close(ctx context.Context) error {
 	select {
 	case <-m.done:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	m.apply(Amount{})
-	m.announce(false)
-	if err := m.settle(ctx); err != nil {
+	m.applyLimits(Amount{})
+	m.announceHeld(false)
+	if err := m.waitWithinLimits(ctx); err != nil {
 		return err
 	}
-	m.setSeated(false)
+	m.setShareHeld(false)
 	for {
-		err := m.vacate(ctx)
+		err := m.releaseShare(ctx)
 		if err == nil {
 			return nil
 		}
-		if clock.Sleep(ctx, m.cfg.Clock, settlePause) != nil {
+		if clock.Sleep(ctx, m.cfg.Clock, resolvePause) != nil {
 			return err
 		}
 	}
 }
 
-// vacate writes that the seat is free. What the seat has above its target goes
-// to seats that are below theirs.
-func (m *Manager) vacate(ctx context.Context) error {
+// releaseShare frees the share in the ledger and gives what exceeds its target to
+// shares below theirs.
+func (m *Manager) releaseShare(ctx context.Context) error {
 	l, stored, err := m.store.update(ctx, func(l *Ledger) bool {
-		s := l.seatOf(m.self)
+		s := l.shareOf(m.self)
 		if s == nil {
 			return false
 		}
-		s.give(nil)
-		extra := s.Size.Over(s.Target)
-		s.Size = s.Size.Minus(extra).Plus(l.giveBack(s.Name, extra))
+		s.setHolder(nil)
+		extra := s.Size.ExcessOver(s.Target)
+		s.Size = s.Size.Minus(extra).Plus(l.fillToTargets(s.Name, extra))
 		return true
 	})
 	if stored {
-		m.cfg.Metrics.changes.WithLabelValues(m.cfg.Group, changeVacate).Inc()
-		m.tell(ctx, l.others(m.self))
+		m.cfg.Metrics.changes.WithLabelValues(m.cfg.Group, changeRelease).Inc()
+		m.notifyHolders(ctx, l.otherHolders(m.self))
 	}
 	return err
 }
--- a/internal/shares/config.go
+++ b/internal/shares/config.go
@@ -13,58 +13,61 @@
 
 // Defaults of Config.
 const (
-	DefaultReserveSeats   = 2
-	DefaultRefresh        = 30 * time.Second
-	DefaultSampleInterval = 100 * time.Millisecond
-	DefaultLendTimeout    = 200 * time.Millisecond
-	DefaultCallTimeout    = time.Second
-	// DefaultAgeOut is long against any pause after which a holder comes back,
-	// and short against the loss of a seat for a day.
-	DefaultAgeOut = 10 * time.Minute
+	DefaultReserveShares   = 2
+	DefaultRefreshInterval = 30 * time.Second
+	DefaultSampleInterval  = 100 * time.Millisecond
+	DefaultLendTimeout     = 200 * time.Millisecond
+	DefaultCallTimeout     = time.Second
+	// DefaultHolderExpiry is long compared with any pause after which a holder resumes,
+	// and short compared with losing a share for a day.
+	DefaultHolderExpiry = 10 * time.Minute
 )
 
-// Config is what a Manager is made of. Group, Self, Clock, Rand, Platform,
-// Peers, Connections and Slots are required.
+// Config configures a Manager. Group, Self, Clock, Rand, Platform, Peers, Connections
+// and Slots are required.
 type Config struct {
 	Group string
-	// Self is this process. Its address must answer peer calls from before the
-	// Manager runs until after Close returned: an address at which another
-	// process answers proves to the others that this one is gone.
+	// Self identifies this process. Its address must answer peer calls from before the
+	// Manager runs until after Close has returned: when another process answers at the
+	// address, other instances take this as proof that this process has ended.
 	Self  Holder
 	Clock clock.Clock
-	// Rand is used by the Manager's goroutine only; it must not be shared.
+	// Rand is used only by the Manager's goroutine and must not be shared.
 	Rand     *rand.Rand
 	Platform platform.API
 	Peers    peer.Caller
 	Logger   hclog.Logger
 	Metrics  *Metrics
-	// Connections and Slots are bounded by the share. They begin at zero.
+	// Connections and Slots are limited by the share. Their initial limit is zero.
 	Connections Resource
 	Slots       Resource
-	// Control is how many connections a holder uses beside Connections.
+	// Control is the number of connections that a holder uses in addition to
+	// Connections.
 	Control int
-	// SeatChanged is called with true after a seat was taken and with false
-	// before one is given up, in turn; the latter must return only when the
-	// control connections are closed. It may be nil.
-	SeatChanged func(seated bool)
-	// ReserveSeats is how many seats no failure domain owns.
-	ReserveSeats int
-	// Refresh is how often the ledger is read while nothing happens.
-	Refresh time.Duration
-	// SampleInterval is how often use is looked at.
+	// SeatChanged is called with true after a share was taken and with false before one
+	// is released, alternately. The call with false must return only after the control
+	// connections are closed. It may be nil.
+	SeatChanged func(held bool)
+	// ReserveShares is the number of shares that belong to no failure domain.
+	ReserveShares int
+	// RefreshInterval is how often the ledger is read when nothing else triggers a
+	// read.
+	RefreshInterval time.Duration
+	// SampleInterval is how often usage is sampled.
 	SampleInterval time.Duration
-	// LendTimeout bounds how long a lender waits for its connections to close.
+	// LendTimeout limits how long a lender waits for its connections to close.
 	LendTimeout time.Duration
-	// CallTimeout bounds one call to the platform or to a peer.
+	// CallTimeout limits one call to the platform or to a peer.
 	CallTimeout time.Duration
-	// AgeOut is how long a holder must be gone before its seat is taken without
-	// proof: not in the platform's list, silent to peers, and not removing the
-	// mark on its seat. Only an instance of the holder's own failure domain may
-	// do so: a domain that is cut off keeps its seats however long the cut lasts.
-	AgeOut time.Duration
+	// HolderExpiry is how long a holder must be gone before its share is taken without
+	// proof: missing from the platform's inventory, unreachable for peers, and not
+	// removing the suspect mark on its share. Only an instance of the holder's own
+	// failure domain may take it: a domain that is cut off keeps its shares however
+	// long the cut lasts.
+	HolderExpiry time.Duration
 }
 
-// withDefaults returns a copy with every unset option filled in.
+// withDefaults returns a copy in which every unset option has its default.
 func (c Config) withDefaults() Config {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
@@ -75,18 +78,18 @@
 	if c.SeatChanged == nil {
 		c.SeatChanged = func(bool) {}
 	}
-	if c.ReserveSeats <= 0 {
-		c.ReserveSeats = DefaultReserveSeats
+	if c.ReserveShares <= 0 {
+		c.ReserveShares = DefaultReserveShares
 	}
-	setDefault(&c.Refresh, DefaultRefresh)
+	setDefault(&c.RefreshInterval, DefaultRefreshInterval)
 	setDefault(&c.SampleInterval, DefaultSampleInterval)
 	setDefault(&c.LendTimeout, DefaultLendTimeout)
 	setDefault(&c.CallTimeout, DefaultCallTimeout)
-	setDefault(&c.AgeOut, DefaultAgeOut)
+	setDefault(&c.HolderExpiry, DefaultHolderExpiry)
 	return c
 }
 
-// setDefault fills in an unset duration.
+// setDefault sets a duration that is not positive to value.
 func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
--- a/internal/shares/directory.go
+++ b/internal/shares/directory.go
@@ -17,25 +17,25 @@
 	managers map[string]*Manager
 }
 
-// NewDirectory returns an empty Directory of the process with an incarnation.
+// NewDirectory returns an empty Directory for the process with the given incarnation.
 func NewDirectory(incarnation string) *Directory {
 	return &Directory{incarnation: incarnation, managers: make(map[string]*Manager)}
 }
 
-// Add makes a manager reachable. Add it before it runs and remove it after
-// Close returned.
+// Add makes a manager reachable for peers. Add it before it runs, and remove it after
+// Close has returned.
 func (d *Directory) Add(m *Manager) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.managers[m.cfg.Group] = m
 }
 
-// Remove undoes Add, unless the manager's Close failed with connections still in
-// use. It then goes on answering: were it gone, a peer would be told that this
-// instance holds nothing, and would take the seat while it is in use.
+// Remove undoes Add unless the manager's Close failed with connections still in use. In
+// that case the manager keeps answering: otherwise a peer would be told that this
+// instance holds nothing and would take the share while it is in use.
 func (d *Directory) Remove(group string) {
-	m, ok := d.find(group)
-	if !ok || m.holds() {
+	m, ok := d.findManager(group)
+	if !ok || m.mayHoldConnections() {
 		return
 	}
 	d.mu.Lock()
@@ -45,44 +45,44 @@
 	}
 }
 
-func (d *Directory) find(group string) (*Manager, bool) {
+func (d *Directory) findManager(group string) (*Manager, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m, ok := d.managers[group]
 	return m, ok
 }
 
-// Register takes the methods of this package at a registry.
+// Register registers the handlers of this package's methods.
 func (d *Directory) Register(r peer.Registry) {
-	r.Handle(MethodBorrow, d.borrow)
-	r.Handle(MethodReturn, d.returned)
-	r.Handle(MethodHolder, d.holder)
+	r.Handle(MethodBorrow, d.handleBorrow)
+	r.Handle(MethodCapacityNotice, d.handleCapacityNotice)
+	r.Handle(MethodHolder, d.handleHolderRequest)
 }
 
-func (d *Directory) borrow(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+func (d *Directory) handleBorrow(ctx context.Context, _ string, params json.RawMessage) (any, error) {
 	var q BorrowRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, err
 	}
-	m, ok := d.find(q.Group)
+	m, ok := d.findManager(q.Group)
 	if !ok {
 		return BorrowReply{}, nil
 	}
-	return m.lend(ctx, q)
+	return m.submitLoanRequest(ctx, q)
 }
 
-func (d *Directory) returned(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var n Notice
+func (d *Directory) handleCapacityNotice(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var n CapacityNotice
 	if err := json.Unmarshal(params, &n); err != nil {
 		return nil, err
 	}
-	if m, ok := d.find(n.Group); ok {
-		m.hear()
+	if m, ok := d.findManager(n.Group); ok {
+		m.handleCapacityNotice()
 	}
 	return Empty{}, nil
 }
 
-func (d *Directory) holder(_ context.Context, _ string, params json.RawMessage) (any, error) {
+func (d *Directory) handleHolderRequest(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var q HolderRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, err
@@ -90,6 +90,6 @@
 	if q.Group == "" {
 		return nil, result.New(result.BadAdminRequest, "no group")
 	}
-	m, ok := d.find(q.Group)
-	return HolderReply{Incarnation: d.incarnation, Holds: ok && m.holds()}, nil
+	m, ok := d.findManager(q.Group)
+	return HolderReply{Incarnation: d.incarnation, Holds: ok && m.mayHoldConnections()}, nil
 }
--- a/internal/shares/even.go
+++ b/internal/shares/even.go
@@ -8,51 +8,55 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// Even is a part of what each member takes, by the number of homes alone. It fits
-// members that limit their connections themselves and refuse one too many without
-// harm. Two instances may disagree for a moment about how many homes there are; then
-// a member refuses a connection and the pool waits, which costs less than a ledger
-// that every instance writes.
+// Even is an equal part of the connections that each member accepts. It is computed from
+// the number of instances that serve the group and needs no ledger. It fits members that
+// limit their connections themselves and refuse excess connections without harm. Two
+// instances may briefly disagree about how many instances serve the group; a member then
+// refuses a connection and the pool waits, which costs less than a ledger that every
+// instance writes.
 //
-// A share begins with half of its connections. A machine that loses power closes
-// none, and members count them on for a while; when all machines come back at once,
-// whole shares would not fit beside what is left, each refused opening would cost the
-// member a slot, and the instances that came a moment later would get nothing. Half
-// fits wherever the lost instances used no more than the other half.
+// A new share starts with half of its connections. A machine that loses power closes
+// none of its connections, and members keep counting them for a while. When all
+// machines restart at once, full shares would not fit beside the lost connections: each
+// refused connection attempt would cost the member a slot, and instances that start a
+// moment later would get nothing. Half fits if the lost instances used no more than the
+// other half.
 type Even struct {
 	Clock clock.Clock
 	// Linger is how long a member counts connections whose other end has vanished.
-	// The share is whole after so long; zero makes it whole at once.
+	// After this time the share has its full size; with zero it starts with the full
+	// size.
 	Linger time.Duration
-	// Connections is bounded by the share.
+	// Connections is limited by the share.
 	Connections Resource
-	// Each is told how many connections the share has to each member.
+	// Each is called with the number of connections that the share allows to each
+	// member.
 	Each func(perMember int)
-	// Control is how many connections to each member a home uses beside those of
-	// Connections.
+	// Control is the number of connections to each member that the instance uses in
+	// addition to Connections.
 	Control int
-	// Part returns this instance's part of a number of connections.
+	// Part returns this instance's part of a total number of connections.
 	Part func(total int) int
-	// SeatChanged is called with true when the share is held and with false before
-	// it is given up.
-	SeatChanged func(seated bool)
+	// SeatChanged is called with true when the share is held and with false before it
+	// is released.
+	SeatChanged func(held bool)
 
 	mu sync.Mutex
-	// starting says that the share is not whole yet.
+	// starting is true until the share has its full size.
 	starting   bool
 	allocation Allocation
 	limit      Amount
-	seated     bool
+	held       bool
 }
 
-// leastPerMember is how many pooled connections to a member a home has at least:
-// without one it could not serve.
-const leastPerMember = 1
+// minPerMember is the minimum number of pooled connections to each member: without one
+// the instance could not serve requests.
+const minPerMember = 1
 
 // Run holds the share until ctx ends.
 func (e *Even) Run(ctx context.Context) {
 	e.setStarting(e.Linger > 0)
-	e.setSeated(true)
+	e.setHeld(true)
 	e.SeatChanged(true)
 	if e.Linger > 0 && clock.Sleep(ctx, e.Clock, e.Linger) == nil {
 		e.setStarting(false)
@@ -64,30 +68,30 @@
 	e.mu.Lock()
 	e.starting = starting
 	e.mu.Unlock()
-	e.apply()
+	e.recompute()
 }
 
-// Close gives the share up.
+// Close releases the share and waits until its connections are closed.
 func (e *Even) Close(ctx context.Context) error {
-	e.setSeated(false)
+	e.setHeld(false)
 	e.SeatChanged(false)
 	e.Connections.Set(0)
 	return e.Connections.Settle(ctx)
 }
 
-// SetAllocation takes the group's limits, and divides anew.
+// SetAllocation replaces the group's limits and recomputes a share that is held.
 func (e *Even) SetAllocation(a Allocation) {
 	e.mu.Lock()
 	e.allocation = a
-	seated := e.seated
+	held := e.held
 	e.mu.Unlock()
-	if seated {
-		e.apply()
+	if held {
+		e.recompute()
 	}
 }
 
-// apply works the share out and sets the bounds.
-func (e *Even) apply() {
+// recompute computes the share and sets the limits.
+func (e *Even) recompute() {
 	e.mu.Lock()
 	total, members, starting := e.allocation.PerMember, e.allocation.Members, e.starting
 	e.mu.Unlock()
@@ -95,7 +99,7 @@
 	if starting {
 		perMember = (perMember + 1) / 2
 	}
-	perMember = max(perMember, leastPerMember)
+	perMember = max(perMember, minPerMember)
 	next := Amount{Connections: perMember * members, Slots: perMember * members}
 	e.mu.Lock()
 	changed := next != e.limit
@@ -107,7 +111,7 @@
 	}
 }
 
-// Limit returns what this instance may use, without the connections for control.
+// Limit returns what this instance may use, without control connections.
 func (e *Even) Limit() Amount {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,11 +122,11 @@
 func (e *Even) Seated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.seated
+	return e.held
 }
 
-func (e *Even) setSeated(seated bool) {
+func (e *Even) setHeld(held bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seated = seated
+	e.held = held
 }
--- a/internal/shares/even_test.go
+++ b/internal/shares/even_test.go
@@ -12,52 +12,52 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// bounds takes what a share allows.
-type bounds struct {
+// recordedLimits is a Resource that records the limits set by a share.
+type recordedLimits struct {
 	mu        sync.Mutex
 	total     int
 	perMember int
 }
 
-func (b *bounds) Set(limit int) {
+func (b *recordedLimits) Set(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total = limit
 }
 
-func (b *bounds) Settle(context.Context) error { return nil }
+func (b *recordedLimits) Settle(context.Context) error { return nil }
 
-func (b *bounds) Use() (inUse, waiting int) { return 0, 0 }
+func (b *recordedLimits) Use() (inUse, waiting int) { return 0, 0 }
 
-func (b *bounds) each(perMember int) {
+func (b *recordedLimits) setPerMember(perMember int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.perMember = perMember
 }
 
-func (b *bounds) now() (total, perMember int) {
+func (b *recordedLimits) current() (total, perMember int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total, b.perMember
 }
 
-// All instances lose power and come back a second later. Members count the
-// connections of before for three seconds more, and an instance that took its whole
-// share at once would take from them what is left for all the others. It has half
-// of the share until what was lost is forgotten, also when the group's limits are
-// told anew meanwhile, and the whole afterwards.
-func TestShareOfAHomeThatStartsLeavesRoom(t *testing.T) {
+// All instances lose power and restart a second later. Members count the lost
+// connections for three more seconds, so an instance that took its whole share at once
+// would take what is left for all others. The share must stay at half until the lost
+// connections have expired, even if the group's limits change meanwhile, and then reach
+// its full size.
+func TestStartingInstanceTakesHalfItsShare(t *testing.T) {
 	const (
-		linger  = 3 * time.Second
-		homes   = 7
-		members = 3
+		linger    = 3 * time.Second
+		instances = 7
+		members   = 3
 	)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &bounds{}
+		b := &recordedLimits{}
 		e := &Even{
-			Clock: clock.System{}, Linger: linger, Connections: b, Each: b.each, Control: 1,
-			Part:        func(total int) int { return total / homes },
+			Clock: clock.System{}, Linger: linger, Connections: b, Each: b.setPerMember, Control: 1,
+			Part:        func(total int) int { return total / instances },
 			SeatChanged: func(bool) {},
 		}
 		e.SetAllocation(Allocation{PerMember: 55, Members: members})
@@ -70,7 +70,7 @@
 		check := func(total, perMember int) {
 			t.Helper()
 			synctest.Wait()
-			gotTotal, gotPerMember := b.now()
+			gotTotal, gotPerMember := b.current()
 			is.Equal(gotTotal, total)
 			is.Equal(gotPerMember, perMember)
 		}
@@ -87,13 +87,14 @@
 	})
 }
 
-// Where a member has hardly room, a home that starts still has one connection.
-func TestShareOfAHomeThatStartsServes(t *testing.T) {
+// An instance that starts has one connection to each member even if its part of the
+// member's limit is no larger than its control connections.
+func TestStartingInstanceHasAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &bounds{}
+		b := &recordedLimits{}
 		e := &Even{
-			Clock: clock.System{}, Linger: time.Second, Connections: b, Each: b.each, Control: 1,
+			Clock: clock.System{}, Linger: time.Second, Connections: b, Each: b.setPerMember, Control: 1,
 			Part:        func(int) int { return 1 },
 			SeatChanged: func(bool) {},
 		}
@@ -105,7 +106,7 @@
 			e.Run(ctx)
 		}()
 		synctest.Wait()
-		total, perMember := b.now()
+		total, perMember := b.current()
 		is.Equal(total, 2)
 		is.Equal(perMember, 1)
 		stop()
--- a/internal/shares/fakeplatform_test.go
+++ b/internal/shares/fakeplatform_test.go
@@ -8,14 +8,14 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// platformOf is the platform as one machine reaches it.
-type platformOf struct {
-	*world
-	m *machine
+// instancePlatform is the platform as seen by one instance.
+type instancePlatform struct {
+	*simulation
+	m *fakeInstance
 }
 
-func (p platformOf) reach(ctx context.Context) error {
-	if err := p.m.thawed(ctx); err != nil {
+func (p instancePlatform) simulateCall(ctx context.Context) error {
+	if err := p.m.blockWhileFrozen(ctx); err != nil {
 		return err
 	}
 	if err := clock.Sleep(ctx, clock.System{}, callLatency); err != nil {
@@ -23,21 +23,21 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.down || p.m.cutOff {
+	if p.platformDown || p.m.platformCut {
 		return platform.ErrUnavailable
 	}
 	return nil
 }
 
-func (p platformOf) Get(ctx context.Context, _ platform.Kind, _ string) (platform.Object, error) {
-	if err := p.reach(ctx); err != nil {
+func (p instancePlatform) Get(ctx context.Context, _ platform.Kind, _ string) (platform.Object, error) {
+	if err := p.simulateCall(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	p.mu.Lock()
 	p.reads++
 	object := p.object
 	p.mu.Unlock()
-	if err := p.m.thawed(ctx); err != nil {
+	if err := p.m.blockWhileFrozen(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	if object.Version == 0 {
@@ -46,31 +46,31 @@
 	return object, nil
 }
 
-func (p platformOf) Put(ctx context.Context, _ platform.Kind, _ string, value []byte, ifVersion int64) (platform.Object, error) {
-	if err := p.reach(ctx); err != nil {
+func (p instancePlatform) Put(ctx context.Context, _ platform.Kind, _ string, value []byte, ifVersion int64) (platform.Object, error) {
+	if err := p.simulateCall(ctx); err != nil {
 		return platform.Object{}, err
 	}
-	object, err := p.put(value, ifVersion)
-	if frozen := p.m.thawed(ctx); frozen != nil {
+	object, err := p.putWithFault(value, ifVersion)
+	if frozen := p.m.blockWhileFrozen(ctx); frozen != nil {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
 	return object, err
 }
 
-func (p platformOf) put(value []byte, ifVersion int64) (platform.Object, error) {
+func (p instancePlatform) putWithFault(value []byte, ifVersion int64) (platform.Object, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.writes++
-	fault := p.lose
-	p.lose = loseNothing
+	fault := p.nextFault
+	p.nextFault = noFault
 	switch fault {
 	case loseUpdate:
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	case delayUpdate:
-		p.late = append(p.late, func() { _ = p.store(value, ifVersion) })
+		p.delayed = append(p.delayed, func() { _ = p.storeLedger(value, ifVersion) })
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
-	if err := p.store(value, ifVersion); err != nil {
+	if err := p.storeLedger(value, ifVersion); err != nil {
 		return platform.Object{}, err
 	}
 	if fault == loseAnswer {
@@ -79,62 +79,62 @@
 	return p.object, nil
 }
 
-// store applies an update under the lock.
-func (w *world) store(value []byte, ifVersion int64) error {
-	if w.object.Version != ifVersion {
+// storeLedger applies an update. The caller holds mu.
+func (sim *simulation) storeLedger(value []byte, ifVersion int64) error {
+	if sim.object.Version != ifVersion {
 		return platform.ErrConflict
 	}
 	var l Ledger
 	if err := json.Unmarshal(value, &l); err != nil {
 		return err
 	}
-	if sum := l.Sum(); !sum.Within(l.Total.Max(w.current.Sum())) {
-		w.breach("the ledger sums to %+v of %+v", sum, l.Total)
+	if sum := l.Sum(); !sum.Within(l.Total.Max(sim.newestLedger.Sum())) {
+		sim.recordViolation("the ledger sums to %+v of %+v", sum, l.Total)
 	}
-	w.current = l
-	w.object.Version++
-	w.object.Value = value
-	for _, m := range w.machines {
-		w.compare(m)
+	sim.newestLedger = l
+	sim.object.Version++
+	sim.object.Value = value
+	for _, m := range sim.instances {
+		sim.checkHeld(m)
 	}
 	return nil
 }
 
-func (p platformOf) Inventory(ctx context.Context) (platform.Inventory, error) {
-	if err := p.reach(ctx); err != nil {
+func (p instancePlatform) Inventory(ctx context.Context) (platform.Inventory, error) {
+	if err := p.simulateCall(ctx); err != nil {
 		return platform.Inventory{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var inventory platform.Inventory
-	for id := range p.list {
+	for id := range p.inventory {
 		inventory.Instances = append(inventory.Instances, platform.Instance{ID: id})
 	}
 	return inventory, nil
 }
 
-func (p platformOf) List(context.Context, platform.Kind) ([]platform.Object, int64, error) {
+func (p instancePlatform) List(context.Context, platform.Kind) ([]platform.Object, int64, error) {
 	return nil, 0, platform.ErrUnavailable
 }
 
-func (p platformOf) Delete(context.Context, platform.Kind, string, int64) error {
+func (p instancePlatform) Delete(context.Context, platform.Kind, string, int64) error {
 	return platform.ErrUnavailable
 }
 
-func (p platformOf) ListStale(context.Context, platform.Kind) ([]platform.Object, int64, error) {
+func (p instancePlatform) ListStale(context.Context, platform.Kind) ([]platform.Object, int64, error) {
 	return nil, 0, platform.ErrUnavailable
 }
 
-func (p platformOf) Watch(context.Context, platform.Kind, int64) ([]platform.Object, int64, error) {
+func (p instancePlatform) Watch(context.Context, platform.Kind, int64) ([]platform.Object, int64, error) {
 	return nil, 0, platform.ErrUnavailable
 }
 
-// deliverLate lets delayed updates arrive.
-func (w *world) deliverLate() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, f := range w.late {
+// deliverDelayed applies all delayed updates.
+func (sim *simulation) deliverDelayed() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, f := range sim.delayed {
 		f()
 	}
-	w.late = nil
+	sim.delayed = nil
 }
--- a/internal/shares/fakeresource_test.go
+++ b/internal/shares/fakeresource_test.go
@@ -9,103 +9,103 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// fakeResource opens as much as is demanded and allowed, keeps what is idle
-// open, and closes slowly when its limit is lowered.
+// fakeResource opens connections up to the demand and the limit, keeps idle ones open,
+// and takes closeLatency to close those above a lowered limit.
 type fakeResource struct {
-	m    *machine
-	unit Amount
-
-	mu      sync.Mutex
-	limit   int
-	want    int
-	held    int
-	extra   int
-	closing bool
-	gone    bool
+	instance *fakeInstance
+	unit     Amount
+
+	mu       sync.Mutex
+	limit    int
+	wanted   int
+	held     int
+	extra    int
+	closing  bool
+	released bool
 	// stuck connections stay in use.
 	stuck bool
 }
 
-// stick keeps what is held in use for good.
-func (r *fakeResource) stick() {
+// keepInUse makes the open connections stay in use for good.
+func (r *fakeResource) keepInUse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stuck = true
 }
 
-// add counts connections beside the limit.
-func (r *fakeResource) add(n int) {
+// addExtra changes the number of connections that do not count towards the limit.
+func (r *fakeResource) addExtra(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.gone {
+	if r.released {
 		return
 	}
 	r.extra += n
-	r.count(n)
+	r.reportHeld(n)
 }
 
-// count tells the members.
-func (r *fakeResource) count(n int) {
-	r.m.w.hold(r.m, Amount{n * r.unit.Connections, n * r.unit.Slots})
+// reportHeld adds n to what members see.
+func (r *fakeResource) reportHeld(n int) {
+	r.instance.sim.addHeld(r.instance, Amount{n * r.unit.Connections, n * r.unit.Slots})
 }
 
-// release drops everything, as the end of the process does.
-func (r *fakeResource) release() {
+// releaseAll closes everything, as the end of the process does.
+func (r *fakeResource) releaseAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(-r.held - r.extra)
-	r.held, r.extra, r.gone = 0, 0, true
+	r.reportHeld(-r.held - r.extra)
+	r.held, r.extra, r.released = 0, 0, true
 }
 
-// demand sets how much callers would use.
-func (r *fakeResource) demand(n int) {
+// setDemand sets how much callers would use.
+func (r *fakeResource) setDemand(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.want = n
-	r.work()
+	r.wanted = n
+	r.adjust()
 }
 
 func (r *fakeResource) Set(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limit = n
-	r.work()
+	r.adjust()
 }
 
-// work opens at once and closes with a delay.
-func (r *fakeResource) work() {
-	if r.gone {
+// adjust opens connections at once and starts closing those above the limit.
+func (r *fakeResource) adjust() {
+	if r.released {
 		return
 	}
-	if grow := min(r.want, r.limit) - r.held; grow > 0 && !r.closing {
+	if grow := min(r.wanted, r.limit) - r.held; grow > 0 && !r.closing {
 		r.held += grow
-		r.count(grow)
+		r.reportHeld(grow)
 	}
 	if r.held > r.limit && !r.closing && !r.stuck {
 		r.closing = true
-		go r.close()
+		go r.closeExcess()
 	}
 }
 
-func (r *fakeResource) close() {
+func (r *fakeResource) closeExcess() {
 	_ = clock.Sleep(context.Background(), clock.System{}, closeLatency)
-	_ = r.m.thawed(context.Background())
+	_ = r.instance.blockWhileFrozen(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closing = false
-	if r.gone {
+	if r.released {
 		return
 	}
 	if over := r.held - r.limit; over > 0 {
 		r.held -= over
-		r.count(-over)
+		r.reportHeld(-over)
 	}
-	r.work()
+	r.adjust()
 }
 
 func (r *fakeResource) Settle(ctx context.Context) error {
 	for {
-		if err := r.m.thawed(ctx); err != nil {
+		if err := r.instance.blockWhileFrozen(ctx); err != nil {
 			return err
 		}
 		r.mu.Lock()
@@ -120,8 +120,8 @@
 	}
 }
 
-// bound returns the limit.
-func (r *fakeResource) bound() int {
+// currentLimit returns the limit that was set last.
+func (r *fakeResource) currentLimit() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limit
@@ -130,5 +130,5 @@
 func (r *fakeResource) Use() (inUse, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(r.held, r.want), max(r.want-r.held, 0)
+	return min(r.held, r.wanted), max(r.wanted-r.held, 0)
 }
--- /dev/null
+++ b/internal/shares/fixedshares_test.go
@@ -0,0 +1,32 @@
+package shares
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+func TestLendingAgainstFixedShares(t *testing.T) {
+	// All callers connect through one failure domain. With fixed shares they get that
+	// domain's part of the total; with lending they also get what the others leave
+	// idle. Neither exceeds the total.
+	used := make(map[string]Amount)
+	for _, kind := range []string{"fixed", "lent"} {
+		runSimulated(t, func(is *is.I, sim *simulation) {
+			a, _, _ := sim.startThree()
+			if kind == "fixed" {
+				sim.locked(func() { a.peersCut = true })
+			}
+			a.connections.setDemand(30)
+			a.slots.setDemand(5)
+			sleep(3 * peakWindow)
+			inUse, _ := a.connections.Use()
+			running, _ := a.slots.Use()
+			used[kind] = Amount{inUse, running}
+		})
+	}
+	t.Logf("usable at one instance: fixed %+v, with lending %+v", used["fixed"], used["lent"])
+	is := is.New(t)
+	is.True(used["fixed"].Within(used["lent"]))
+	is.True(used["lent"].Connections >= 2*used["fixed"].Connections)
+}
--- a/internal/shares/gateresource.go
+++ b/internal/shares/gateresource.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazrock/topazrock/internal/admission"
 
-// Gate makes a gate a Resource.
+// Gate returns a Resource that limits the slots of a gate.
 func Gate(c *admission.Controller) Resource { return gateResource{c} }
 
 type gateResource struct{ *admission.Controller }
--- a/internal/shares/holder.go
+++ b/internal/shares/holder.go
@@ -1,24 +1,24 @@
 package shares
 
-// Holder names the process that holds a seat.
+// Holder identifies the Manager that holds a share.
 type Holder struct {
 	Instance string `json:"instance"`
-	// Incarnation differs for every process, also on the same instance.
+	// Incarnation is different for every process, including processes on one instance.
 	Incarnation string `json:"incarnation"`
-	// Tenure differs for every Manager, also of one process. New fills it in.
-	Tenure        string `json:"tenure"`
+	// ManagerID is different for every Manager of a process. New sets it.
+	ManagerID     string `json:"tenure"`
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 }
 
-// same reports whether h is the Manager o.
-func (h *Holder) same(o Holder) bool {
-	return h != nil && h.Instance == o.Instance && h.Incarnation == o.Incarnation && h.Tenure == o.Tenure
+// sameAs reports whether h and o identify the same Manager.
+func (h *Holder) sameAs(o Holder) bool {
+	return h != nil && h.Instance == o.Instance && h.Incarnation == o.Incarnation && h.ManagerID == o.ManagerID
 }
 
-// precedes reports whether h is an earlier holder at o's address: another
-// process, or a Manager of this one that has closed. It holds nothing any more,
-// for o is the one that takes calls at the address now.
+// precedes reports whether h is an earlier holder at o's address: another process, or a
+// closed Manager of the same process. It no longer holds anything, because o now
+// receives the calls to that address.
 func (h *Holder) precedes(o Holder) bool {
-	return h != nil && h.Address == o.Address && !h.same(o)
+	return h != nil && h.Address == o.Address && !h.sameAs(o)
 }
--- a/internal/shares/layout.go
+++ b/internal/shares/layout.go
@@ -5,33 +5,32 @@
 	"slices"
 )
 
-// Sizes of seats.
+// Numbers of pooled connections in a floor, in addition to control connections.
 const (
-	// usualPooled is how many connections besides those for control a floor has
-	// where the total allows, leastPooled where it is small.
-	usualPooled = 2
-	leastPooled = 1
+	// preferredPooled applies where the total is large enough, minPooled otherwise.
+	preferredPooled = 2
+	minPooled       = 1
 )
 
-// Allocation is what a group's service document says about its limits.
+// Allocation holds a group's limits from the service document.
 type Allocation struct {
-	// Document is the document's version; a higher one replaces a lower one.
+	// Document is the document's version; a higher version replaces a lower one.
 	Document int64
 	Total    Amount
-	// FailureDomains get a seat each.
+	// FailureDomains get one share each.
 	FailureDomains []string
-	// Members is how many members the group has, and PerMember how many
-	// connections each of them takes, where that is what is limited.
+	// Members is the number of members of the group. PerMember is the number of
+	// connections that each member accepts, for groups whose members limit connections.
 	Members   int
 	PerMember int
 }
 
-// layout returns the seats for an allocation. Reserve seats have the size of
-// the floor and no slots: a successor borrows them, and an unused reserve seat
-// then leaves no slot idle. Where the total is small, first floors shrink, then
-// reserve seats go, then domains without a seat of their own remain, whose
-// instances forward to the others.
-func layout(a Allocation, control, reserve int) ([]Seat, error) {
+// planShares returns the shares for an allocation. Reserve shares have the size of the
+// floor and no slots: a successor borrows slots, so an unused reserve share leaves no
+// slot idle. If the total is small, floors shrink first, then there are fewer reserve
+// shares, and then some failure domains get no share; their instances forward requests
+// to the others.
+func planShares(a Allocation, control, reserve int) ([]Share, error) {
 	domains := slices.Sorted(slices.Values(a.FailureDomains))
 	domains = slices.Compact(domains)
 	floor, reserve := chooseFloor(a.Total.Connections, control, len(domains), reserve)
@@ -39,14 +38,14 @@
 		domains = domains[:fit]
 	}
 	if len(domains) == 0 {
-		return nil, fmt.Errorf("shares: %d connections are too few: one instance needs %d", a.Total.Connections, floor)
+		return nil, fmt.Errorf("shares: total of %d connections is too small: one instance needs %d", a.Total.Connections, floor)
 	}
-	connections := split(a.Total.Connections-reserve*floor, len(domains))
-	slots := split(a.Total.Slots, len(domains))
-	var seats []Seat
+	connections := splitEvenly(a.Total.Connections-reserve*floor, len(domains))
+	slots := splitEvenly(a.Total.Slots, len(domains))
+	var shares []Share
 	for i, domain := range domains {
 		target := Amount{connections[i], slots[i]}
-		seats = append(seats, Seat{
+		shares = append(shares, Share{
 			Name:          domain,
 			FailureDomain: domain,
 			Target:        target,
@@ -55,29 +54,29 @@
 	}
 	for i := range reserve {
 		target := Amount{Connections: floor}
-		seats = append(seats, Seat{Name: fmt.Sprintf("reserve-%d", i+1), Target: target, Floor: target})
+		shares = append(shares, Share{Name: fmt.Sprintf("reserve-%d", i+1), Target: target, Floor: target})
 	}
-	return seats, nil
+	return shares, nil
 }
 
-// chooseFloor returns the connections of a floor and the number of reserve
-// seats that fit.
+// chooseFloor returns the number of connections in a floor and the number of reserve
+// shares that fit.
 func chooseFloor(total, control, domains, reserve int) (floor, reserves int) {
 	for ; reserve > 0; reserve-- {
-		for pooled := usualPooled; pooled >= leastPooled; pooled-- {
+		for pooled := preferredPooled; pooled >= minPooled; pooled-- {
 			if (domains+reserve)*(control+pooled) <= total {
 				return control + pooled, reserve
 			}
 		}
 	}
-	if domains*(control+usualPooled) <= total {
-		return control + usualPooled, 0
+	if domains*(control+preferredPooled) <= total {
+		return control + preferredPooled, 0
 	}
-	return control + leastPooled, 0
+	return control + minPooled, 0
 }
 
-// split divides n into parts that differ by one at most.
-func split(n, parts int) []int {
+// splitEvenly divides n into parts that differ by at most one.
+func splitEvenly(n, parts int) []int {
 	sizes := make([]int, parts)
 	for i := range sizes {
 		sizes[i] = n / parts
@@ -88,33 +87,33 @@
 	return sizes
 }
 
-// relayout applies a newer allocation. Sizes that are too large are lowered
-// here only for free seats; holders lower their own.
-func (l *Ledger) relayout(a Allocation, control, reserve int) error {
-	seats, err := layout(a, control, reserve)
+// applyAllocation applies a newer allocation. It lowers the sizes only of free shares;
+// holders lower their own.
+func (l *Ledger) applyAllocation(a Allocation, control, reserve int) error {
+	shares, err := planShares(a, control, reserve)
 	if err != nil {
 		return err
 	}
-	var merged []Seat
-	for _, planned := range seats {
-		if old := l.seat(planned.Name); old != nil {
+	var merged []Share
+	for _, planned := range shares {
+		if old := l.shareNamed(planned.Name); old != nil {
 			planned.Size, planned.Holder, planned.Epoch, planned.Mark = old.Size, old.Holder, old.Epoch, old.Mark
 		}
-		if planned.free() {
+		if planned.isFree() {
 			planned.Size = planned.Size.Min(planned.Target)
 		}
 		merged = append(merged, planned)
 	}
-	for _, old := range l.Seats {
-		planned := slices.ContainsFunc(seats, func(s Seat) bool { return s.Name == old.Name })
-		if !planned && !old.free() {
+	for _, old := range l.Shares {
+		planned := slices.ContainsFunc(shares, func(s Share) bool { return s.Name == old.Name })
+		if !planned && !old.isFree() {
 			old.Target, old.Floor = Amount{}, Amount{}
 			merged = append(merged, old)
 		}
 	}
-	l.Seats = merged
-	l.Document = a.Document
+	l.Shares = merged
+	l.DocumentVersion = a.Document
 	l.Total = a.Total
-	l.level()
+	l.raiseToTargets()
 	return nil
 }
--- a/internal/shares/ledger.go
+++ b/internal/shares/ledger.go
@@ -5,141 +5,142 @@
 	"slices"
 )
 
-// keptChanges is how many change IDs a ledger remembers. A writer whose answer
-// was lost reads again within milliseconds to seconds, and a group has a
-// handful of writers.
-const keptChanges = 32
+// maxRecordedChanges is how many change IDs a ledger keeps. A writer whose answer was
+// lost reads the ledger again within milliseconds to seconds, and a group has a handful
+// of writers.
+const maxRecordedChanges = 32
 
-// Ledger is the allocation of one group, as stored on the platform.
+// Ledger is the division of one group's total into shares, as stored on the platform.
 type Ledger struct {
-	// Document is the version of the service document that Total comes from.
-	Document int64  `json:"document"`
-	Total    Amount `json:"total"`
-	Seats    []Seat `json:"seats"`
+	// DocumentVersion is the version of the service document that Total comes from.
+	DocumentVersion int64   `json:"document"`
+	Total           Amount  `json:"total"`
+	Shares          []Share `json:"seats"`
 	// Changes holds the IDs of the latest changes, the newest last.
 	Changes []string `json:"changes"`
 }
 
-// clone returns a copy that shares nothing that is changed in place.
+// clone returns a copy that can be changed without affecting l.
 func (l Ledger) clone() Ledger {
-	l.Seats = slices.Clone(l.Seats)
+	l.Shares = slices.Clone(l.Shares)
 	l.Changes = slices.Clone(l.Changes)
 	return l
 }
 
-// Sum is what all seats may use together.
+// Sum returns the sum of all shares' sizes.
 func (l *Ledger) Sum() Amount {
 	var sum Amount
-	for _, s := range l.Seats {
+	for _, s := range l.Shares {
 		sum = sum.Plus(s.Size)
 	}
 	return sum
 }
 
-// seatOf returns the seat that a process holds, or nil.
-func (l *Ledger) seatOf(h Holder) *Seat {
-	for i := range l.Seats {
-		if l.Seats[i].Holder.same(h) {
-			return &l.Seats[i]
+// shareOf returns the share that h holds, or nil.
+func (l *Ledger) shareOf(h Holder) *Share {
+	for i := range l.Shares {
+		if l.Shares[i].Holder.sameAs(h) {
+			return &l.Shares[i]
 		}
 	}
 	return nil
 }
 
-// others returns the addresses of all holders but one.
-func (l *Ledger) others(self Holder) []string {
+// otherHolders returns the addresses of all holders except self.
+func (l *Ledger) otherHolders(self Holder) []string {
 	var addresses []string
-	for _, s := range l.Seats {
-		if !s.free() && !s.Holder.same(self) {
+	for _, s := range l.Shares {
+		if !s.isFree() && !s.Holder.sameAs(self) {
 			addresses = append(addresses, s.Holder.Address)
 		}
 	}
 	return addresses
 }
 
-// seat returns the seat of a name, or nil.
-func (l *Ledger) seat(name string) *Seat {
-	for i := range l.Seats {
-		if l.Seats[i].Name == name {
-			return &l.Seats[i]
+// shareNamed returns the share with the given name, or nil.
+func (l *Ledger) shareNamed(name string) *Share {
+	for i := range l.Shares {
+		if l.Shares[i].Name == name {
+			return &l.Shares[i]
 		}
 	}
 	return nil
 }
 
-// record notes a change.
-func (l *Ledger) record(id string) {
+// recordChange appends a change ID and drops the oldest beyond maxRecordedChanges.
+func (l *Ledger) recordChange(id string) {
 	l.Changes = append(l.Changes, id)
-	if n := len(l.Changes); n > keptChanges {
-		l.Changes = slices.Clone(l.Changes[n-keptChanges:])
+	if n := len(l.Changes); n > maxRecordedChanges {
+		l.Changes = slices.Clone(l.Changes[n-maxRecordedChanges:])
 	}
 }
 
-// room is what the total leaves beside the seats' sizes.
-func (l *Ledger) room() Amount { return l.Total.Over(l.Sum()) }
+// unallocated returns the part of the total that no share has.
+func (l *Ledger) unallocated() Amount { return l.Total.ExcessOver(l.Sum()) }
 
-// level raises seats towards their targets as far as the total allows, and
-// reports whether there was one to raise.
-func (l *Ledger) level() bool {
+// raiseToTargets raises shares towards their targets as far as the total allows, and
+// reports whether it raised any.
+func (l *Ledger) raiseToTargets() bool {
 	raised := false
-	for i := range l.Seats {
-		s := &l.Seats[i]
-		part := s.Target.Over(s.Size).Min(l.room())
+	for i := range l.Shares {
+		s := &l.Shares[i]
+		part := s.Target.ExcessOver(s.Size).Min(l.unallocated())
 		s.Size = s.Size.Plus(part)
 		raised = raised || !part.IsZero()
 	}
 	return raised
 }
 
-// giveBack spreads an amount over the seats that are below their target and
-// returns what none of them needs.
-func (l *Ledger) giveBack(from string, amount Amount) Amount {
-	for i := range l.Seats {
-		s := &l.Seats[i]
-		if s.Name == from {
+// fillToTargets distributes an amount taken from the share named source over the other
+// shares that are below their target, and returns the remainder.
+func (l *Ledger) fillToTargets(source string, amount Amount) Amount {
+	for i := range l.Shares {
+		s := &l.Shares[i]
+		if s.Name == source {
 			continue
 		}
-		part := s.Target.Over(s.Size).Min(amount)
+		part := s.Target.ExcessOver(s.Size).Min(amount)
 		s.Size = s.Size.Plus(part)
 		amount = amount.Minus(part)
 	}
 	return amount
 }
 
-// settleFree takes from free seats what they have above their target: first what
-// the total has no room for, then what other seats lack. Seats that no allocation
-// names any more go. It reports whether anything changed.
-func (l *Ledger) settleFree() bool {
+// trimFreeShares takes from free shares what exceeds their target. It drops what
+// exceeds the total and gives the rest to shares below their target. Free shares that
+// have size zero and are no longer in the allocation are deleted. It reports whether
+// anything changed.
+func (l *Ledger) trimFreeShares() bool {
 	changed := false
-	for i := range l.Seats {
-		s := &l.Seats[i]
-		over := s.Size.Over(s.Target)
-		if !s.free() || over.IsZero() {
+	for i := range l.Shares {
+		s := &l.Shares[i]
+		over := s.Size.ExcessOver(s.Target)
+		if !s.isFree() || over.IsZero() {
 			continue
 		}
-		dropped := over.Min(l.Sum().Over(l.Total))
+		dropped := over.Min(l.Sum().ExcessOver(l.Total))
 		over = over.Minus(dropped)
-		moved := over.Minus(l.giveBack(s.Name, over))
+		moved := over.Minus(l.fillToTargets(s.Name, over))
 		s.Size = s.Size.Minus(dropped).Minus(moved)
 		changed = changed || !dropped.Plus(moved).IsZero()
 	}
-	before := len(l.Seats)
-	l.Seats = slices.DeleteFunc(l.Seats, func(s Seat) bool {
-		return s.free() && s.Target.IsZero() && s.Size.IsZero()
+	before := len(l.Shares)
+	l.Shares = slices.DeleteFunc(l.Shares, func(s Share) bool {
+		return s.isFree() && s.Target.IsZero() && s.Size.IsZero()
 	})
-	return changed || len(l.Seats) != before
+	return changed || len(l.Shares) != before
 }
 
-// checkStep returns an error unless the step from before to after keeps the
-// sum within the total. Past a total that was just lowered the sum may only fall.
-func checkStep(before, after *Ledger) error {
+// validateChange returns an error unless a change keeps the sum within the total. If
+// the sum already exceeds a lowered total, the change must not increase it.
+func validateChange(before, after *Ledger) error {
 	sum, bound := after.Sum(), after.Total.Max(before.Sum())
 	if !sum.Within(bound) {
-		return fmt.Errorf("shares: seats sum to %+v, allowed %+v", sum, bound)
+		return fmt.Errorf("shares: ledger sums to %+v, allowed %+v", sum, bound)
 	}
-	for _, s := range after.Seats {
+	for _, s := range after.Shares {
 		if !(Amount{}).Within(s.Size) {
-			return fmt.Errorf("shares: seat %s has size %+v", s.Name, s.Size)
+			return fmt.Errorf("shares: share %s has negative size %+v", s.Name, s.Size)
 		}
 	}
 	return nil
--- a/internal/shares/lending.go
+++ b/internal/shares/lending.go
@@ -4,17 +4,18 @@
 	"context"
 )
 
-// loan is a borrower's call on its way to the goroutine of Run.
-type loan struct {
+// loanRequest is a borrower's call that the goroutine of Run handles.
+type loanRequest struct {
 	request BorrowRequest
 	reply   chan BorrowReply
 }
 
-// lend hands a borrower's call to the goroutine of Run.
-func (m *Manager) lend(ctx context.Context, q BorrowRequest) (BorrowReply, error) {
-	l := loan{request: q, reply: make(chan BorrowReply, 1)}
+// submitLoanRequest passes a borrower's call to the goroutine of Run and waits for the
+// reply.
+func (m *Manager) submitLoanRequest(ctx context.Context, q BorrowRequest) (BorrowReply, error) {
+	l := loanRequest{request: q, reply: make(chan BorrowReply, 1)}
 	select {
-	case m.loans <- l:
+	case m.loanRequests <- l:
 	case <-m.done:
 		return BorrowReply{}, nil
 	case <-ctx.Done():
@@ -28,35 +29,35 @@
 	}
 }
 
-// decide lends what is idle. The connections are closed before the ledger says
-// so, and the ledger says so before the borrower hears of it. When the
-// platform's answer is lost, this instance stays at the lower size until a
-// later version of the ledger has shown what happened.
-func (m *Manager) decide(ctx context.Context, q BorrowRequest) BorrowReply {
-	mine, theirs := m.ledger.seatOf(m.self), m.ledger.seatOf(q.Borrower)
-	if mine == nil || theirs == nil {
-		m.notify()
-		return m.refuse(refusedSeat)
+// handleLoanRequest lends idle capacity. The connections are closed before the ledger
+// is changed, and the ledger is changed before the borrower gets the answer. If the
+// platform's answer is lost, this instance keeps the lower limits until a later version
+// of the ledger shows the outcome.
+func (m *Manager) handleLoanRequest(ctx context.Context, q BorrowRequest) BorrowReply {
+	mine, borrower := m.ledger.shareOf(m.self), m.ledger.shareOf(q.Borrower)
+	if mine == nil || borrower == nil {
+		m.requestRefresh()
+		return m.refuseLoan(refusedNoShare)
 	}
-	part := m.idle(mine).Min(q.Want)
+	part := m.idleCapacity(mine).Min(q.Want)
 	if part.IsZero() {
-		m.turnedAway[q.Borrower.Address] = struct{}{}
-		return m.refuse(refusedIdle)
+		m.refusedBorrowers[q.Borrower.Address] = struct{}{}
+		return m.refuseLoan(refusedIdle)
 	}
 	before := mine.Size
-	if !m.lower(ctx, before.Minus(part)) {
-		m.apply(before)
-		return m.refuse(refusedSettle)
+	if !m.lowerLimits(ctx, before.Minus(part)) {
+		m.applyLimits(before)
+		return m.refuseLoan(refusedNotClosed)
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
-	lent := m.change(ctx, changeLend, func(l *Ledger) bool {
-		mine, theirs := l.seatOf(m.self), l.seatOf(q.Borrower)
-		if mine == nil || theirs == nil || mine.Size != before {
+	lent := m.changeLedger(ctx, changeLend, func(l *Ledger) bool {
+		mine, borrower := l.shareOf(m.self), l.shareOf(q.Borrower)
+		if mine == nil || borrower == nil || mine.Size != before {
 			return false
 		}
 		mine.Size = mine.Size.Minus(part)
-		theirs.Size = theirs.Size.Plus(part)
+		borrower.Size = borrower.Size.Plus(part)
 		return true
 	})
 	if !lent {
@@ -65,24 +66,28 @@
 	return BorrowReply{Lent: part}
 }
 
-func (m *Manager) refuse(reason string) BorrowReply {
+func (m *Manager) refuseLoan(reason string) BorrowReply {
 	m.cfg.Metrics.refused.WithLabelValues(m.cfg.Group, reason).Inc()
 	return BorrowReply{}
 }
 
-// lower bounds the resources and reports whether they fit in time.
-func (m *Manager) lower(ctx context.Context, size Amount) bool {
+// lowerLimits lowers the limits and reports whether usage falls within them before
+// LendTimeout.
+func (m *Manager) lowerLimits(ctx context.Context, size Amount) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.LendTimeout)
 	defer cancel()
-	m.apply(size)
-	return m.settle(ctx) == nil
+	m.applyLimits(size)
+	return m.waitWithinLimits(ctx) == nil
 }
 
-// needed is what this instance used at most lately, with one connection to
-// spare, and at least one slot.
-func (m *Manager) needed() Amount {
-	return Amount{m.cfg.Control + m.connections.peak() + 1, max(m.slots.peak(), 1)}
+// recentNeed returns this instance's recent peak usage plus one spare connection, with
+// at least one slot.
+func (m *Manager) recentNeed() Amount {
+	return Amount{m.cfg.Control + m.connectionUsage.peak() + 1, max(m.slotUsage.peak(), 1)}
 }
 
-// idle is what could be lent: all above the floor that is not needed.
-func (m *Manager) idle(s *Seat) Amount { return s.Size.Over(s.Floor.Max(m.needed())) }
+// idleCapacity returns what could be lent: the part of the share above both its floor
+// and the recent need.
+func (m *Manager) idleCapacity(s *Share) Amount {
+	return s.Size.ExcessOver(s.Floor.Max(m.recentNeed()))
+}
--- a/internal/shares/lending_test.go
+++ b/internal/shares/lending_test.go
@@ -7,132 +7,133 @@
 	"github.com/matryer/is"
 )
 
-func TestIdleShareIsLent(t *testing.T) {
-	// One home has more callers than its share; the others are idle. The lender
-	// closes before the ledger says so, and the borrower has it within a second.
-	run(t, func(is *is.I, w *world) {
-		a, b, _ := w.three()
+func TestIdleCapacityIsLent(t *testing.T) {
+	// One instance has more callers than its share allows; the others are idle. The
+	// lender closes connections before the ledger changes, and the borrower has the
+	// capacity within a second.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, _ := sim.startThree()
 		before := a.manager.Limit()
-		b.connections.demand(4)
-		after(3 * peakWindow)
-		b.connections.demand(0)
-		after(3 * peakWindow)
-		a.connections.demand(20)
+		b.connections.setDemand(4)
+		sleep(3 * peakWindow)
+		b.connections.setDemand(0)
+		sleep(3 * peakWindow)
+		a.connections.setDemand(20)
 		began := time.Now()
 		for a.manager.Limit().Connections == before.Connections {
-			after(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
 		t.Logf("share lent after %v", time.Since(began))
 		is.True(time.Since(began) <= time.Second)
-		after(10 * time.Second)
+		sleep(10 * time.Second)
 		is.True(a.manager.Limit().Connections >= before.Connections+4)
 	})
 }
 
 func TestLenderClosesBeforeItLends(t *testing.T) {
-	// All five seats are taken and every connection of the total is open, most
-	// of them idle. One home gets more callers. What it borrows was closed by
-	// the lender before, so members never see one connection more.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		machines := []*machine{a, b, c, w.start("a2", "poa-a"), w.start("b2", "poa-b")}
-		after(5 * time.Second)
+	// All five shares are taken and every connection of the total is open, most of them
+	// idle. One instance gets more callers. The lender closes connections before it
+	// lends them, so members never see one connection too many.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		machines := []*fakeInstance{a, b, c, sim.startInstance("a2", "poa-a"), sim.startInstance("b2", "poa-b")}
+		sleep(5 * time.Second)
 		for _, m := range machines {
-			m.connections.demand(9)
+			m.connections.setDemand(9)
 		}
-		after(5 * time.Second)
-		is.Equal(w.seen().Connections, total.Connections)
+		sleep(5 * time.Second)
+		is.Equal(sim.heldByMembers().Connections, total.Connections)
 		for _, m := range machines {
-			m.connections.demand(0)
+			m.connections.setDemand(0)
 		}
-		after(3 * peakWindow)
+		sleep(3 * peakWindow)
 		before := a.manager.Limit()
-		a.connections.demand(20)
-		after(10 * time.Second)
+		a.connections.setDemand(20)
+		sleep(10 * time.Second)
 		is.True(a.manager.Limit().Connections > before.Connections)
 	})
 }
 
-func TestBorrowedShareComesBack(t *testing.T) {
-	// A borrower is idle again. At its slow beat it closes what it borrowed and
-	// gives it to the seat that is below its target.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		before := w.ledger()
-		a.connections.demand(20)
-		a.slots.demand(4)
-		after(20 * time.Second)
-		is.True(a.manager.Limit() != before.seat("poa-a").Size)
-		a.connections.demand(0)
-		a.slots.demand(0)
-		after(3 * time.Minute)
-		l := w.ledger()
-		for _, m := range []*machine{a, b, c} {
-			is.Equal(m.manager.Limit(), l.seatOf(m.manager.self).Target)
+func TestBorrowedCapacityIsReturned(t *testing.T) {
+	// A borrower becomes idle again. At a periodic refresh it closes the borrowed
+	// connections and returns them to the share that is below its target.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		before := sim.readLedger()
+		a.connections.setDemand(20)
+		a.slots.setDemand(4)
+		sleep(20 * time.Second)
+		is.True(a.manager.Limit() != before.shareNamed("poa-a").Size)
+		a.connections.setDemand(0)
+		a.slots.setDemand(0)
+		sleep(3 * time.Minute)
+		l := sim.readLedger()
+		for _, m := range []*fakeInstance{a, b, c} {
+			is.Equal(m.manager.Limit(), l.shareOf(m.manager.self).Target)
 		}
 	})
 }
 
-func TestLostAnswerOfALoanIsSettled(t *testing.T) {
-	// The platform's answer to the lender's update is lost: it took effect, it
-	// was lost, or it takes effect long after. The lender stays at the lower
-	// size until a later version shows which; the sum holds in each case.
-	for name, fault := range map[string]loss{"took effect": loseAnswer, "was lost": loseUpdate, "comes late": delayUpdate} {
+func TestLostLoanAnswerIsResolved(t *testing.T) {
+	// The lender's update of the ledger gets no answer from the platform: the update
+	// took effect, was lost, or takes effect much later. The lender keeps the lower
+	// limits until a later version shows the outcome. The sum must hold in each case.
+	for name, fault := range map[string]updateFault{"took effect": loseAnswer, "was lost": loseUpdate, "comes late": delayUpdate} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(is *is.I, w *world) {
-				a, b, c := w.three()
-				w.set(func() { w.lose = fault })
-				a.connections.demand(20)
-				for w.faulty() {
-					after(time.Millisecond)
+			runSimulated(t, func(is *is.I, sim *simulation) {
+				a, b, c := sim.startThree()
+				sim.locked(func() { sim.nextFault = fault })
+				a.connections.setDemand(20)
+				for sim.faultPending() {
+					sleep(time.Millisecond)
 				}
-				after(2 * callLatency)
-				b.connections.demand(30)
-				c.connections.demand(30)
-				w.deliverLate()
-				after(30 * time.Second)
-				l := w.ledger()
+				sleep(2 * callLatency)
+				b.connections.setDemand(30)
+				c.connections.setDemand(30)
+				sim.deliverDelayed()
+				sleep(30 * time.Second)
+				l := sim.readLedger()
 				is.Equal(l.Sum(), total)
-				for _, m := range []*machine{a, b, c} {
-					is.Equal(m.manager.Limit(), l.seatOf(m.manager.self).Size)
+				for _, m := range []*fakeInstance{a, b, c} {
+					is.Equal(m.manager.Limit(), l.shareOf(m.manager.self).Size)
 				}
 			})
 		})
 	}
 }
 
-func TestLostMessageOfALenderLosesNothing(t *testing.T) {
-	// The lender's answer to the borrower is lost. The ledger has the change, so
-	// the borrower finds its share at its next reading and nothing is doubled.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
+func TestLostLenderAnswerLosesNoCapacity(t *testing.T) {
+	// The lender's answer to the borrower is lost. The ledger contains the change, so
+	// the borrower finds its capacity at the next refresh and nothing is counted twice.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
 		before := a.manager.Limit()
-		w.set(func() { b.dropNext, c.dropNext = true, true })
-		a.connections.demand(20)
-		after(time.Minute)
+		sim.locked(func() { b.dropNextAnswer, c.dropNextAnswer = true, true })
+		a.connections.setDemand(20)
+		sleep(time.Minute)
 		is.True(a.manager.Limit().Connections > before.Connections)
-		l := w.ledger()
+		l := sim.readLedger()
 		is.Equal(l.Sum(), total)
 	})
 }
 
 func TestFrozenBorrowerKeepsItsLoan(t *testing.T) {
-	// A borrower freezes for half an hour with borrowed connections open. Nobody may
-	// use them meanwhile: a lease that ran out by time would have let the lender
-	// open its own beside them. After the thaw all goes on.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		a.connections.demand(20)
-		after(20 * time.Second)
+	// A borrower freezes for half an hour with borrowed connections open. Nobody else
+	// may use them meanwhile: with a lease that expired by time, the lender would open
+	// its own connections in addition. After the thaw the borrower continues normally.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		a.connections.setDemand(20)
+		sleep(20 * time.Second)
 		borrowed := a.manager.Limit()
 		a.freeze()
-		b.connections.demand(30)
-		c.connections.demand(30)
-		after(3 * DefaultAgeOut)
-		l := w.ledger()
-		is.Equal(l.seatOf(a.manager.self).Size, borrowed)
+		b.connections.setDemand(30)
+		c.connections.setDemand(30)
+		sleep(3 * DefaultHolderExpiry)
+		l := sim.readLedger()
+		is.Equal(l.shareOf(a.manager.self).Size, borrowed)
 		a.thaw()
-		after(10 * time.Second)
-		is.Equal(w.seatName(a), "poa-a")
+		sleep(10 * time.Second)
+		is.Equal(sim.shareName(a), "poa-a")
 	})
 }
--- a/internal/shares/main_test.go
+++ b/internal/shares/main_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// batches is how often a state machine is run with another seed. rapid ends a
-// run after a day of virtual time, so one run has only some thirty checks.
-var batches = flag.Int("batches", defaultBatches, "runs of each state machine, each with its own seed")
+// seedBatches is the number of runs of each state machine, each with its own seed.
+// rapid ends a run after a day of virtual time, so one run has only some thirty checks.
+var seedBatches = flag.Int("batches", defaultSeedBatches, "runs of each state machine, each with its own seed")
 
 // TestMain parses the flags before the tests use them.
 func TestMain(m *testing.M) {
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// seedBatch fixes the seed, so that every run gives the same verdict.
-func seedBatch(batch int) {
+// setSeed sets a fixed seed for a batch, so that every run has the same result.
+func setSeed(batch int) {
 	_ = flag.Set("rapid.seed", strconv.Itoa((batch+1)*1_000_000))
 }
--- a/internal/shares/manager.go
+++ b/internal/shares/manager.go
@@ -9,81 +9,82 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Manager keeps one group's connections and slots on this instance within the
-// instance's seat.
+// Manager keeps the connections and slots that this instance uses of one group within
+// the instance's share.
 type Manager struct {
 	cfg Config
-	// self is Config.Self with this Manager's tenure.
+	// self is Config.Self with the ID of this Manager.
 	self  Holder
 	log   hclog.Logger
-	store store
-	// loans takes calls of borrowers to the goroutine of Run.
-	loans chan loan
-	// noticed tells that the ledger should be read.
-	noticed chan struct{}
-	done    chan struct{}
-
-	// What follows belongs to the goroutine of Run.
-	ledger      Ledger
-	connections usage
-	slots       usage
-	seekAfter   time.Time
-	seekPause   time.Duration
-	seatPause   time.Duration
-	// suspicions holds the holders that seem to have vanished, by seat.
+	store ledgerStore
+	// loanRequests passes borrowers' calls to the goroutine of Run.
+	loanRequests chan loanRequest
+	// refreshRequested makes Run read the ledger.
+	refreshRequested chan struct{}
+	done             chan struct{}
+
+	// The fields up to mu are used only by the goroutine of Run.
+	ledger          Ledger
+	connectionUsage usage
+	slotUsage       usage
+	nextBorrowAt    time.Time
+	borrowBackoff   time.Duration
+	acquireBackoff  time.Duration
+	// suspicions holds the suspected loss of holders, by share name.
 	suspicions map[string]suspicion
-	// turnedAway holds the addresses of borrowers that were refused.
-	turnedAway map[string]struct{}
-	// doubtful says that a change failed and the ledger should be read soon.
-	doubtful bool
-	// announced is what SeatChanged was last told.
-	announced bool
+	// refusedBorrowers holds the addresses of borrowers that were refused a loan.
+	refusedBorrowers map[string]struct{}
+	// changeFailed is set when a change failed, so that the ledger is read again soon.
+	changeFailed bool
+	// announcedHeld is the value last passed to SeatChanged.
+	announcedHeld bool
 
 	mu sync.Mutex
-	// seated is true while this Manager uses a seat.
-	seated bool
-	// claiming is true from before a seat is taken until the outcome is known.
-	// A peer that meets this instance in the ledger meanwhile must not be told
-	// that it holds nothing: it would take the seat, and both would use it.
+	// shareHeld is true while this Manager uses a share.
+	shareHeld bool
+	// claiming is true from before a share is taken until the outcome is known. Until
+	// then a peer that finds this instance in the ledger must not be told that it holds
+	// nothing: the peer would take the share, and both would use it.
 	claiming bool
-	// offered says that another holder has share to lend or gave some back.
-	offered    bool
-	size       Amount
-	allocation Allocation
+	// offerReceived is set when another holder has capacity to lend or returned some.
+	offerReceived bool
+	size          Amount
+	allocation    Allocation
 }
 
-// tenures counts the Managers of this process. It is no random number, because
-// two Managers of one group may be given sources with the same seed, and would
-// then take each other's seats and changes for their own.
-var tenures atomic.Uint64
+// managersCreated numbers the Managers of this process. Manager IDs are not random: two
+// Managers of one group may have random sources with the same seed, and each would then
+// mistake the other's share and changes for its own.
+var managersCreated atomic.Uint64
 
-// New returns a Manager that holds nothing. A process has one Manager of a group
-// at a time: make the next one only after Close of the last returned nil.
+// New returns a Manager that holds nothing. A process may have only one Manager of a
+// group at a time: create the next one only after Close of the previous one returned
+// nil.
 func New(cfg Config, a Allocation) *Manager {
 	cfg = cfg.withDefaults()
 	self := cfg.Self
-	self.Tenure = strconv.FormatUint(tenures.Add(1), 36)
+	self.ManagerID = strconv.FormatUint(managersCreated.Add(1), 36)
 	return &Manager{
 		cfg:  cfg,
 		self: self,
 		log:  cfg.Logger.Named("shares"),
-		store: store{
-			api:    cfg.Platform,
-			group:  cfg.Group,
-			clock:  cfg.Clock,
-			rand:   cfg.Rand,
-			prefix: self.Instance + "-" + self.Incarnation + "-" + self.Tenure,
+		store: ledgerStore{
+			api:      cfg.Platform,
+			group:    cfg.Group,
+			clock:    cfg.Clock,
+			rand:     cfg.Rand,
+			idPrefix: self.Instance + "-" + self.Incarnation + "-" + self.ManagerID,
 		},
-		loans:      make(chan loan),
-		noticed:    make(chan struct{}, 1),
-		done:       make(chan struct{}),
-		suspicions: make(map[string]suspicion),
-		turnedAway: make(map[string]struct{}),
-		allocation: a,
+		loanRequests:     make(chan loanRequest),
+		refreshRequested: make(chan struct{}, 1),
+		done:             make(chan struct{}),
+		suspicions:       make(map[string]suspicion),
+		refusedBorrowers: make(map[string]struct{}),
+		allocation:       a,
 	}
 }
 
-// SetAllocation takes a newer version of the service document's limits.
+// SetAllocation replaces the group's limits if a comes from a newer service document.
 func (m *Manager) SetAllocation(a Allocation) {
 	m.mu.Lock()
 	newer := a.Document > m.allocation.Document
@@ -92,43 +93,43 @@
 	}
 	m.mu.Unlock()
 	if newer {
-		m.notify()
+		m.requestRefresh()
 	}
 }
 
-// Limit returns what this instance may use now, connections for control
-// included.
+// Limit returns what this instance may use now, including control connections.
 func (m *Manager) Limit() Amount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.size
 }
 
-// Seated reports whether this instance holds a seat of the group, so that it
-// may have connections to its members.
+// Seated reports whether this instance holds a share of the group and so may open
+// connections to its members.
 func (m *Manager) Seated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.seated
+	return m.shareHeld
 }
 
-// holds reports whether this instance has connections or may have some soon.
-func (m *Manager) holds() bool {
+// mayHoldConnections reports whether this instance has connections or may soon open
+// some.
+func (m *Manager) mayHoldConnections() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.seated || m.claiming
+	return m.shareHeld || m.claiming
 }
 
-func (m *Manager) setSeated(seated bool) {
+func (m *Manager) setShareHeld(held bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.seated = seated
+	m.shareHeld = held
 	m.claiming = false
 	value := 0.0
-	if seated {
+	if held {
 		value = 1
 	}
-	m.cfg.Metrics.seated.WithLabelValues(m.cfg.Group).Set(value)
+	m.cfg.Metrics.shareHeld.WithLabelValues(m.cfg.Group).Set(value)
 }
 
 func (m *Manager) setClaiming() {
@@ -137,34 +138,34 @@
 	m.claiming = true
 }
 
-func (m *Manager) allocated() Allocation {
+func (m *Manager) currentAllocation() Allocation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.allocation
 }
 
-// hear takes another holder's notice that the ledger is worth reading and that
-// asking for share is worth while.
-func (m *Manager) hear() {
+// handleCapacityNotice handles another holder's notice that capacity may be available:
+// Run reads the ledger and tries to borrow without waiting for its backoff.
+func (m *Manager) handleCapacityNotice() {
 	m.mu.Lock()
-	m.offered = true
+	m.offerReceived = true
 	m.mu.Unlock()
-	m.notify()
+	m.requestRefresh()
 }
 
-// takeOffer reports whether there was a notice since the last call.
-func (m *Manager) takeOffer() bool {
+// consumeOffer reports whether a notice arrived since the last call.
+func (m *Manager) consumeOffer() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	offered := m.offered
-	m.offered = false
+	offered := m.offerReceived
+	m.offerReceived = false
 	return offered
 }
 
-// notify makes Run read the ledger soon.
-func (m *Manager) notify() {
+// requestRefresh makes Run read the ledger soon.
+func (m *Manager) requestRefresh() {
 	select {
-	case m.noticed <- struct{}{}:
+	case m.refreshRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/shares/manager_test.go
+++ b/internal/shares/manager_test.go
@@ -11,185 +11,188 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// after sleeps in virtual time.
-func after(d time.Duration) {
+// sleep sleeps in virtual time.
+func sleep(d time.Duration) {
 	_ = clock.Sleep(context.Background(), clock.System{}, d)
 }
 
-// run gives the test a world and ends all of its processes afterwards.
-func run(t *testing.T, test func(is *is.I, w *world)) {
+// runSimulated runs a test with a simulation, and afterwards ends all processes and
+// checks that members never held more than they may.
+func runSimulated(t *testing.T, test func(is *is.I, sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		defer w.end()
-		test(is.New(t), w)
-		if w.violation != "" {
-			t.Error(w.violation)
+		sim := newSimulation(t)
+		defer sim.stop()
+		test(is.New(t), sim)
+		if sim.violation != "" {
+			t.Error(sim.violation)
 		}
-		if !w.highest.Within(total) {
-			t.Errorf("members held %+v at most, the total is %+v", w.highest, total)
+		if !sim.maxHeld.Within(total) {
+			t.Errorf("members held %+v at most, the total is %+v", sim.maxHeld, total)
 		}
 	})
 }
 
-// end kills all processes and waits until their goroutines are gone.
-func (w *world) end() {
-	for _, m := range w.machines {
+// stop kills all processes and waits until their goroutines have ended.
+func (sim *simulation) stop() {
+	for _, m := range sim.instances {
 		m.kill()
 	}
-	after(time.Minute)
+	sleep(time.Minute)
 }
 
-// three starts one instance in each failure domain.
-func (w *world) three() (a, b, c *machine) {
-	a, b, c = w.start("a1", "poa-a"), w.start("b1", "poa-b"), w.start("c1", "fln-c")
-	after(5 * time.Second)
+// startThree starts one instance in each failure domain.
+func (sim *simulation) startThree() (a, b, c *fakeInstance) {
+	a, b, c = sim.startInstance("a1", "poa-a"), sim.startInstance("b1", "poa-b"), sim.startInstance("c1", "fln-c")
+	sleep(5 * time.Second)
 	return a, b, c
 }
 
-// seatName returns the name of the seat that a machine holds.
-func (w *world) seatName(m *machine) string {
-	l := w.ledger()
-	if s := l.seatOf(m.manager.self); s != nil {
+// shareName returns the name of the share that an instance holds.
+func (sim *simulation) shareName(m *fakeInstance) string {
+	l := sim.readLedger()
+	if s := l.shareOf(m.manager.self); s != nil {
 		return s.Name
 	}
 	return ""
 }
 
-func TestEachFailureDomainGetsItsSeat(t *testing.T) {
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		is.Equal(w.seatName(a), "poa-a")
-		is.Equal(w.seatName(b), "poa-b")
-		is.Equal(w.seatName(c), "fln-c")
-		l := w.ledger()
+func TestEachFailureDomainGetsItsShare(t *testing.T) {
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		is.Equal(sim.shareName(a), "poa-a")
+		is.Equal(sim.shareName(b), "poa-b")
+		is.Equal(sim.shareName(c), "fln-c")
+		l := sim.readLedger()
 		is.Equal(l.Sum(), total)
-		is.Equal(a.connections.bound(), a.manager.Limit().Connections-testControl)
+		is.Equal(a.connections.currentLimit(), a.manager.Limit().Connections-testControl)
 	})
 }
 
-func TestCutOffHomeGoesOnServing(t *testing.T) {
+func TestCutOffHolderKeepsServing(t *testing.T) {
 	// A failure domain loses the platform and all peers for half an hour, and the
-	// platform drops it from its list. Its home keeps its whole seat, no other
-	// domain takes it, and a mark is not enough.
-	run(t, func(is *is.I, w *world) {
-		a, b, _ := w.three()
-		w.set(func() { a.cutOff, a.deaf = true, true })
-		w.set(func() { delete(w.list, "a1") })
-		b.connections.demand(30)
+	// platform removes its instance from the inventory. The instance keeps its whole
+	// share: no other domain may take it, and a suspect mark is not enough.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, _ := sim.startThree()
+		sim.locked(func() { a.platformCut, a.peersCut = true, true })
+		sim.locked(func() { delete(sim.inventory, "a1") })
+		b.connections.setDemand(30)
 		before := a.manager.Limit()
-		w.start("b2", "poa-b")
-		w.start("c2", "fln-c")
-		after(3 * DefaultAgeOut)
+		sim.startInstance("b2", "poa-b")
+		sim.startInstance("c2", "fln-c")
+		sleep(3 * DefaultHolderExpiry)
 		is.Equal(a.manager.Limit(), before)
-		is.Equal(w.seatName(a), "poa-a")
-		a.connections.demand(30)
-		after(time.Second)
+		is.Equal(sim.shareName(a), "poa-a")
+		a.connections.setDemand(30)
+		sleep(time.Second)
 	})
 }
 
-func TestPlatformOutageCostsNothing(t *testing.T) {
-	// The platform is down for half an hour. Every home keeps its seat and its size.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		w.set(func() { w.down = true })
-		for _, m := range []*machine{a, b, c} {
-			m.connections.demand(30)
-			m.slots.demand(5)
+func TestPlatformOutageKeepsShares(t *testing.T) {
+	// The platform is down for half an hour. Every instance keeps its share at full
+	// size.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		sim.locked(func() { sim.platformDown = true })
+		for _, m := range []*fakeInstance{a, b, c} {
+			m.connections.setDemand(30)
+			m.slots.setDemand(5)
 		}
-		after(3 * DefaultAgeOut)
-		is.Equal(w.seen(), a.manager.Limit().Plus(b.manager.Limit()).Plus(c.manager.Limit()))
-		w.set(func() { w.down = false })
-		after(time.Minute)
-		is.Equal(w.seatName(a), "poa-a")
+		sleep(3 * DefaultHolderExpiry)
+		is.Equal(sim.heldByMembers(), a.manager.Limit().Plus(b.manager.Limit()).Plus(c.manager.Limit()))
+		sim.locked(func() { sim.platformDown = false })
+		sleep(time.Minute)
+		is.Equal(sim.shareName(a), "poa-a")
 	})
 }
 
-func TestRestartedProcessTakesItsSeatAtOnce(t *testing.T) {
-	// A process dies and a new one starts on the same instance. It takes calls
-	// at the same address, which proves that the old one is gone.
-	run(t, func(is *is.I, w *world) {
-		a, _, _ := w.three()
-		a.connections.demand(5)
+func TestRestartedProcessTakesItsShareAtOnce(t *testing.T) {
+	// A process dies and a new one starts on the same instance. It answers calls at the
+	// same address, which proves that the old process has ended.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, _, _ := sim.startThree()
+		a.connections.setDemand(5)
 		a.kill()
-		a = w.start("a1", "poa-a")
-		after(time.Second)
-		is.Equal(w.seatName(a), "poa-a")
+		a = sim.startInstance("a1", "poa-a")
+		sleep(time.Second)
+		is.Equal(sim.shareName(a), "poa-a")
 	})
 }
 
-func TestReplacedInstanceTakesAReserveSeat(t *testing.T) {
-	// A machine dies without a word and another one takes its place. There is no
-	// proof that the old one holds nothing, so the new one serves from a reserve
-	// seat at once, borrows, and moves to the domain's seat when that has aged out.
-	run(t, func(is *is.I, w *world) {
-		a, _, _ := w.three()
-		a.connections.demand(5)
-		after(time.Second)
+func TestReplacementTakesReserveShare(t *testing.T) {
+	// An instance dies without notice and another one replaces it. There is no proof
+	// that the old one holds nothing, so the replacement takes a reserve share at once,
+	// borrows, and moves to the domain's share when HolderExpiry has passed.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, _, _ := sim.startThree()
+		a.connections.setDemand(5)
+		sleep(time.Second)
 		a.kill()
-		replacement := w.start("a2", "poa-a")
-		after(5 * time.Second)
-		is.Equal(w.seatName(replacement), "reserve-1")
+		replacement := sim.startInstance("a2", "poa-a")
+		sleep(5 * time.Second)
+		is.Equal(sim.shareName(replacement), "reserve-1")
 		is.True(replacement.manager.Limit().Slots >= 1)
-		after(20 * time.Minute)
-		is.Equal(w.seatName(replacement), "reserve-1")
-		w.set(func() { delete(w.list, "a1") })
-		after(DefaultAgeOut - time.Minute)
-		is.Equal(w.seatName(replacement), "reserve-1")
-		after(5 * time.Minute)
-		is.Equal(w.seatName(replacement), "poa-a")
-		after(time.Minute)
-		l := w.ledger()
+		sleep(20 * time.Minute)
+		is.Equal(sim.shareName(replacement), "reserve-1")
+		sim.locked(func() { delete(sim.inventory, "a1") })
+		sleep(DefaultHolderExpiry - time.Minute)
+		is.Equal(sim.shareName(replacement), "reserve-1")
+		sleep(5 * time.Minute)
+		is.Equal(sim.shareName(replacement), "poa-a")
+		sleep(time.Minute)
+		l := sim.readLedger()
 		is.Equal(l.Sum(), total)
 	})
 }
 
-func TestWrongListMovesNoSeat(t *testing.T) {
-	// The platform's list drops a living home, and a second instance of its
-	// domain wants the seat. The home answers peers and removes any mark.
-	run(t, func(is *is.I, w *world) {
-		a, _, _ := w.three()
-		w.set(func() { delete(w.list, "a1") })
-		w.start("a2", "poa-a")
-		after(3 * DefaultAgeOut)
-		is.Equal(w.seatName(a), "poa-a")
-		w.set(func() { a.deaf = true })
-		after(3 * DefaultAgeOut)
-		is.Equal(w.seatName(a), "poa-a")
+func TestWrongInventoryMovesNoShare(t *testing.T) {
+	// The platform's inventory omits a running instance, and a second instance of its
+	// domain tries to take the share. The holder answers peers and removes any suspect
+	// mark.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, _, _ := sim.startThree()
+		sim.locked(func() { delete(sim.inventory, "a1") })
+		sim.startInstance("a2", "poa-a")
+		sleep(3 * DefaultHolderExpiry)
+		is.Equal(sim.shareName(a), "poa-a")
+		sim.locked(func() { a.peersCut = true })
+		sleep(3 * DefaultHolderExpiry)
+		is.Equal(sim.shareName(a), "poa-a")
 	})
 }
 
-func TestGracefulStopHandsTheSeatOver(t *testing.T) {
-	// A home stops as planned while another instance of its domain waits on a
-	// reserve seat. The seat is given up after its connections closed, and the
-	// other one is told and has it within a second.
-	run(t, func(is *is.I, w *world) {
-		a, _, _ := w.three()
-		second := w.start("a2", "poa-a")
-		after(5 * time.Second)
-		is.Equal(w.seatName(second), "reserve-1")
-		a.connections.demand(5)
+func TestGracefulStopReleasesShareToSuccessor(t *testing.T) {
+	// An instance stops as planned while another instance of its domain holds a reserve
+	// share. The share is released after its connections have closed, and the other
+	// instance is notified and has it within a second.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, _, _ := sim.startThree()
+		second := sim.startInstance("a2", "poa-a")
+		sleep(5 * time.Second)
+		is.Equal(sim.shareName(second), "reserve-1")
+		a.connections.setDemand(5)
 		is.NoErr(a.shutdown(10 * time.Second))
-		after(time.Second)
-		is.Equal(w.seatName(second), "poa-a")
+		sleep(time.Second)
+		is.Equal(sim.shareName(second), "poa-a")
 	})
 }
 
-func TestUnfinishedStopIsNoProof(t *testing.T) {
-	// A home's stop runs out of time while a connection is still in use. Until
-	// its process ends it must not tell peers that it holds nothing: the next
-	// one would take the seat and open connections beside it.
-	run(t, func(is *is.I, w *world) {
-		a, _, _ := w.three()
-		a.connections.demand(5)
-		a.connections.stick()
+func TestFailedCloseDoesNotFreeShare(t *testing.T) {
+	// Close times out while a connection is still in use. Until the process ends it
+	// must not tell peers that it holds nothing: the next instance would take the share
+	// and open connections in addition.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, _, _ := sim.startThree()
+		a.connections.setDemand(5)
+		a.connections.keepInUse()
 		a.stop()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		is.True(a.manager.Close(ctx) != nil)
 		a.directory.Remove(testGroup)
-		second := w.start("a2", "poa-a")
-		after(time.Minute)
-		is.Equal(w.seatName(second), "reserve-1")
+		second := sim.startInstance("a2", "poa-a")
+		sleep(time.Minute)
+		is.Equal(sim.shareName(second), "reserve-1")
 	})
 }
--- a/internal/shares/messages.go
+++ b/internal/shares/messages.go
@@ -1,48 +1,51 @@
 package shares
 
-// Methods between instances.
+// Methods that instances call on each other.
 const (
-	// MethodBorrow asks a holder to lend; BorrowRequest and BorrowReply.
+	// MethodBorrow asks a holder for a loan. It takes a BorrowRequest and returns a
+	// BorrowReply.
 	MethodBorrow = "shares.borrow"
-	// MethodReturn tells that share was given back or can be lent; Notice and Empty.
-	MethodReturn = "shares.return"
-	// MethodHolder asks who answers at an address; HolderRequest and HolderReply.
+	// MethodCapacityNotice announces that capacity was returned or can be lent. It
+	// takes a CapacityNotice and returns Empty.
+	MethodCapacityNotice = "shares.return"
+	// MethodHolder asks which process answers at an address. It takes a HolderRequest
+	// and returns a HolderReply.
 	MethodHolder = "shares.holder"
 )
 
-// BorrowRequest asks for idle share.
+// BorrowRequest asks for idle capacity.
 type BorrowRequest struct {
 	Group string `json:"group"`
-	// Borrower must hold a seat in the ledger.
+	// Borrower must hold a share in the ledger.
 	Borrower Holder `json:"borrower"`
 	Want     Amount `json:"want"`
 }
 
-// BorrowReply tells what was moved to the borrower's seat. The ledger counts,
-// not this message.
+// BorrowReply reports what was moved to the borrower's share. The ledger is
+// authoritative, not this message.
 type BorrowReply struct {
 	Lent Amount `json:"lent"`
 }
 
-// Notice tells that the ledger of a group changed in the receiver's favour, or
-// that the sender can lend what it refused before.
-type Notice struct {
+// CapacityNotice announces that the ledger of a group changed to the receiver's
+// advantage, or that the sender can now lend what it refused before.
+type CapacityNotice struct {
 	Group string `json:"group"`
 }
 
-// Empty is an answer without content.
+// Empty is a reply without content.
 type Empty struct{}
 
-// HolderRequest asks the process at an address for its part in a group.
+// HolderRequest asks a process which incarnation it is and whether it uses a group.
 type HolderRequest struct {
 	Group string `json:"group"`
 }
 
-// HolderReply names the process that answers.
+// HolderReply identifies the process that answers.
 type HolderReply struct {
 	Incarnation string `json:"incarnation"`
-	// Holds says that the process has connections of the group or may open
-	// some. When it is false, the process holds none and will open none before
-	// it has read the ledger again.
+	// Holds is true if the process has connections of the group or may open some. If it
+	// is false, the process has none and opens none before it has read the ledger
+	// again.
 	Holds bool `json:"holds"`
 }
--- a/internal/shares/metrics.go
+++ b/internal/shares/metrics.go
@@ -2,44 +2,44 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Kinds of changes of the ledger, as metric labels.
+// Values of the metric labels change and reason.
 const (
-	changeSweep   = "earlier_holder_freed"
-	changeTake    = "seat_taken"
-	changeVacate  = "seat_given_up"
-	changeLend    = "lent"
-	changeBorrow  = "taken_from_free_seat"
-	changeReturn  = "given_back"
-	changeLevel   = "raised_to_target"
-	changeLayout  = "laid_out"
-	changeAgedOut = "seat_aged_out"
-	changeProved  = "seat_taken_on_proof"
-	changeContest = "mark_removed"
-	changeMark    = "marked"
-	changeSettle  = "free_seats_settled"
-	changeShrink  = "shrunk"
-	refusedIdle   = "nothing_idle"
-	refusedSettle = "not_closed_in_time"
-	refusedSeat   = "no_seat"
+	changeFreeEarlierHolder = "earlier_holder_freed"
+	changeTake              = "seat_taken"
+	changeRelease           = "seat_given_up"
+	changeLend              = "lent"
+	changeBorrow            = "taken_from_free_seat"
+	changeReturn            = "given_back"
+	changeRaiseToTargets    = "raised_to_target"
+	changeApplyAllocation   = "laid_out"
+	changeTakeOverExpired   = "seat_aged_out"
+	changeTakeOverProved    = "seat_taken_on_proof"
+	changeRemoveMark        = "mark_removed"
+	changeMark              = "marked"
+	changeTrimFreeShares    = "free_seats_settled"
+	changeShrink            = "shrunk"
+	refusedIdle             = "nothing_idle"
+	refusedNotClosed        = "not_closed_in_time"
+	refusedNoShare          = "no_seat"
 )
 
-// Metrics counts what the managers of an instance do.
+// Metrics holds the metrics of the managers of an instance.
 type Metrics struct {
-	size    *prometheus.GaugeVec
-	seated  *prometheus.GaugeVec
-	changes *prometheus.CounterVec
-	refused *prometheus.CounterVec
-	errors  *prometheus.CounterVec
+	size      *prometheus.GaugeVec
+	shareHeld *prometheus.GaugeVec
+	changes   *prometheus.CounterVec
+	refused   *prometheus.CounterVec
+	errors    *prometheus.CounterVec
 }
 
-// NewMetrics makes the metrics and registers them; r may be nil.
+// NewMetrics creates the metrics and registers them unless r is nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		size: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "topazrock_share_size",
 			Help: "Connections and slots that this instance may use.",
 		}, []string{"group", "resource"}),
-		seated: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		shareHeld: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "topazrock_share_seated",
 			Help: "1 while this instance holds a seat of the group.",
 		}, []string{"group"}),
@@ -57,7 +57,7 @@
 		}, []string{"group", "callee"}),
 	}
 	if r != nil {
-		r.MustRegister(m.size, m.seated, m.changes, m.refused, m.errors)
+		r.MustRegister(m.size, m.shareHeld, m.changes, m.refused, m.errors)
 	}
 	return m
 }
--- a/internal/shares/norace_test.go
+++ b/internal/shares/norace_test.go
@@ -2,4 +2,4 @@
 
 package shares
 
-const defaultBatches = 2
+const defaultSeedBatches = 2
--- a/internal/shares/poolresource.go
+++ b/internal/shares/poolresource.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazrock/topazrock/internal/pool"
 
-// Pool makes a pool a Resource.
+// Pool returns a Resource that limits the connections of a pool.
 func Pool(p *pool.Limited) Resource { return poolResource{p} }
 
 type poolResource struct{ *pool.Limited }
--- a/internal/shares/resource.go
+++ b/internal/shares/resource.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// Resource is what a share bounds: a pool's connections or a gate's slots.
+// Resource is what a share limits: the connections of a pool or the slots of a gate.
 type Resource interface {
-	// Set changes the bound without waiting.
+	// Set changes the limit without waiting.
 	Set(n int)
-	// Settle waits until no more than the bound is in use.
+	// Settle waits until usage is within the limit.
 	Settle(ctx context.Context) error
-	// Use tells how much is in use and how much more is waited for.
+	// Use returns the number of units in use and the number of waiting requests.
 	Use() (inUse, waiting int)
 }
--- a/internal/shares/run.go
+++ b/internal/shares/run.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Run takes a seat and keeps it until ctx ends. Then call Close.
+// Run takes a share and keeps it until ctx ends. Call Close afterwards.
 func (m *Manager) Run(ctx context.Context) {
 	defer close(m.done)
 	refresh := m.cfg.Clock.NewTimer(0)
@@ -16,49 +16,49 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.noticed:
-			refresh.Reset(m.refresh(ctx))
+		case <-m.refreshRequested:
+			refresh.Reset(m.refreshLedger(ctx))
 		case <-refresh.C:
-			refresh.Reset(m.refresh(ctx))
-		case q := <-m.loans:
-			q.reply <- m.decide(ctx, q.request)
+			refresh.Reset(m.refreshLedger(ctx))
+		case q := <-m.loanRequests:
+			q.reply <- m.handleLoanRequest(ctx, q.request)
 		case <-sample.C:
-			m.look(ctx)
+			m.sampleAndBorrow(ctx)
 			sample.Reset(m.cfg.SampleInterval)
 		}
-		if m.doubtful {
-			m.doubtful = false
-			refresh.Reset(m.soon())
+		if m.changeFailed {
+			m.changeFailed = false
+			refresh.Reset(m.retryDelay())
 		}
 	}
 }
 
-// refresh reads the ledger and does what it asks for. It returns when to come
-// again.
-func (m *Manager) refresh(ctx context.Context) time.Duration {
+// refreshLedger reads the ledger and makes the changes that it calls for. It returns
+// the delay until the next refresh.
+func (m *Manager) refreshLedger(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
 	l, _, err := m.store.read(ctx)
 	if err != nil {
-		m.failed("platform", err)
-		return m.soon()
+		m.recordCallFailure("platform", err)
+		return m.retryDelay()
 	}
-	m.adopt(l)
-	if !m.seat(ctx) {
-		m.seatPause = min(max(2*m.seatPause, retryInterval), m.cfg.Refresh)
-		return m.seatPause/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.seatPause/2)))
+	m.adoptLedger(l)
+	if !m.ensureShare(ctx) {
+		m.acquireBackoff = min(max(2*m.acquireBackoff, maxRetryDelay), m.cfg.RefreshInterval)
+		return m.acquireBackoff/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.acquireBackoff/2)))
 	}
-	m.seatPause = 0
-	if !m.tidy(ctx) {
-		return m.soon()
+	m.acquireBackoff = 0
+	if !m.adjustToTarget(ctx) {
+		return m.retryDelay()
 	}
-	return m.cfg.Refresh/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.cfg.Refresh/2)))
+	return m.cfg.RefreshInterval/2 + time.Duration(m.cfg.Rand.Int64N(int64(m.cfg.RefreshInterval/2)))
 }
 
-// retryInterval is the longest pause before the platform is tried again.
-const retryInterval = 2 * time.Second
+// maxRetryDelay is the longest delay before a failed call to the platform is retried.
+const maxRetryDelay = 2 * time.Second
 
-// soon is the pause after something failed.
-func (m *Manager) soon() time.Duration {
-	return retryInterval/2 + time.Duration(m.cfg.Rand.Int64N(int64(retryInterval/2)))
+// retryDelay returns a random delay between half of maxRetryDelay and all of it.
+func (m *Manager) retryDelay() time.Duration {
+	return maxRetryDelay/2 + time.Duration(m.cfg.Rand.Int64N(int64(maxRetryDelay/2)))
 }
--- a/internal/shares/store.go
+++ b/internal/shares/store.go
@@ -13,46 +13,46 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Pauses between calls to the platform.
+// Delays between calls to the platform, and the number of attempts after conflicts.
 const (
 	conflictPause = 5 * time.Millisecond
-	settlePause   = 100 * time.Millisecond
+	resolvePause  = 100 * time.Millisecond
 	maxConflicts  = 10
 )
 
-// errContended says that other writers were first each time.
-var errContended = errors.New("shares: the ledger changes too often")
+// errContended means that another writer came first in every attempt.
+var errContended = errors.New("shares: ledger update kept conflicting with other writers")
 
-// unsettled is a change whose answer was lost.
-type unsettled struct {
+// unconfirmedChange is a change of the ledger whose answer was lost.
+type unconfirmedChange struct {
 	id      string
 	value   []byte
 	version int64
 }
 
-// store reads and changes one group's ledger. It is used by one goroutine.
-type store struct {
+// ledgerStore reads and changes the ledger of one group. It is used by one goroutine.
+type ledgerStore struct {
 	api   platform.API
 	group string
 	clock clock.Clock
 	rand  *rand.Rand
-	// prefix and changes make IDs that no other process uses.
-	prefix  string
-	changes int
-	// pending is the change that must be settled before anything else: until a
-	// later version is seen, its update may still take effect.
-	pending *unsettled
+	// idPrefix and idsIssued form IDs that no other process uses.
+	idPrefix  string
+	idsIssued int
+	// pending must be resolved before any other operation: its update may still take
+	// effect until a later version of the ledger has been read.
+	pending *unconfirmedChange
 }
 
-// read returns the ledger and its version; version 0 when there is none.
-func (s *store) read(ctx context.Context) (Ledger, int64, error) {
-	if _, err := s.settle(ctx); err != nil {
+// read returns the ledger and its version; the version is 0 if there is no ledger.
+func (s *ledgerStore) read(ctx context.Context) (Ledger, int64, error) {
+	if _, err := s.resolvePending(ctx); err != nil {
 		return Ledger{}, 0, err
 	}
 	return s.get(ctx)
 }
 
-func (s *store) get(ctx context.Context) (Ledger, int64, error) {
+func (s *ledgerStore) get(ctx context.Context) (Ledger, int64, error) {
 	object, err := s.api.Get(ctx, platform.KindShares, s.group)
 	if errors.Is(err, platform.ErrNotFound) {
 		return Ledger{}, 0, nil
@@ -67,10 +67,10 @@
 	return l, object.Version, nil
 }
 
-// update changes the ledger. change edits a copy and returns false when there
-// is nothing to do; it may run more than once. update returns the newest ledger
-// it knows and whether the change was stored.
-func (s *store) update(ctx context.Context, change func(*Ledger) bool) (Ledger, bool, error) {
+// update changes the ledger. change edits a copy and returns false if there is nothing
+// to change; it may run more than once. update returns the newest ledger it has seen
+// and whether the change was stored.
+func (s *ledgerStore) update(ctx context.Context, change func(*Ledger) bool) (Ledger, bool, error) {
 	for range maxConflicts {
 		before, version, err := s.read(ctx)
 		if err != nil {
@@ -80,7 +80,7 @@
 		if !change(&after) {
 			return before, false, nil
 		}
-		if err := checkStep(&before, &after); err != nil {
+		if err := validateChange(&before, &after); err != nil {
 			return Ledger{}, false, err
 		}
 		stored, err := s.put(ctx, &after, version)
@@ -90,7 +90,7 @@
 		if err != nil {
 			return Ledger{}, false, err
 		}
-		if err := s.pause(ctx, conflictPause); err != nil {
+		if err := s.sleepJittered(ctx, conflictPause); err != nil {
 			return Ledger{}, false, err
 		}
 	}
@@ -98,16 +98,16 @@
 }
 
 // newID returns an ID that was not used before.
-func (s *store) newID() string {
-	s.changes++
-	return s.prefix + "-" + strconv.Itoa(s.changes)
+func (s *ledgerStore) newID() string {
+	s.idsIssued++
+	return s.idPrefix + "-" + strconv.Itoa(s.idsIssued)
 }
 
-// put stores a changed ledger. Neither stored nor an error means that another
-// writer came first.
-func (s *store) put(ctx context.Context, l *Ledger, version int64) (bool, error) {
+// put stores a changed ledger. It returns false without an error if another writer came
+// first.
+func (s *ledgerStore) put(ctx context.Context, l *Ledger, version int64) (bool, error) {
 	id := s.newID()
-	l.record(id)
+	l.recordChange(id)
 	value, err := json.Marshal(l)
 	if err != nil {
 		return false, err
@@ -121,17 +121,17 @@
 	case errors.Is(err, platform.ErrUnavailable):
 		return false, err
 	}
-	s.pending = &unsettled{id: id, value: value, version: version}
-	return s.settle(ctx)
+	s.pending = &unconfirmedChange{id: id, value: value, version: version}
+	return s.resolvePending(ctx)
 }
 
-// settle ends the doubt about a change whose answer was lost, and reports
-// whether it was stored. Reading the old version again proves nothing, because
-// the update may be on its way still and take effect later: a lender that took
-// its share back then would find it given to the borrower as well. Any later
-// version proves it, since the update was conditional on the old one; so the
-// same update is sent until one is there.
-func (s *store) settle(ctx context.Context) (bool, error) {
+// resolvePending determines the outcome of a change whose answer was lost, and reports
+// whether the change was stored. Reading the old version again proves nothing: the
+// update may still be on its way and take effect later, and a lender that reclaimed its
+// capacity would then find it given to the borrower as well. Any later version proves
+// the outcome, because the update is conditional on the old one. The same update is
+// therefore sent until there is a later version.
+func (s *ledgerStore) resolvePending(ctx context.Context) (bool, error) {
 	for s.pending != nil {
 		l, version, err := s.get(ctx)
 		if err == nil && version > s.pending.version {
@@ -146,14 +146,14 @@
 			s.pending = nil
 			return true, nil
 		}
-		if err := s.pause(ctx, settlePause); err != nil {
+		if err := s.sleepJittered(ctx, resolvePause); err != nil {
 			return false, err
 		}
 	}
 	return false, nil
 }
 
-// pause waits between a half and the whole of d.
-func (s *store) pause(ctx context.Context, d time.Duration) error {
+// sleepJittered sleeps for a random time between half of d and d.
+func (s *ledgerStore) sleepJittered(ctx context.Context, d time.Duration) error {
 	return clock.Sleep(ctx, s.clock, d/2+time.Duration(s.rand.Int64N(int64(d/2)+1)))
 }
--- a/internal/shares/totals_test.go
+++ b/internal/shares/totals_test.go
@@ -7,70 +7,70 @@
 	"github.com/matryer/is"
 )
 
-func TestLoweredTotalIsInForceWhenConnectionsClosed(t *testing.T) {
-	// The service document lowers the total while all connections are in use.
-	// The sum falls to it within seconds and later rises with the next version;
-	// an instance that still has the old document changes nothing.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		for _, m := range []*machine{a, b, c} {
-			m.connections.demand(30)
-			m.slots.demand(5)
+func TestLoweredTotalTakesEffectAfterClosing(t *testing.T) {
+	// The service document lowers the total while all connections are in use. The sum
+	// falls to it within seconds and later rises with the next version. An instance
+	// that still has the old document changes nothing.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		for _, m := range []*fakeInstance{a, b, c} {
+			m.connections.setDemand(30)
+			m.slots.setDemand(5)
 		}
 		domains := []string{"poa-a", "poa-b", "fln-c"}
 		lower := Amount{Connections: 25, Slots: 3}
-		for _, m := range []*machine{a, b} {
+		for _, m := range []*fakeInstance{a, b} {
 			m.manager.SetAllocation(Allocation{Document: 2, Total: lower, FailureDomains: domains})
 		}
 		c.manager.SetAllocation(Allocation{Document: 1, Total: total, FailureDomains: domains})
-		after(40 * time.Second)
-		l := w.ledger()
+		sleep(40 * time.Second)
+		l := sim.readLedger()
 		is.Equal(l.Total, lower)
 		is.True(l.Sum().Within(lower))
-		is.True(w.seen().Within(lower))
+		is.True(sim.heldByMembers().Within(lower))
 		c.manager.SetAllocation(Allocation{Document: 3, Total: total, FailureDomains: domains})
-		after(time.Minute)
-		l = w.ledger()
+		sleep(time.Minute)
+		l = sim.readLedger()
 		is.Equal(l.Sum(), total)
 	})
 }
 
-func TestSeatFreedAboveItsTargetIsSettled(t *testing.T) {
-	// A home that borrowed stops as planned after the total was lowered. What
-	// its seat has above the target is in nobody's hands: the next holder to
-	// look drops what the total has no room for and hands the rest on.
+func TestFreeShareAboveTargetIsTrimmed(t *testing.T) {
+	// An instance that borrowed stops as planned after the total was lowered. Nobody
+	// holds what its share has above the target: the next holder that reads the ledger
+	// drops what exceeds the total and gives the rest to other shares.
 	is := is.New(t)
-	l := Ledger{Total: Amount{20, 4}, Seats: []Seat{
+	l := Ledger{Total: Amount{20, 4}, Shares: []Share{
 		{Name: "x", Target: Amount{8, 2}, Size: Amount{14, 3}},
 		{Name: "y", Target: Amount{8, 2}, Size: Amount{6, 1}, Holder: &Holder{Instance: "y1"}},
 		{Name: "z", Target: Amount{4, 0}, Size: Amount{4, 0}},
 		{Name: "gone"},
 	}}
-	is.True(l.settleFree())
+	is.True(l.trimFreeShares())
 	is.Equal(l.Sum(), l.Total)
-	is.Equal(l.seat("x").Size, Amount{8, 2})
-	is.Equal(l.seat("y").Size, Amount{8, 2})
-	is.True(l.seat("gone") == nil)
-	is.True(!l.settleFree())
+	is.Equal(l.shareNamed("x").Size, Amount{8, 2})
+	is.Equal(l.shareNamed("y").Size, Amount{8, 2})
+	is.True(l.shareNamed("gone") == nil)
+	is.True(!l.trimFreeShares())
 }
 
-func TestRemovedFailureDomainGivesItsSeatUp(t *testing.T) {
-	// The operator moves the group out of a failure domain. Its home closes all,
-	// control connections included, gives the seat up, and goes on from a
-	// reserve seat; at no moment does it hold more than its seat.
-	run(t, func(is *is.I, w *world) {
-		a, b, c := w.three()
-		for _, m := range []*machine{a, b, c} {
-			m.connections.demand(30)
+func TestRemovedFailureDomainReleasesItsShare(t *testing.T) {
+	// The operator removes a failure domain from the group. Its instance closes
+	// everything, including control connections, releases the share, and continues with
+	// a reserve share. It never holds more than its share.
+	runSimulated(t, func(is *is.I, sim *simulation) {
+		a, b, c := sim.startThree()
+		for _, m := range []*fakeInstance{a, b, c} {
+			m.connections.setDemand(30)
 		}
-		after(time.Second)
-		for _, m := range []*machine{a, b, c} {
+		sleep(time.Second)
+		for _, m := range []*fakeInstance{a, b, c} {
 			m.manager.SetAllocation(Allocation{Document: 2, Total: Amount{30, 5}, FailureDomains: []string{"poa-a", "poa-b"}})
 		}
-		after(2 * time.Minute)
-		l := w.ledger()
-		is.True(l.seat("fln-c") == nil)
-		is.Equal(w.seatName(c), "reserve-1")
+		sleep(2 * time.Minute)
+		l := sim.readLedger()
+		is.True(l.shareNamed("fln-c") == nil)
+		is.Equal(sim.shareName(c), "reserve-1")
 		is.Equal(l.Sum(), Amount{30, 5})
 	})
 }
@@ -80,12 +80,12 @@
 	for connections := 4; connections <= 60; connections++ {
 		a := Allocation{Document: 1, Total: Amount{connections, 5}, FailureDomains: []string{"x", "y", "z"}}
 		var l Ledger
-		is.NoErr(l.relayout(a, testControl, DefaultReserveSeats))
+		is.NoErr(l.applyAllocation(a, testControl, DefaultReserveShares))
 		is.True(l.Sum().Within(a.Total))
-		for _, s := range l.Seats {
+		for _, s := range l.Shares {
 			is.True(s.Size.Connections > testControl)
 		}
 	}
 	var l Ledger
-	is.True(l.relayout(Allocation{Total: Amount{3, 1}, FailureDomains: []string{"x"}}, testControl, 2) != nil)
+	is.True(l.applyAllocation(Allocation{Total: Amount{3, 1}, FailureDomains: []string{"x"}}, testControl, 2) != nil)
 }
--- a/internal/shares/usage.go
+++ b/internal/shares/usage.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// peakWindow is how far back a peak of use reaches: between one window and two.
-// It keeps share from going back and forth between homes whose load varies from
+// peakWindow is the window for peak usage; a peak covers between one window and two. It
+// prevents capacity from moving back and forth between instances whose load varies from
 // second to second.
 const peakWindow = 3 * time.Second
 
-// usage follows how much of a resource is needed.
+// usage tracks how much of a resource is needed.
 type usage struct {
-	// previous and current are the peaks of the last whole window and this one.
-	previous, current int
-	began             time.Time
-	// short counts consecutive samples with waiters.
-	short   int
-	waiting int
+	// previousPeak and currentPeak are the peaks of the last complete window and of the
+	// current one.
+	previousPeak, currentPeak int
+	windowStart               time.Time
+	// samplesWithWaiters counts consecutive samples with waiting requests.
+	samplesWithWaiters int
+	waiting            int
 }
 
-// sample takes in one more observation.
-func (u *usage) sample(now time.Time, inUse, waiting int) {
-	if now.Sub(u.began) >= peakWindow {
-		u.previous, u.current, u.began = u.current, 0, now
+// addSample records one sample.
+func (u *usage) addSample(now time.Time, inUse, waiting int) {
+	if now.Sub(u.windowStart) >= peakWindow {
+		u.previousPeak, u.currentPeak, u.windowStart = u.currentPeak, 0, now
 	}
-	u.current = max(u.current, inUse+waiting)
+	u.currentPeak = max(u.currentPeak, inUse+waiting)
 	u.waiting = waiting
 	if waiting == 0 {
-		u.short = 0
+		u.samplesWithWaiters = 0
 		return
 	}
-	u.short++
+	u.samplesWithWaiters++
 }
 
-// peak is the most that was needed lately.
-func (u *usage) peak() int { return max(u.previous, u.current) }
+// peak returns the recent peak of units in use and waiting requests.
+func (u *usage) peak() int { return max(u.previousPeak, u.currentPeak) }
 
-// quiet reports whether nobody waits.
-func (u *usage) quiet() bool { return u.waiting == 0 }
+// noneWaiting reports whether no request was waiting in the last sample.
+func (u *usage) noneWaiting() bool { return u.waiting == 0 }
 
-// wanted is how much more is needed now: zero unless callers wait in several
-// samples on end, because a moment's queue ends sooner than lending takes.
-func (u *usage) wanted() int {
-	if u.short < shortSamples {
+// shortage returns how much more is needed now. It is zero unless requests wait in
+// several consecutive samples, because a brief queue ends sooner than a loan takes.
+func (u *usage) shortage() int {
+	if u.samplesWithWaiters < minSamplesWithWaiters {
 		return 0
 	}
-	return min(u.waiting, maxWanted)
+	return min(u.waiting, maxBorrow)
 }
 
 const (
-	// shortSamples is how many samples with waiters make a shortage.
-	shortSamples = 2
-	// maxWanted bounds what one call asks for.
-	maxWanted = 4
+	// minSamplesWithWaiters is how many consecutive samples with waiters make a
+	// shortage.
+	minSamplesWithWaiters = 2
+	// maxBorrow limits what one call asks for.
+	maxBorrow = 4
 )
