--- a/internal/executor/admit_test.go
+++ b/internal/executor/admit_test.go
@@ -23,10 +23,10 @@
 
 // Callers of a class want their answers within its objective, which is long before their
 // deadline. The queue must know: ordered by deadlines alone it makes everybody late.
-func TestQueueKnowsWhenTheAnswerIsWanted(t *testing.T) {
+func TestAdmissionRequestCarriesObjectiveAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+		g, _ := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 		gate := &recordingGate{}
 		g.Gate = gate
 		arrived := time.Now()
@@ -34,7 +34,7 @@
 		e, ok := result.As(err)
 		is.True(ok)
 		is.Equal(e.Code, result.QueueFull)
-		is.Equal(gate.asked[0].WantedBy, arrived.Add(objective))
+		is.Equal(gate.asked[0].WantedBy, arrived.Add(readObjective))
 		is.Equal(gate.asked[0].Deadline, arrived.Add(time.Second))
 	})
 }
--- /dev/null
+++ b/internal/executor/avoidedhomes.go
@@ -0,0 +1,57 @@
+package executor
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/topazrock/topazrock/internal/platform"
+)
+
+const (
+	// avoidDrainingFor is how long a home that reported that it is draining is tried last. It
+	// is longer than a graceful shutdown takes.
+	avoidDrainingFor = time.Minute
+	// avoidUnreachableFor is how long an unreachable home is tried last. An attempt delays
+	// units by a quarter of a second, so a dead home delays at most one in eight.
+	avoidUnreachableFor = 2 * time.Second
+)
+
+// avoidedHomes records homes that are shutting down or unreachable.
+type avoidedHomes struct {
+	mu    sync.Mutex
+	until map[string]time.Time
+}
+
+func (a *avoidedHomes) add(id string, until time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.until == nil {
+		a.until = make(map[string]time.Time)
+	}
+	a.until[id] = until
+}
+
+// orderHomes returns the homes with the avoided ones moved to the end.
+func (a *avoidedHomes) orderHomes(now time.Time, homes []platform.Instance) []platform.Instance {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if len(a.until) == 0 {
+		return homes
+	}
+	for id, until := range a.until {
+		if now.After(until) {
+			delete(a.until, id)
+		}
+	}
+	ordered := slices.Clone(homes)
+	slices.SortStableFunc(ordered, func(x, y platform.Instance) int { return a.rank(x) - a.rank(y) })
+	return ordered
+}
+
+func (a *avoidedHomes) rank(i platform.Instance) int {
+	if _, ok := a.until[i.ID]; ok {
+		return 1
+	}
+	return 0
+}
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -27,9 +27,9 @@
 // plan, admission, choice of a replica, exchange, answer. The member's end of
 // the connection answers at once, so that what is left is the core's own cost.
 func BenchmarkRead(b *testing.B) {
-	near, far := net.Pipe()
-	go answerQueries(far)
-	c := upstream.NewConn("r1", time.Now(), near, pgproto3.NewFrontend(near, near))
+	instanceEnd, memberEnd := net.Pipe()
+	go answerQueries(memberEnd)
+	c := upstream.NewConn("r1", time.Now(), instanceEnd, pgproto3.NewFrontend(instanceEnd, instanceEnd))
 	g := benchmarkGroup(c)
 	query := pgproto3.Query{String: "SELECT v FROM kv WHERE k = 'a'"}
 	messages, err := query.Encode(nil)
@@ -83,7 +83,7 @@
 	}}
 	return NewGroup(Config{
 		Group: "g", Instance: "i", Service: func() *document.Service { return service },
-		Tracker: &shown{snapshot: s}, Pool: onePool{c}, Clock: clock.System{}, Logger: hclog.NewNullLogger(),
+		Tracker: &snapshotTracker{snapshot: s}, Pool: singleConnPool{c}, Clock: clock.System{}, Logger: hclog.NewNullLogger(),
 		Gate:    admission.New(admission.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Slots: 4}),
 		Budget:  retry.New(retry.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2))}),
 		Random:  rand.New(rand.NewPCG(1, 3)),
@@ -91,29 +91,31 @@
 	})
 }
 
-// onePool hands out one connection.
-type onePool struct{ conn wire.Conn }
+// singleConnPool hands out one connection.
+type singleConnPool struct{ conn wire.Conn }
 
 // Acquire implements pool.Pool.
-func (p onePool) Acquire(context.Context, string, string) (wire.Conn, error) { return p.conn, nil }
+func (p singleConnPool) Acquire(context.Context, string, string) (wire.Conn, error) {
+	return p.conn, nil
+}
 
 // Release implements pool.Pool.
-func (onePool) Release(wire.Conn) {}
+func (singleConnPool) Release(wire.Conn) {}
 
 // Suspect implements pool.Pool.
-func (onePool) Suspect(string, time.Time) {}
+func (singleConnPool) Suspect(string, time.Time) {}
 
 // ProbeIdle implements pool.Pool.
-func (onePool) ProbeIdle(time.Time) {}
+func (singleConnPool) ProbeIdle(time.Time) {}
 
 // Full implements pool.Pool.
-func (onePool) Full(string) bool { return false }
+func (singleConnPool) Full(string) bool { return false }
 
 // Idle implements pool.Pool.
-func (onePool) Idle(string, string) bool { return true }
+func (singleConnPool) Idle(string, string) bool { return true }
 
 // FullFor implements pool.Pool.
-func (onePool) FullFor(string, string) bool { return false }
+func (singleConnPool) FullFor(string, string) bool { return false }
 
 // Ask implements group.Tracker.
-func (s *shown) Ask() group.Ticket { return group.Ticket{} }
+func (s *snapshotTracker) Ask() group.Ticket { return group.Ticket{} }
--- /dev/null
+++ b/internal/executor/capability.go
@@ -0,0 +1,40 @@
+package executor
+
+import "github.com/topazrock/topazrock/internal/execution"
+
+// capability is what an instance can do for a group that it is home to.
+type capability struct {
+	// Writes means that it reaches a primary whose writes can be confirmed.
+	Writes bool `json:"writes"`
+	// Reads means that it can prove reads fresh, by the primary or by a majority.
+	Reads bool `json:"reads"`
+}
+
+// canServe reports whether the capability is sufficient for a unit.
+func (c capability) canServe(u *execution.Unit) bool {
+	if u.OnlyReads() {
+		return c.Reads
+	}
+	return c.Writes
+}
+
+// capability returns what this instance can currently do for the group. A primary that has missed
+// even one probe does not count: units of this instance wait for it, but units of other instances
+// would be sent to it and lost with it. A member that accepts no connection of this instance does
+// not count either.
+func (g *Group) capability() capability {
+	s, err := g.findWritablePrimary()
+	primary, _ := s.Find(s.Primary)
+	writes := err == nil && primary.Failing.IsZero() && !g.Pool.Full(s.Primary)
+	return capability{Writes: writes, Reads: writes || g.Tracker.Snapshot().MajorityAnswers() && g.canConnect()}
+}
+
+// canConnect reports whether some responsive member of the group accepts connections.
+func (g *Group) canConnect() bool {
+	for _, m := range g.Tracker.Snapshot().Members {
+		if m.Failing.IsZero() && !g.Pool.Full(m.Address) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/executor/conclude.go
+++ b/internal/executor/complete.go
@@ -11,44 +11,43 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// concludeAtPrimary turns the finished exchange into a reply: an open
-// transaction, or a confirmed outcome. slot is what an open transaction keeps; it is
-// nil where the slot was given back.
-func (g *Group) concludeAtPrimary(ctx context.Context, u *execution.Unit, p plan, x *exchange, slot *admission.Slot) (*execution.Reply, error) {
+// completeAtPrimary turns the finished exchange into a reply: an open transaction or a confirmed
+// outcome. slot is passed on to an open transaction; it is nil if the slot was already released.
+func (g *Group) completeAtPrimary(ctx context.Context, u *execution.Unit, p plan, x *exchange, slot *admission.Slot) (*execution.Reply, error) {
 	if x.KeyFailure != nil {
-		return nil, g.keyRefused(ctx, u, x)
+		return nil, g.keyInsertFailed(ctx, u, x)
 	}
-	if err := g.refusedAtPrimary(p, x); err != nil {
+	if err := g.primaryRefusal(p, x); err != nil {
 		x.verification.Drop()
-		g.giveBack(x)
-		freeSlot(slot)
+		g.rollBackAndRelease(x)
+		releaseSlot(slot)
 		return nil, err
 	}
 	if x.Final != wire.Idle {
-		return g.beginAtPrimary(ctx, u, p, x, slot)
+		return g.openTransactionAtPrimary(ctx, u, p, x, slot)
 	}
 	if x.verification != nil {
-		return g.concludeFresh(ctx, u, p, x)
+		return g.completeFreshRead(ctx, u, p, x)
 	}
 	if err := g.ensureReport(x); err != nil {
 		g.Pool.Release(x.conn)
-		return nil, unknown(ctx, err)
+		return nil, unknownOutcome(ctx, err)
 	}
 	g.Pool.Release(x.conn)
 	if x.Failure != nil && x.Completed == 0 || u.ReadOnly || onlyPrepares(u) && u.Token.Term <= x.term {
 		// Nothing took effect, so there is nothing to confirm.
-		return g.reply(u.Token, x, false), nil
+		return g.newReply(u.Token, x, false), nil
 	}
 	mark, err := g.confirm(ctx, p, x)
 	if err != nil {
 		return nil, err
 	}
-	return g.reply(g.token(mark), x, false), nil
+	return g.newReply(g.newToken(mark), x, false), nil
 }
 
-// refusedAtPrimary returns the error of a unit that the member did not take, so
-// that it may be sent again. Nothing of it ran.
-func (g *Group) refusedAtPrimary(p plan, x *exchange) error {
+// primaryRefusal returns an error if the member refused the unit. None of the unit ran, so it may
+// be sent again.
+func (g *Group) primaryRefusal(p plan, x *exchange) error {
 	if x.Failure == nil || x.Completed > 0 {
 		return nil
 	}
@@ -59,57 +58,57 @@
 	if x.Failure.Kind == wire.FailureRan && !p.read {
 		return nil
 	}
-	return g.refusedByMember(x)
+	return g.memberRefusal(x)
 }
 
-// refusedByMember returns the error of a read that another member may answer.
-func (g *Group) refusedByMember(x *exchange) error {
+// memberRefusal returns an error if another member may be able to answer the read instead.
+func (g *Group) memberRefusal(x *exchange) error {
 	address := x.conn.Address()
 	if x.Failure == nil {
-		g.failing.served(address)
+		g.failingMembers.recordSuccess(address)
 		return nil
 	}
 	switch x.Failure.Kind {
 	case wire.FailureBehind:
-		g.behind.add(address, g.Clock.Now())
+		g.laggingReplicas.add(address, g.Clock.Now())
 		return result.New(result.NoReplicaFresh, "member %s lacks %d.%d", address, x.Required.Term, x.Required.Position).WithRetryAfter(retryAfterBusy)
 	case wire.FailureBusy:
 		return result.New(result.MemberBusy, "member %s", address).WithRetryAfter(retryAfterBusy)
 	case wire.FailureRan:
-		g.failing.failed(address, g.Clock.Now())
+		g.failingMembers.recordFailure(address, g.Clock.Now())
 		return result.New(result.ReadFailed, "member %s: %s %s", address, x.Failure.Code, x.Failure.Message)
 	default:
 		return nil
 	}
 }
 
-// giveBack returns a connection whose unit is not answered by what it brought,
-// rolling back the transaction that the unit may have opened.
-func (g *Group) giveBack(x *exchange) {
+// rollBackAndRelease returns a connection to the pool when its answer is not used. It rolls back
+// the transaction that the unit may have opened.
+func (g *Group) rollBackAndRelease(x *exchange) {
 	if x.Final != wire.Idle {
 		g.rollBack(x.conn)
 	}
 	g.Pool.Release(x.conn)
 }
 
-// beginAtPrimary keeps the transaction that the unit opened. The answer to a
-// fresh read in it waits for the proof.
-func (g *Group) beginAtPrimary(ctx context.Context, u *execution.Unit, p plan, x *exchange, slot *admission.Slot) (*execution.Reply, error) {
+// openTransactionAtPrimary keeps the transaction that the unit opened. If the unit is a fresh
+// read, its answer is held back until it is proved that the primary had not been replaced.
+func (g *Group) openTransactionAtPrimary(ctx context.Context, u *execution.Unit, p plan, x *exchange, slot *admission.Slot) (*execution.Reply, error) {
 	if x.verification != nil && u.ReadOnly {
-		if err := g.verified(ctx, p, x); err != nil {
-			g.giveBack(x)
-			freeSlot(slot)
+		if err := g.awaitVerification(ctx, p, x); err != nil {
+			g.rollBackAndRelease(x)
+			releaseSlot(slot)
 			return nil, err
 		}
 	}
 	return g.openTransaction(u, x, false, p.keyOf(u), slot), nil
 }
 
-// openTransaction keeps the connection for the transaction that the unit opened, and
-// with it the slot where one stands for a connection.
+// openTransaction keeps the connection for the transaction that the unit opened. It keeps the
+// slot as well if a slot represents a connection.
 func (g *Group) openTransaction(u *execution.Unit, x *exchange, replica bool, key string, slot *admission.Slot) *execution.Reply {
 	tx := &transaction{key: key, conn: x.conn, replica: replica, term: x.term, token: u.Token, lastUsed: g.Clock.Now(),
-		wrote: !u.ReadOnly && !replica}
+		mayHaveWritten: !u.ReadOnly && !replica}
 	if g.Wire.SlotIsConnection {
 		tx.slot = slot
 	}
@@ -128,22 +127,22 @@
 	}
 }
 
-// concludeFresh answers a read that had to be fresh.
-func (g *Group) concludeFresh(ctx context.Context, u *execution.Unit, p plan, x *exchange) (*execution.Reply, error) {
+// completeFreshRead replies to a read that had to be fresh.
+func (g *Group) completeFreshRead(ctx context.Context, u *execution.Unit, p plan, x *exchange) (*execution.Reply, error) {
 	g.Pool.Release(x.conn)
 	if !u.ReadOnly {
 		x.verification.Drop()
-		return g.reply(u.Token, x, false), nil
+		return g.newReply(u.Token, x, false), nil
 	}
-	if err := g.verified(ctx, p, x); err != nil {
+	if err := g.awaitVerification(ctx, p, x); err != nil {
 		return nil, err
 	}
-	return g.reply(u.Token, x, false), nil
+	return g.newReply(u.Token, x, false), nil
 }
 
-// showsLead reports whether the member led: by its report, or by taking a
-// transaction that may write, which no replica does.
-func showsLead(x *exchange) bool {
+// provesLeadership reports whether the exchange shows that the member was the primary: by its
+// report, or because it accepted a transaction that may write, which no replica does.
+func provesLeadership(x *exchange) bool {
 	if x.Unit.Begins && !x.Unit.ReadTransaction {
 		return true
 	}
@@ -151,12 +150,12 @@
 	return s != nil && s.Role == member.RolePrimary && s.Entered == x.verification.Term
 }
 
-// verified waits for the proof that the member was the primary, and had not been
-// replaced, when the read began: the member showed that it leads, and a replica
-// that was asked since was not fenced. A promotion fences a majority first, so
-// that one of the two would have shown it.
-func (g *Group) verified(ctx context.Context, p plan, x *exchange) error {
-	if !showsLead(x) {
+// awaitVerification waits for the proof that the member was the primary and had not been replaced
+// when the read began: the member showed that it was the primary, and a replica that was asked
+// since then was not fenced. A promotion fences a majority first, so one of the two would have
+// shown it.
+func (g *Group) awaitVerification(ctx context.Context, p plan, x *exchange) error {
+	if !provesLeadership(x) {
 		x.verification.Drop()
 		g.Tracker.Recheck(x.conn.Address())
 		return result.New(result.NoPrimary, "member %s no longer leads", x.conn.Address()).WithRetryAfter(retryAfterFailover)
@@ -169,34 +168,34 @@
 	return nil
 }
 
-// ensureReport asks for the member's report when it was not pipelined and the
-// answer did not tell the member's log.
+// ensureReport requests the member's report if it was not pipelined and the answer did not
+// include the member's log position.
 func (g *Group) ensureReport(x *exchange) error {
 	if x.Report != nil || x.Log != (logpos.Mark{}) {
 		return nil
 	}
-	return g.askReport(x)
+	return g.requestReport(x)
 }
 
-// askReport asks for the member's report behind an exchange.
-func (g *Group) askReport(x *exchange) error {
-	ask := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepReport}}}
-	err := x.conn.Run(&ask)
-	x.Report = ask.Report
+// requestReport requests the member's report on the connection of a finished exchange.
+func (g *Group) requestReport(x *exchange) error {
+	request := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepReport}}}
+	err := x.conn.Run(&request)
+	x.Report = request.Report
 	return err
 }
 
-// emptyUnit stands in exchanges that serve no caller's unit.
+// emptyUnit is used in exchanges that do not serve a caller's unit.
 var emptyUnit = &execution.Unit{}
 
-// confirm waits until the group confirms what the primary told behind the unit.
-// The check comes after the answer, so that an instance that was frozen between
-// sending and here cannot pass on the answer of a replaced primary.
+// confirm waits until the group confirms the log position that the primary reported after the
+// unit. The check comes after the answer, so that an instance that was suspended between sending
+// the unit and this point cannot pass on the answer of a replaced primary.
 func (g *Group) confirm(ctx context.Context, p plan, x *exchange) (logpos.Mark, error) {
 	ctx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
 	if x.Log != (logpos.Mark{}) {
-		// The answer to the commit itself tells its place in the log.
+		// The answer to the commit itself contains its log position.
 		return x.Log, g.Tracker.ConfirmCommit(ctx, x.Log)
 	}
 	mark, err := reportedMark(x)
@@ -209,12 +208,11 @@
 	return mark, nil
 }
 
-// reportedMark is the mark that the report behind the unit shows.
+// reportedMark returns the log position in the report that follows the unit.
 //
-// The report must be of the term that the member led in before anything was
-// sent. Between the commit and the report behind it a member may be fenced, drop
-// the commit with its tail, and lead again; positions of that later term would
-// confirm a write that is gone.
+// The report must be of the term in which the member was primary before anything was sent.
+// Between the commit and the report, a member may be fenced, truncate the commit from its log and
+// become primary again. Positions of that later term would confirm a write that is lost.
 func reportedMark(x *exchange) (logpos.Mark, error) {
 	s := x.Report
 	if s == nil || s.Role != member.RolePrimary || s.Entered != x.term || s.Last.Term != x.term {
@@ -223,10 +221,10 @@
 	return logpos.Mark{Term: s.Entered, Position: s.Last.Position}, nil
 }
 
-func (g *Group) token(m logpos.Mark) logpos.Token { return logpos.Token{Group: g.Group, Mark: m} }
+func (g *Group) newToken(m logpos.Mark) logpos.Token { return logpos.Token{Group: g.Group, Mark: m} }
 
-// reply returns the answer of a unit after which no transaction is open.
-func (g *Group) reply(t logpos.Token, x *exchange, replica bool) *execution.Reply {
+// newReply returns the reply to a unit after which no transaction is open.
+func (g *Group) newReply(t logpos.Token, x *exchange, replica bool) *execution.Reply {
 	return &execution.Reply{
 		Messages:          x.Messages,
 		Token:             t,
--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -16,14 +16,14 @@
 )
 
 // agreeable is a tracker that confirms every mark.
-type agreeable struct {
+type confirmingTracker struct {
 	group.Tracker
-	asked []logpos.Mark
+	confirmed []logpos.Mark
 }
 
 // Confirm implements group.Tracker.
-func (a *agreeable) Confirm(_ context.Context, m logpos.Mark) error {
-	a.asked = append(a.asked, m)
+func (t *confirmingTracker) Confirm(_ context.Context, m logpos.Mark) error {
+	t.confirmed = append(t.confirmed, m)
 	return nil
 }
 
@@ -31,9 +31,9 @@
 // behind it runs, the member is fenced, drops the commit with its tail, and leads
 // again in term 3. The positions of term 3 say nothing of the commit, so that the
 // caller must hear that the outcome is unknown.
-func TestReportOfALaterTermConfirmsNothing(t *testing.T) {
+func TestReportOfLaterTermDoesNotConfirmWrite(t *testing.T) {
 	is := is.New(t)
-	tracker := &agreeable{}
+	tracker := &confirmingTracker{}
 	g := &Group{Config: Config{Tracker: tracker, Clock: clock.System{}}}
 	limits := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
 	report := &member.Status{Role: member.RolePrimary, Entered: 3, Last: logpos.Mark{Term: 3, Position: 90}}
@@ -42,41 +42,41 @@
 	e, ok := result.As(err)
 	is.True(ok)
 	is.Equal(e.Code, result.PrimaryReplaced)
-	is.Equal(len(tracker.asked), 0)
+	is.Equal(len(tracker.confirmed), 0)
 
 	mark, err := g.confirm(t.Context(), limits, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
 	is.NoErr(err)
-	is.Equal(tracker.asked, []logpos.Mark{mark})
+	is.Equal(tracker.confirmed, []logpos.Mark{mark})
 }
 
 // reported counts the failures that a tracker was told of.
-type reported struct {
+type failureCounter struct {
 	group.Tracker
 	failures int
 }
 
 // ReportFailure implements group.Tracker.
-func (r *reported) ReportFailure(string) { r.failures++ }
+func (r *failureCounter) ReportFailure(string) { r.failures++ }
 
-func TestOnlyAnUnreachableMemberIsReported(t *testing.T) {
+func TestOnlyUnreachableMemberIsReportedToTracker(t *testing.T) {
 	is := is.New(t)
-	tracker := &reported{}
+	tracker := &failureCounter{}
 	g := &Group{Config: Config{Tracker: tracker}}
-	g.reportRefused("m", result.New(result.TooManyConnections, "share in use"))
-	g.reportRefused("m", result.New(result.Draining, "leaving"))
+	g.reportUnreachable("m", result.New(result.TooManyConnections, "share in use"))
+	g.reportUnreachable("m", result.New(result.Draining, "leaving"))
 	is.Equal(tracker.failures, 0)
-	g.reportRefused("m", result.New(result.UpstreamUnreachable, "no route"))
+	g.reportUnreachable("m", result.New(result.UpstreamUnreachable, "no route"))
 	is.Equal(tracker.failures, 1)
 }
 
 // shown is a tracker that shows one snapshot.
-type shown struct {
+type snapshotTracker struct {
 	group.Tracker
 	snapshot group.Snapshot
 }
 
 // Snapshot implements group.Tracker.
-func (s *shown) Snapshot() *group.Snapshot { return &s.snapshot }
+func (s *snapshotTracker) Snapshot() *group.Snapshot { return &s.snapshot }
 
 // A write that cannot be confirmed is refused before it is sent: the primary does
 // not answer, no replica has been heard of, or none has got on for as long as a
@@ -99,7 +99,7 @@
 		s := healthy
 		c.change(&s)
 		service := &document.Service{Limits: document.Limits{ConfirmTimeout: time.Second}}
-		g := &Group{standby: newStandby(), Config: Config{Clock: clock.System{}, Tracker: &shown{snapshot: s}, Service: func() *document.Service { return service }}}
+		g := &Group{primaryWait: newPrimaryWait(), Config: Config{Clock: clock.System{}, Tracker: &snapshotTracker{snapshot: s}, Service: func() *document.Service { return service }}}
 		_, err := g.writablePrimary()
 		if e, _ := result.As(err); (err == nil) != (c.code == 0) || (e != nil && e.Code != c.code) {
 			t.Errorf("%s: got %v", name, err)
--- a/internal/executor/endtransaction.go
+++ b/internal/executor/endtransaction.go
@@ -2,16 +2,16 @@
 
 import "github.com/topazrock/topazrock/internal/wire"
 
-// end gives the transaction's connection back. With spoil the connection is
-// closed, which makes the member roll the transaction back.
-func (g *Group) end(tx *transaction, spoil bool) {
+// endTransaction returns the transaction's connection to the pool. With discardConn the
+// connection is closed, which makes the member roll the transaction back.
+func (g *Group) endTransaction(tx *transaction, discardConn bool) {
 	if tx.ended {
 		return
 	}
 	tx.ended = true
 	g.transactions.remove(tx.id)
 	tx.verification.Drop()
-	if spoil {
+	if discardConn {
 		tx.conn.Spoil()
 	}
 	g.Pool.Release(tx.conn)
@@ -20,34 +20,34 @@
 	}
 }
 
-// Abandon implements execution.Executor. The connection is kept: a new one costs
+// Abandon implements execution.Executor. The connection is kept, because opening a new one costs
 // the member more than the rollback.
 func (g *Group) Abandon(_, id string) {
 	tx := g.transactions.find(id)
 	if tx == nil {
 		return
 	}
-	g.abandoning.Go(func() {
+	g.pendingRollbacks.Go(func() {
 		tx.mu.Lock()
 		defer tx.mu.Unlock()
 		if tx.ended {
 			return
 		}
 		g.rollBack(tx.conn)
-		g.end(tx, false)
+		g.endTransaction(tx, false)
 	})
 }
 
-// rollBack ends the transaction that is open on a connection. Where that fails,
-// the connection is closed, and the member rolls back by itself.
+// rollBack rolls back the transaction that is open on a connection. If that fails, the connection
+// is closed, which makes the member roll back.
 func (g *Group) rollBack(c wire.Conn) {
-	if !c.Clean() || c.SetDeadline(g.Clock.Now().Add(rollBackTimeout)) != nil {
+	if !c.Clean() || c.SetDeadline(g.Clock.Now().Add(rollbackTimeout)) != nil {
 		c.Spoil()
 		return
 	}
 	x := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepRollback}}}
 	if err := c.Run(&x); err != nil || x.Final != wire.Idle {
-		g.Logger.Debug("Transaction was not rolled back; its connection is closed.", "group", g.Group, "member", c.Address(), "error", err)
+		g.Logger.Debug("Rollback failed; closing the connection.", "group", g.Group, "member", c.Address(), "error", err)
 		c.Spoil()
 	}
 }
--- a/internal/executor/exchange.go
+++ b/internal/executor/exchange.go
@@ -11,20 +11,19 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// exchange is one conversation with a member, and what the core has to know to
-// conclude it.
+// exchange is one conversation with a member and the state that is needed to complete it.
 type exchange struct {
 	wire.Exchange
 	conn wire.Conn
-	// term is the one that the member led in when the exchange was begun.
+	// term is the term in which the member was primary when the exchange began.
 	term logpos.Term
-	// keyed says that the outcome can be settled by a request key, for which some
-	// of the time is kept back.
+	// keyed means that an unknown outcome can be resolved by a request key, for which part of
+	// the time is reserved.
 	keyed bool
-	// ticket was taken before anything was sent.
+	// ticket was issued before anything was sent.
 	ticket group.Ticket
-	// verification proves that the primary was not replaced when a fresh read
-	// began; nil where none is needed.
+	// verification proves that the primary had not been replaced when a fresh read began; nil
+	// if no proof is needed.
 	verification *group.Verification
 }
 
@@ -35,7 +34,7 @@
 	}
 }
 
-// refused reports whether the member answered without working on the unit.
+// refused reports whether the member answered without executing the unit.
 func (x *exchange) refused() bool {
 	if x.Failure == nil || x.Completed > 0 {
 		return false
@@ -48,27 +47,27 @@
 	}
 }
 
-// converse runs the exchange within the statement's time.
-func (g *Group) converse(ctx context.Context, p plan, x *exchange, steps ...wire.Step) error {
+// runExchange runs the exchange with the statement's deadline and registers it as running.
+func (g *Group) runExchange(ctx context.Context, p plan, x *exchange, steps ...wire.Step) error {
 	if err := x.conn.SetDeadline(g.statementDeadline(ctx, p, x.keyed)); err != nil {
 		return err
 	}
 	x.Steps = steps
 	x.ticket = g.Tracker.Ask()
-	if !g.running.start(x.Unit.ID, x.conn, g.Clock.Now()) {
+	if !g.runningUnits.addUnit(x.Unit.ID, x.conn, g.Clock.Now()) {
 		return result.New(result.Draining, "units are ended").WithRetryAfter(retryAfterBusy)
 	}
 	err := x.conn.Run(&x.Exchange)
-	g.running.stop(x.Unit.ID, x.conn, g.Clock.Now(), err == nil)
+	g.runningUnits.removeUnit(x.Unit.ID, x.conn, g.Clock.Now(), err == nil)
 	if err == nil && x.Log != (logpos.Mark{}) {
 		g.Tracker.Observed(x.conn.Address(), x.ticket, group.Observation{Log: x.Log, Committed: x.Committed})
 	}
 	return err
 }
 
-// unknown returns the error of a unit that was sent and whose end is not known; one that was
-// not sent keeps its own.
-func unknown(ctx context.Context, cause error) *result.Error {
+// unknownOutcome returns the error of a unit that was sent and whose outcome is not known. The
+// error of a unit that was not sent is returned unchanged.
+func unknownOutcome(ctx context.Context, cause error) *result.Error {
 	if e, ok := result.As(cause); ok {
 		return e
 	}
@@ -78,30 +77,30 @@
 	return result.New(result.ConnectionLost, "after the request was sent").WithCause(cause)
 }
 
-// reportRefused tells the tracker of a member that could not be reached. A share
-// that is in use says nothing of the member; to probe it on a new connection for
+// reportUnreachable reports a member that could not be reached to the tracker. An exhausted
+// connection share says nothing about the member; probing the member on a new connection after
 // each such refusal would add to the load that caused them.
-func (g *Group) reportRefused(address string, err error) {
+func (g *Group) reportUnreachable(address string, err error) {
 	if e, ok := result.As(err); ok && e.Code == result.UpstreamUnreachable {
 		g.Tracker.ReportFailure(address)
 	}
 }
 
-// reportBroken tells pool and tracker of a connection that failed in the middle. Of one that
-// nothing was sent on there is nothing to tell.
-func (g *Group) reportBroken(c wire.Conn, err error) {
+// reportBrokenConn reports a connection that failed during an exchange to the pool and the
+// tracker. It does nothing if the unit was not sent.
+func (g *Group) reportBrokenConn(c wire.Conn, err error) {
 	if _, ok := result.As(err); ok {
 		return
 	}
 	if isTimeout(err) {
 		g.Pool.Suspect(c.Address(), c.Opened())
-		g.Pool.ProbeIdle(g.Clock.Now().Add(-silenceWindow))
+		g.Pool.ProbeIdle(g.Clock.Now().Add(-recentUseWindow))
 	}
 	g.Tracker.ReportFailure(c.Address())
 }
 
-// earlier returns the earlier of t and ctx's deadline.
-func earlier(ctx context.Context, t time.Time) time.Time {
+// earlierDeadline returns the earlier of t and ctx's deadline.
+func earlierDeadline(ctx context.Context, t time.Time) time.Time {
 	if d, ok := ctx.Deadline(); ok && d.Before(t) {
 		return d
 	}
--- a/internal/executor/execute.go
+++ b/internal/executor/execute.go
@@ -10,7 +10,7 @@
 func (g *Group) Execute(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	p, err := newPlan(g.Service(), u)
 	if err != nil {
-		return nil, g.Metrics.refused(g.Group, err)
+		return nil, g.Metrics.countRefusal(g.Group, err)
 	}
 	arrived := g.Clock.Now()
 	if p.objective > 0 {
@@ -21,9 +21,9 @@
 	g.Budget.Request()
 	reply, err := g.dispatch(ctx, u, p, partial)
 	if err != nil {
-		return nil, g.Metrics.refused(g.Group, err)
+		return nil, g.Metrics.countRefusal(g.Group, err)
 	}
-	g.Metrics.answered(g.Group, p.class, reply.Replica)
+	g.Metrics.countAnswer(g.Group, p.class, reply.Replica)
 	return reply, nil
 }
 
@@ -31,22 +31,22 @@
 	switch {
 	case u.Transaction != "":
 		return g.continueTransaction(ctx, u, p, partial)
-	case !p.atPrimary():
-		return g.read(ctx, u, p, partial)
+	case !p.needsPrimary():
+		return g.executeRead(ctx, u, p, partial)
 	default:
-		return g.write(ctx, u, p, partial)
+		return g.executeWrite(ctx, u, p, partial)
 	}
 }
 
 // Cancel implements execution.Executor.
 func (g *Group) Cancel(_, unitID string) {
-	c := g.running.claimCancel(unitID)
+	c := g.runningUnits.claimCancel(unitID)
 	if c == nil {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	if err := c.Cancel(ctx, g.Dialer); err != nil {
-		g.Logger.Debug("Cancel request was not sent.", "member", c.Address(), "error", err)
+		g.Logger.Debug("Sending the cancel request failed.", "member", c.Address(), "error", err)
 	}
 }
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Methods that instances call on each other for units.
+// Methods that instances call on each other to run units.
 const (
 	methodExecute = "unit.execute"
 	methodPartial = "unit.partial"
@@ -20,21 +20,21 @@
 	methodCancel  = "unit.cancel"
 )
 
-// notifyTimeout bounds calls whose answer nobody waits for.
+// notifyTimeout bounds calls whose answer is not waited for.
 const notifyTimeout = 2 * time.Second
 
-// forwardGrace is added to a unit's time before its home is given up: the home
-// answers for itself in time unless it is lost.
+// forwardGrace is added to a unit's timeout before the call to its home is given up: a home that
+// is alive answers within the unit's own timeout.
 const forwardGrace = 250 * time.Millisecond
 
-// reference names a transaction or a unit of a group.
-type reference struct {
+// objectRef identifies a group, or a transaction or unit of a group.
+type objectRef struct {
 	Group string `json:"group"`
 	ID    string `json:"id"`
 }
 
-// piece is a part of a large answer on its way to the entry instance.
-type piece struct {
+// answerChunk is part of a large answer that is sent to the entry instance.
+type answerChunk struct {
 	ID    string `json:"id"`
 	Bytes []byte `json:"bytes"`
 }
@@ -45,47 +45,48 @@
 	s.Handle(methodPartial, r.servePartial)
 	s.Handle(methodAbandon, r.serveAbandon)
 	s.Handle(methodCancel, r.serveCancel)
-	s.Handle(methodStanding, r.serveStanding)
+	s.Handle(methodCapability, r.serveCapability)
 }
 
-// forward tries the homes of the unit's group in order. It goes on to the next
-// home only when the unit did not leave this instance or the home says that it
-// is no home.
+// forward tries the homes of the unit's group in order. It continues with the next home only if
+// the unit was not sent, or if the home refused it because it is not home to the group or is
+// draining.
 func (r *Router) forward(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	last := result.New(result.UpstreamUnreachable, "no home of group %s answers", u.Group).WithRetryAfter(retryAfterFailover)
-	for _, home := range r.avoided.order(r.clock.Now(), forOwner(r.homes.Homes(u.Group), u.Owner)) {
+	for _, home := range r.avoidedHomes.orderHomes(r.clock.Now(), orderForOwner(r.homes.Homes(u.Group), u.Owner)) {
 		if home.ID == r.self {
 			continue
 		}
-		reply, err := r.send(ctx, home, u, partial)
+		reply, err := r.sendUnit(ctx, home, u, partial)
 		if err == nil {
 			return reply, nil
 		}
-		r.note(home, err)
-		if !notTaken(err) {
-			return nil, forwardFailed(err)
+		r.avoidFailedHome(home, err)
+		if !unitNotStarted(err) {
+			return nil, forwardError(err)
 		}
 		last = last.WithCause(err)
 	}
-	return nil, r.metrics.refused(u.Group, last)
+	return nil, r.metrics.countRefusal(u.Group, last)
 }
 
-// note remembers a home that refuses new units because it shuts down, as units sent
-// to it until the instance list shows that would race the close of its connections,
-// and one that cannot be reached, as each unit would else wait for that anew.
-func (r *Router) note(home platform.Instance, err error) {
+// avoidFailedHome records a home that refuses new units because it is shutting down, and one that
+// cannot be reached. Until the instance list shows the shutdown, units sent to the former would
+// race with the closing of its connections; without the record, every unit would wait for the
+// latter again.
+func (r *Router) avoidFailedHome(home platform.Instance, err error) {
 	now := r.clock.Now()
 	if errors.Is(err, peer.ErrNotSent) {
-		r.avoided.add(home.ID, now.Add(avoidUnreached))
+		r.avoidedHomes.add(home.ID, now.Add(avoidUnreachableFor))
 		return
 	}
 	if e, ok := result.As(err); ok && e.Code == result.Draining {
-		r.avoided.add(home.ID, now.Add(avoidDraining))
+		r.avoidedHomes.add(home.ID, now.Add(avoidDrainingFor))
 	}
 }
 
-// notTaken reports that the home did not start on the unit.
-func notTaken(err error) bool {
+// unitNotStarted reports whether the home did not start executing the unit.
+func unitNotStarted(err error) bool {
 	if errors.Is(err, peer.ErrNotSent) {
 		return true
 	}
@@ -93,36 +94,36 @@
 	return ok && (e.Code == result.NotReady || e.Code == result.Draining)
 }
 
-// forwardFailed keeps the home's own result code; any other end of the call
-// leaves the outcome unknown.
-func forwardFailed(err error) error {
+// forwardError keeps the home's own result code. Any other failure of the call leaves the outcome
+// unknown.
+func forwardError(err error) error {
 	if e, ok := result.As(err); ok {
 		return e
 	}
 	return result.New(result.PeerLost, "the home instance stopped answering").WithCause(err)
 }
 
-// forwardTo sends a unit to the instance that owns its transaction.
-func (r *Router) forwardTo(ctx context.Context, owner string, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
+// forwardToOwner sends a unit to the instance that owns its transaction.
+func (r *Router) forwardToOwner(ctx context.Context, owner string, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	home, ok := r.homes.FindInstance(owner)
 	if !ok {
 		return nil, result.New(result.TransactionLost, "instance %s is gone", owner)
 	}
-	defer r.setAway(u.ID, awayUnit{instance: home.ID, id: u.ID})()
-	reply, err := r.send(ctx, home, u, partial)
+	defer r.trackRemoteUnit(u.ID, remoteUnit{instance: home.ID, unitID: u.ID})()
+	reply, err := r.sendUnit(ctx, home, u, partial)
 	if errors.Is(err, peer.ErrNotSent) {
 		return nil, result.New(result.TransactionLost, "instance %s does not answer", owner).WithCause(err)
 	}
 	if err != nil {
-		return nil, forwardFailed(err)
+		return nil, forwardError(err)
 	}
 	return reply, nil
 }
 
-func (r *Router) send(ctx context.Context, home platform.Instance, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
-	u.ReplyTo = r.address
-	r.setPartial(u.ID, partial)
-	defer r.setPartial(u.ID, nil)
+func (r *Router) sendUnit(ctx context.Context, home platform.Instance, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
+	u.ReplyTo = r.peerAddress
+	r.setPartialHandler(u.ID, partial)
+	defer r.setPartialHandler(u.ID, nil)
 	ctx, cancel := context.WithTimeout(ctx, u.Timeout+forwardGrace)
 	defer cancel()
 	reply := new(execution.Reply)
@@ -132,18 +133,18 @@
 	return reply, nil
 }
 
-func (r *Router) setPartial(unitID string, f func([]byte) error) {
+func (r *Router) setPartialHandler(unitID string, f func([]byte) error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f == nil {
-		delete(r.partials, unitID)
+		delete(r.partialHandlers, unitID)
 		return
 	}
-	r.partials[unitID] = f
+	r.partialHandlers[unitID] = f
 }
 
-// notify calls an instance without waiting for its answer.
-func (r *Router) notify(instance, method string, ref reference) {
+// notifyInstance calls an instance without waiting for its answer.
+func (r *Router) notifyInstance(instance, method string, ref objectRef) {
 	to, ok := r.homes.FindInstance(instance)
 	if !ok {
 		return
@@ -155,44 +156,43 @@
 	}()
 }
 
-// serveExecute runs a unit for a peer. A unit that arrives at an instance that
-// is not home to its group is refused, never passed on, so that units do not
-// travel in circles.
+// serveExecute runs a unit for a peer. An instance that is not home to the unit's group refuses
+// the unit and never forwards it, so that units cannot loop between instances.
 func (r *Router) serveExecute(ctx context.Context, _ string, params json.RawMessage) (any, error) {
 	u := new(execution.Unit)
 	if err := json.Unmarshal(params, u); err != nil {
 		return nil, result.New(result.ProtocolViolation, "unit").WithCause(err)
 	}
-	if !r.begin(u) {
+	if !r.beginPeerUnit(u) {
 		return nil, result.New(result.Draining, "instance %s", r.self)
 	}
-	defer r.finish()
+	defer r.finishPeerUnit()
 	if u.Transaction != "" {
-		return r.inTransaction(ctx, u, r.partialTo(ctx, u))
+		return r.executeInTransaction(ctx, u, r.partialSender(ctx, u))
 	}
-	g := r.enter(u.Group)
+	g := r.acquireGroup(u.Group)
 	if g == nil {
 		return nil, result.New(result.NotReady, "this instance is not home to group %s", u.Group)
 	}
-	defer g.leave()
-	return r.atHome(ctx, g, u, r.partialTo(ctx, u))
+	defer g.finishUnit()
+	return r.executeAtHome(ctx, g, u, r.partialSender(ctx, u))
 }
 
-// partialTo sends pieces to the entry instance. The next piece waits until the
-// last one was taken, which bounds what is under way.
-func (r *Router) partialTo(ctx context.Context, u *execution.Unit) func([]byte) error {
+// partialSender returns a function that sends answer chunks to the entry instance. Each chunk
+// waits until the previous one was accepted, which bounds the data in flight.
+func (r *Router) partialSender(ctx context.Context, u *execution.Unit) func([]byte) error {
 	return func(bytes []byte) error {
-		return r.caller.Call(ctx, u.ReplyTo, methodPartial, piece{ID: u.ID, Bytes: bytes}, nil)
+		return r.caller.Call(ctx, u.ReplyTo, methodPartial, answerChunk{ID: u.ID, Bytes: bytes}, nil)
 	}
 }
 
 func (r *Router) servePartial(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var p piece
+	var p answerChunk
 	if err := json.Unmarshal(params, &p); err != nil {
 		return nil, err
 	}
 	r.mu.RLock()
-	f := r.partials[p.ID]
+	f := r.partialHandlers[p.ID]
 	r.mu.RUnlock()
 	if f == nil {
 		return nil, result.New(result.AnswerCutShort, "the unit is no longer waited for")
@@ -201,7 +201,7 @@
 }
 
 func (r *Router) serveAbandon(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ref reference
+	var ref objectRef
 	if err := json.Unmarshal(params, &ref); err != nil {
 		return nil, err
 	}
@@ -210,7 +210,7 @@
 }
 
 func (r *Router) serveCancel(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ref reference
+	var ref objectRef
 	if err := json.Unmarshal(params, &ref); err != nil {
 		return nil, err
 	}
--- a/internal/executor/forward_test.go
+++ b/internal/executor/forward_test.go
@@ -15,26 +15,28 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// deadFirst is a group with two homes elsewhere, the nearer of which is gone: a call to it
+// homesWithDeadNearest is a group with two homes elsewhere, the nearer of which is gone: a call to it
 // is told after a while that it was not sent.
-type deadFirst struct{ dead int }
+type homesWithDeadNearest struct{ deadCalls int }
 
-// deadWait is how long such a call takes.
-const deadWait = 250 * time.Millisecond
+// deadCallTime is how long such a call takes.
+const deadCallTime = 250 * time.Millisecond
 
 // Homes implements Homes.
-func (*deadFirst) Homes(string) []platform.Instance {
+func (*homesWithDeadNearest) Homes(string) []platform.Instance {
 	return []platform.Instance{{ID: "dead", PeerAddress: "dead"}, {ID: "well", PeerAddress: "well"}}
 }
 
 // FindInstance implements Homes.
-func (*deadFirst) FindInstance(string) (platform.Instance, bool) { return platform.Instance{}, false }
+func (*homesWithDeadNearest) FindInstance(string) (platform.Instance, bool) {
+	return platform.Instance{}, false
+}
 
 // Call implements peer.Caller.
-func (d *deadFirst) Call(ctx context.Context, address, _ string, _, reply any) error {
+func (h *homesWithDeadNearest) Call(ctx context.Context, address, _ string, _, reply any) error {
 	if address == "dead" {
-		d.dead++
-		_ = clock.Sleep(ctx, clock.System{}, deadWait)
+		h.deadCalls++
+		_ = clock.Sleep(ctx, clock.System{}, deadCallTime)
 		return peer.ErrNotSent
 	}
 	reply.(*execution.Reply).Messages = []byte("rows")
@@ -44,24 +46,24 @@
 // A machine is removed for good and still listed as the nearest home of a group. Callers
 // of an instance that is no home see one request in two seconds wait for it, and not
 // every one.
-func TestDeadHomeIsPassedBy(t *testing.T) {
+func TestDeadHomeIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := &deadFirst{}
-		r := NewRouter("self", "self:1", d, d, clock.System{}, NewMetrics(prometheus.NewRegistry()))
+		homes := &homesWithDeadNearest{}
+		r := NewRouter("self", "self:1", homes, homes, clock.System{}, NewMetrics(prometheus.NewRegistry()))
 		slow := 0
 		for range 100 {
 			began := time.Now()
 			reply, err := r.Execute(t.Context(), &execution.Unit{ID: "u", Group: "g", Timeout: time.Second}, nil)
 			is.NoErr(err)
 			is.Equal(string(reply.Messages), "rows")
-			if time.Since(began) >= deadWait {
+			if time.Since(began) >= deadCallTime {
 				slow++
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.True(slow > 0)
 		is.True(slow <= 4)
-		is.Equal(d.dead, slow)
+		is.Equal(homes.deadCalls, slow)
 	})
 }
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -20,7 +20,7 @@
 // replica, still answers reads. A caller who asks for fresh data would get that of
 // before the promotion. The member must have shown that it leads the term that was
 // proved; only a transaction that may write shows it by being taken.
-func TestFreshReadNeedsAMemberThatLeads(t *testing.T) {
+func TestFreshReadRequiresCurrentPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		unit   execution.Unit
 		report *member.Status
@@ -36,14 +36,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, s := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+			_, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 			g := &Group{Config: Config{Tracker: s, Clock: clock.System{}}}
 			x := &exchange{
-				conn:         scriptedConn{all: s, address: "p"},
+				conn:         fakeConn{cluster: s, address: "p"},
 				verification: &group.Verification{Term: 1}, // proved at once
 				Exchange:     wire.Exchange{Unit: &c.unit, Outcome: wire.Outcome{Report: c.report}},
 			}
-			err := g.verified(t.Context(), plan{limits: document.Limits{ConfirmTimeout: time.Second}}, x)
+			err := g.awaitVerification(t.Context(), plan{limits: document.Limits{ConfirmTimeout: time.Second}}, x)
 			is.Equal(err == nil, c.fresh)
 			if e, ok := result.As(err); ok {
 				is.Equal(e.Code, result.NoPrimary)
--- a/internal/executor/hedge.go
+++ b/internal/executor/hedge.go
@@ -10,43 +10,43 @@
 	"github.com/topazrock/topazrock/internal/retry"
 )
 
-// hedgePart is the part of a read's objective after which another replica is asked as
-// well: one in three leaves the second one time for a whole answer.
-const hedgePart = 3
+// hedgeDivisor is the divisor of a read's objective after which a second replica is asked as
+// well: a third of the objective leaves the second one time for a complete answer.
+const hedgeDivisor = 3
 
-// outcome is what one attempt of a read came to.
-type outcome struct {
+// readAttempt is the result of one attempt of a read.
+type readAttempt struct {
 	member   string
 	reply    *execution.Reply
 	streamed bool
 	err      error
 }
 
-// hedgeable reports whether a second replica may be asked while the first is at work:
-// the read must stand alone, and its answer must be held whole.
-func (g *Group) hedgeable(u *execution.Unit, p plan) bool {
+// canHedge reports whether a second replica may be asked while the first one is running the read.
+// The read must be a single unit, and its answer must be buffered as a whole.
+func (g *Group) canHedge(u *execution.Unit, p plan) bool {
 	return g.Wire.HoldsAnswers && u.ReadOnly && !u.Begins && p.objective > 0
 }
 
-// hedged runs a read at a replica, and at a second one if the first has not answered
-// when a part of the objective has passed. The first good answer counts; the other
-// attempt is left to end by itself, its connection to be used again. Hedges spend the
-// retry budget, so that a group that is slow as a whole is not asked twice as much.
-func (g *Group) hedged(ctx context.Context, u *execution.Unit, p plan, m group.MemberView, n need, exclude map[string]bool, partial func([]byte) error) outcome {
-	results := make(chan outcome, 2)
+// readWithHedge runs a read at a replica, and at a second one if the first has not answered after
+// a part of the objective. The first successful answer is used; the other attempt is left to
+// finish, so that its connection can be reused. Hedges spend the retry budget, so that the load of
+// a group that is slow as a whole is not doubled.
+func (g *Group) readWithHedge(ctx context.Context, u *execution.Unit, p plan, m group.MemberView, req readRequirement, exclude map[string]bool, partial func([]byte) error) readAttempt {
+	results := make(chan readAttempt, 2)
 	launch := func(m group.MemberView, number int) {
-		// Each attempt has a unit of its own: it sets what it learns there.
-		copied := *u
+		// Each attempt gets its own copy of the unit, because it sets the token in it.
+		attemptUnit := *u
 		if number > 1 {
-			copied.ID += "+" + strconv.Itoa(number)
+			attemptUnit.ID += "+" + strconv.Itoa(number)
 		}
 		go func() {
-			reply, streamed, err := g.atReplica(ctx, &copied, p, m, n, partial)
-			results <- outcome{m.Address, reply, streamed, err}
+			reply, streamed, err := g.runAtReplica(ctx, &attemptUnit, p, m, req, partial)
+			results <- readAttempt{m.Address, reply, streamed, err}
 		}()
 	}
 	launch(m, 1)
-	timer := g.Clock.NewTimer(p.objective / hedgePart)
+	timer := g.Clock.NewTimer(p.objective / hedgeDivisor)
 	defer timer.Stop()
 	select {
 	case first := <-results:
@@ -54,11 +54,11 @@
 	case <-timer.C:
 	}
 	exclude[m.Address] = true
-	second, ok := g.pickReplica(u.Owner, n, exclude)
-	if !ok || !g.mayHedge(ctx) {
+	second, ok := g.pickReplica(u.Owner, req, exclude)
+	if !ok || !g.takeHedgeAttempt(ctx) {
 		return <-results
 	}
-	g.Logger.Info("Read is sent to a second member as well.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", m.Address, "second", second.Address, "after", (p.objective / hedgePart).String())
+	g.Logger.Info("Hedging read at a second member.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", m.Address, "second", second.Address, "after", (p.objective / hedgeDivisor).String())
 	launch(second, 2)
 	first := <-results
 	if first.err == nil {
@@ -68,8 +68,8 @@
 	return <-results
 }
 
-// mayHedge takes one attempt from the retry budget.
-func (g *Group) mayHedge(ctx context.Context) bool {
+// takeHedgeAttempt takes one attempt from the retry budget.
+func (g *Group) takeHedgeAttempt(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = g.Clock.Now().Add(time.Second)
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -28,78 +28,78 @@
 )
 
 // objective is what callers of these tests want their answers in.
-const objective = 300 * time.Millisecond
+const readObjective = 300 * time.Millisecond
 
 // scripted is a member that answers all statements in one way.
-type scripted struct {
-	after   time.Duration
+type fakeMember struct {
+	delay   time.Duration
 	err     error
 	failure *wire.Failure
 	// until is when failure ends; zero never. opens says that a statement leaves a
 	// transaction open.
-	until time.Time
-	opens bool
+	failsUntil       time.Time
+	opensTransaction bool
 	// asked counts the statements that reached it; required is what the last one
 	// demanded of its log.
-	asked    int
-	required logpos.Mark
+	statements int
+	required   logpos.Mark
 }
 
-// scriptedMembers are members by address, and the pool and tracker of a group.
-type scriptedMembers struct {
+// fakeCluster are members by address, and the pool and tracker of a group.
+type fakeCluster struct {
 	group.Tracker
 	snapshot group.Snapshot
 	// unproven says that no mark is proved but by a barrier.
-	unproven bool
+	noProvenMark bool
 
-	mu      sync.Mutex
-	members map[string]*scripted
-	failed  []string
+	mu             sync.Mutex
+	members        map[string]*fakeMember
+	reportedFailed []string
 	// acquired is called when a connection was handed out; nil for nothing.
-	acquired func()
-	// full are members that take no connection, and metFull counts who tried.
-	full    map[string]bool
-	metFull int
+	onAcquire func()
+	// full are members that take no connection, and refusedAcquires counts who tried.
+	full            map[string]bool
+	refusedAcquires int
 }
 
-// scriptedConn is a connection to a scripted member.
-type scriptedConn struct {
+// fakeConn is a connection to a scripted member.
+type fakeConn struct {
 	wire.Conn
-	all     *scriptedMembers
+	cluster *fakeCluster
 	address string
 }
 
 // Address implements wire.Conn.
-func (c scriptedConn) Address() string { return c.address }
+func (c fakeConn) Address() string { return c.address }
 
 // Opened implements wire.Conn.
-func (c scriptedConn) Opened() time.Time { return time.Time{} }
+func (c fakeConn) Opened() time.Time { return time.Time{} }
 
 // SetDeadline implements wire.Conn.
-func (c scriptedConn) SetDeadline(time.Time) error { return nil }
+func (c fakeConn) SetDeadline(time.Time) error { return nil }
 
 // Clean implements wire.Conn.
-func (c scriptedConn) Clean() bool { return true }
+func (c fakeConn) Clean() bool { return true }
 
 // Spoil implements wire.Conn.
-func (c scriptedConn) Spoil() {}
+func (c fakeConn) Spoil() {}
 
 // Cancel implements wire.Conn.
-func (c scriptedConn) Cancel(context.Context, netio.Dialer) error { return nil }
+func (c fakeConn) Cancel(context.Context, netio.Dialer) error { return nil }
 
 // Run implements wire.Conn.
-func (c scriptedConn) Run(x *wire.Exchange) error {
-	c.all.mu.Lock()
-	c.all.members[c.address].asked++
-	c.all.members[c.address].required = x.Required
-	m := *c.all.members[c.address]
-	c.all.mu.Unlock()
-	_ = clock.Sleep(context.Background(), clock.System{}, m.after)
+func (c fakeConn) Run(x *wire.Exchange) error {
+	c.cluster.mu.Lock()
+	c.cluster.members[c.address].statements++
+	c.cluster.members[c.address].required = x.Required
+	m := *c.cluster.members[c.address]
+	c.cluster.mu.Unlock()
+	_ = clock.Sleep(context.Background(), clock.System{}, m.delay)
 	x.Final, x.Failure = wire.Idle, m.failure
-	if !m.until.IsZero() && !time.Now().Before(m.until) {
+	if !m.failsUntil.IsZero() && !time.Now().Before(m.failsUntil) {
 		x.Failure = nil
 	}
-	if m.opens && x.Unit != emptyUnit {
+	if m.opensTransaction && x.Unit != emptyUnit {
 		x.Final = wire.InTransaction
 	}
 	x.Messages = []byte(c.address)
@@ -107,73 +107,73 @@
 }
 
 // Acquire implements pool.Pool.
-func (s *scriptedMembers) Acquire(_ context.Context, address, _ string) (wire.Conn, error) {
+func (s *fakeCluster) Acquire(_ context.Context, address, _ string) (wire.Conn, error) {
 	if s.full[address] {
-		s.metFull++
+		s.refusedAcquires++
 		return nil, result.New(result.TooManyConnections, "member %s", address)
 	}
-	if s.acquired != nil {
-		s.acquired()
+	if s.onAcquire != nil {
+		s.onAcquire()
 	}
-	return scriptedConn{all: s, address: address}, nil
+	return fakeConn{cluster: s, address: address}, nil
 }
 
 // Release implements pool.Pool.
-func (*scriptedMembers) Release(wire.Conn) {}
+func (*fakeCluster) Release(wire.Conn) {}
 
 // Suspect implements pool.Pool.
-func (*scriptedMembers) Suspect(string, time.Time) {}
+func (*fakeCluster) Suspect(string, time.Time) {}
 
 // ProbeIdle implements pool.Pool.
-func (*scriptedMembers) ProbeIdle(time.Time) {}
+func (*fakeCluster) ProbeIdle(time.Time) {}
 
 // Full implements pool.Pool.
-func (s *scriptedMembers) Full(address string) bool { return s.full[address] }
+func (s *fakeCluster) Full(address string) bool { return s.full[address] }
 
 // Idle implements pool.Pool.
-func (s *scriptedMembers) Idle(string, string) bool { return true }
+func (s *fakeCluster) Idle(string, string) bool { return true }
 
 // FullFor implements pool.Pool.
-func (s *scriptedMembers) FullFor(address, _ string) bool { return s.full[address] }
+func (s *fakeCluster) FullFor(address, _ string) bool { return s.full[address] }
 
 // Snapshot implements group.Tracker.
-func (s *scriptedMembers) Snapshot() *group.Snapshot { return &s.snapshot }
+func (s *fakeCluster) Snapshot() *group.Snapshot { return &s.snapshot }
 
 // Ask implements group.Tracker.
-func (*scriptedMembers) Ask() group.Ticket { return group.Ticket{} }
+func (*fakeCluster) Ask() group.Ticket { return group.Ticket{} }
 
 // Recheck implements group.Tracker.
-func (*scriptedMembers) Recheck(string) {}
+func (*fakeCluster) Recheck(string) {}
 
 // ReportFailure implements group.Tracker.
-func (s *scriptedMembers) ReportFailure(address string) {
+func (s *fakeCluster) ReportFailure(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = append(s.failed, address)
+	s.reportedFailed = append(s.reportedFailed, address)
 }
 
 // Proven implements group.Tracker.
-func (s *scriptedMembers) Proven(time.Time) (logpos.Mark, bool) {
-	return logpos.Mark{Term: 1, Position: 10}, !s.unproven
+func (s *fakeCluster) Proven(time.Time) (logpos.Mark, bool) {
+	return logpos.Mark{Term: 1, Position: 10}, !s.noProvenMark
 }
 
 // Floor implements group.Tracker.
-func (s *scriptedMembers) Floor(ctx context.Context) (logpos.Mark, error) { return s.Barrier(ctx) }
+func (s *fakeCluster) Floor(ctx context.Context) (logpos.Mark, error) { return s.Barrier(ctx) }
 
 // Barrier implements group.Tracker.
-func (*scriptedMembers) Barrier(context.Context) (logpos.Mark, error) {
+func (*fakeCluster) Barrier(context.Context) (logpos.Mark, error) {
 	return logpos.Mark{Term: 1, Position: 15}, nil
 }
 
 // asked is how often a member was asked.
-func (s *scriptedMembers) asked(address string) int {
+func (s *fakeCluster) statementsAt(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members[address].asked
+	return s.members[address].statements
 }
 
-// earnedBudget is a retry budget that requests have filled.
-func earnedBudget() *retry.Budget {
+// fullRetryBudget is a retry budget that requests have filled.
+func fullRetryBudget() *retry.Budget {
 	b := retry.New(retry.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	for range int(retry.DefaultBurst / retry.DefaultRatio) {
 		b.Request()
@@ -181,27 +181,27 @@
 	return b
 }
 
-// scriptedGroup is a group of a primary p and two replicas.
-func scriptedGroup(p, r1, r2 *scripted) (*Group, *scriptedMembers) {
+// newFakeGroup is a group of a primary p and two replicas.
+func newFakeGroup(p, r1, r2 *fakeMember) (*Group, *fakeCluster) {
 	now := time.Now()
 	view := func(address string, role member.Role) group.MemberView {
 		return group.MemberView{Address: address, SeenAt: now, FreshAsOf: now,
 			Status: member.Status{Role: role, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: 20}}}
 	}
-	s := &scriptedMembers{
-		members: map[string]*scripted{"p": p, "r1": r1, "r2": r2},
+	s := &fakeCluster{
+		members: map[string]*fakeMember{"p": p, "r1": r1, "r2": r2},
 		snapshot: group.Snapshot{Group: "g", Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{
 			view("p", member.RolePrimary), view("r1", member.RoleReplica), view("r2", member.RoleReplica)}},
 	}
 	service := &document.Service{
 		Limits: document.Limits{StatementTimeout: time.Minute, RequestTimeout: time.Minute, ConfirmTimeout: time.Second, AnswerBuffer: 1 << 20, MaxQueue: 10},
-		Reads:  []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5, Objective: objective}},
+		Reads:  []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5, Objective: readObjective}},
 	}
 	return NewGroup(Config{
 		Group: "g", Instance: "i", Service: func() *document.Service { return service },
 		Tracker: s, Pool: s, Clock: clock.System{}, Logger: hclog.NewNullLogger(),
 		Gate:    admission.NewPerMember(admission.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Slots: 4}),
-		Budget:  earnedBudget(),
+		Budget:  fullRetryBudget(),
 		Random:  rand.New(rand.NewPCG(1, 3)),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
 		Wire:    wire.Features{ChecksPosition: true, TellsLog: true, SlotIsConnection: true, HoldsAnswers: true, TellsEnd: true},
@@ -224,18 +224,18 @@
 // it was given is sent to the other replica as well when a third of the caller's
 // objective is over, and the caller has its answer in time, whichever replica was
 // picked first.
-func TestReadOfASilentReplicaIsAnsweredByAnother(t *testing.T) {
+func TestReadAtSilentReplicaIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		quick := &scripted{after: 10 * time.Millisecond}
-		g, s := scriptedGroup(&scripted{}, &scripted{after: 5 * time.Second}, quick)
+		quick := &fakeMember{delay: 10 * time.Millisecond}
+		g, s := newFakeGroup(&fakeMember{}, &fakeMember{delay: 5 * time.Second}, quick)
 		slow := 0
 		for range 8 {
 			by, took, err := readOnce(t, g)
 			is.NoErr(err)
 			is.Equal(by, "r2")
-			is.True(took <= objective/hedgePart+10*time.Millisecond)
-			slow += s.asked("r1")
+			is.True(took <= readObjective/hedgeDivisor+10*time.Millisecond)
+			slow += s.statementsAt("r1")
 		}
 		is.True(slow > 0)
 		_ = clock.Sleep(t.Context(), clock.System{}, 10*time.Second)
@@ -245,8 +245,8 @@
 // A replica's connection breaks, or the statement fails there, or the replica lacks
 // what the read must see. The read changes nothing, so that another replica answers
 // it, and the caller sees no error.
-func TestReadThatFailsAtOneReplicaGoesToAnother(t *testing.T) {
-	for name, broken := range map[string]*scripted{
+func TestFailedReadIsRetriedAtAnotherReplica(t *testing.T) {
+	for name, broken := range map[string]*fakeMember{
 		"broken": {err: net.ErrClosed},
 		"failed": {failure: &wire.Failure{Kind: wire.FailureRan, Code: "FAILED"}},
 		"behind": {failure: &wire.Failure{Kind: wire.FailureBehind}},
@@ -255,13 +255,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g, s := scriptedGroup(&scripted{}, broken, &scripted{})
+				g, s := newFakeGroup(&fakeMember{}, broken, &fakeMember{})
 				for range 4 {
 					by, _, err := readOnce(t, g)
 					is.NoErr(err)
 					is.Equal(by, "r2")
 				}
-				is.True(s.asked("r1") > 0)
+				is.True(s.statementsAt("r1") > 0)
 			})
 		})
 	}
@@ -269,26 +269,26 @@
 
 // All members fail the statement. The caller is told the error after a few members,
 // not after a storm of attempts.
-func TestReadThatFailsEverywhereEnds(t *testing.T) {
+func TestReadThatFailsEverywhereStopsRetrying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		broken := func() *scripted { return &scripted{err: net.ErrClosed} }
-		g, s := scriptedGroup(broken(), broken(), broken())
+		broken := func() *fakeMember { return &fakeMember{err: net.ErrClosed} }
+		g, s := newFakeGroup(broken(), broken(), broken())
 		_, _, err := readOnce(t, g)
 		var e *result.Error
 		is.True(errors.As(err, &e))
 		is.Equal(e.Code, result.ConnectionLost)
-		is.True(s.asked("p")+s.asked("r1")+s.asked("r2") <= maxReadAttempts+1)
-		is.True(len(s.failed) > 0)
+		is.True(s.statementsAt("p")+s.statementsAt("r1")+s.statementsAt("r2") <= maxReadAttempts+1)
+		is.True(len(s.reportedFailed) > 0)
 	})
 }
 
 // One replica of two is lost, and the other one has statements of this instance
 // queued while the primary has none. Aged reads go to the primary too.
-func TestAgedReadsSpillToAnIdlePrimary(t *testing.T) {
+func TestAgedReadsSpillToIdlePrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := scriptedGroup(&scripted{after: time.Millisecond}, &scripted{after: 80 * time.Millisecond}, &scripted{after: 80 * time.Millisecond})
+		g, s := newFakeGroup(&fakeMember{delay: time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond})
 		s.snapshot.Members = s.snapshot.Members[:2]
 		var all sync.WaitGroup
 		for range 8 {
@@ -297,19 +297,19 @@
 		}
 		all.Wait()
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
-		is.True(s.asked("p") > 0)
-		is.True(s.asked("r1") >= spillAfter)
+		is.True(s.statementsAt("p") > 0)
+		is.True(s.statementsAt("r1") >= spillThreshold)
 	})
 }
 
 // The first read of a group comes while its first write is under way, and no earlier
 // position is proved. A barrier is; another sample, taken meanwhile, hides its own. The
 // read is sent with what the barrier itself proved, and not refused.
-func TestFirstReadTakesTheBarriersPosition(t *testing.T) {
+func TestFirstReadUsesBarrierPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
-		s.unproven = true
+		g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+		s.noProvenMark = true
 		by, _, err := readOnce(t, g)
 		is.NoErr(err)
 		is.Equal(s.members[by].required, logpos.Mark{Term: 1, Position: 15})
--- a/internal/executor/homefinder.go
+++ b/internal/executor/homefinder.go
@@ -12,71 +12,71 @@
 )
 
 const (
-	// homeFinderInterval is the time between two rounds of questions: three rounds, which
-	// ask seven homes, end within half of what an answer counts. homeFinderTimeout bounds the
-	// answers, many times a slow one.
+	// homeFinderInterval is the pause between two rounds of queries: three rounds, which query
+	// seven homes, end within half of homeAnswerTTL. homeFinderTimeout bounds each query; it
+	// is many times a slow answer.
 	homeFinderInterval = 150 * time.Millisecond
 	homeFinderTimeout  = 100 * time.Millisecond
-	// homeFinderLinger is how long homes are asked on behind the last unit that could not
-	// be served here.
-	homeFinderLinger = 500 * time.Millisecond
+	// homeFinderIdleAfter is how long homes are still queried after the last unit that could
+	// not be served here.
+	homeFinderIdleAfter = 500 * time.Millisecond
 	// homeFinderWait is how long a unit waits for the first answers.
 	homeFinderWait = 120 * time.Millisecond
 )
 
-// homeFinder finds out which other homes of a group can serve what this instance cannot.
+// homeFinder finds out which other homes of a group can serve units that this instance cannot.
 //
-// The load pattern is a cut that leaves an instance without the group's primary, or
-// without a majority, while it still reaches instances that have both. Every instance
-// decides by its own view; without it each caller of the cut ones is refused until
-// the cut heals, and comes back to one of them with every second try. Nobody is asked
+// It handles a network partition that cuts an instance off from the group's primary, or from a
+// majority, while the instance still reaches others that have both. Every instance decides by its
+// own view; without the finder, each caller of the isolated instances would be refused until the
+// partition heals, and would return to one of them on every second attempt. No home is queried
 // while the group is served here.
 type homeFinder struct {
 	clock clock.Clock
-	// homes returns the group's other homes, and ask asks one of them.
+	// homes returns the group's other homes; ask queries one of them.
 	homes func() []platform.Instance
-	ask   func(ctx context.Context, home platform.Instance) (standing, error)
-	// wake takes a token when somebody wants to know.
+	ask   func(ctx context.Context, home platform.Instance) (capability, error)
+	// wake receives a token when a unit needs another home.
 	wake chan struct{}
 
 	mu    sync.Mutex
 	known *knownHomes
-	// wantedAt is when a unit last could not be served here, and round is closed at the
-	// end of the present round of questions.
-	wantedAt time.Time
-	round    chan struct{}
+	// lastRequested is when a unit last could not be served here. roundDone is closed at the end
+	// of the current round of queries.
+	lastRequested time.Time
+	roundDone     chan struct{}
 }
 
-func newHomeFinder(k clock.Clock, r *rand.Rand, homes func() []platform.Instance, ask func(context.Context, platform.Instance) (standing, error)) *homeFinder {
-	return &homeFinder{clock: k, homes: homes, ask: ask, wake: make(chan struct{}, 1), round: make(chan struct{}), known: newKnownHomes(r)}
+func newHomeFinder(k clock.Clock, r *rand.Rand, homes func() []platform.Instance, ask func(context.Context, platform.Instance) (capability, error)) *homeFinder {
+	return &homeFinder{clock: k, homes: homes, ask: ask, wake: make(chan struct{}, 1), roundDone: make(chan struct{}), known: newKnownHomes(r)}
 }
 
-// find returns a home that can serve the unit, and false when none is known to. It waits
-// for answers for a short time, unless enough homes were asked just now: whoever cannot
-// be served is told so at once.
-func (s *homeFinder) find(ctx context.Context, u *execution.Unit) (platform.Instance, bool) {
-	began := s.clock.Now()
+// findHome returns a home that can serve the unit, or false if none is known. It waits a short
+// time for answers unless enough homes were queried recently, so that units that cannot be served
+// are refused immediately.
+func (f *homeFinder) findHome(ctx context.Context, u *execution.Unit) (platform.Instance, bool) {
+	began := f.clock.Now()
 	for {
-		round := s.want()
-		// Whether enough were asked is looked at before what they told: an answer that
-		// comes in between would else count as asked and not be seen.
-		told := s.told()
-		if home, ok := s.pick(u); ok {
+		roundDone := f.requestRound()
+		// enoughAsked must be read before the answers: otherwise the query of an answer that
+		// arrives in between would be counted but its answer missed.
+		enoughAsked := f.enoughAsked()
+		if home, ok := f.pickHome(u); ok {
 			return home, true
 		}
-		left := homeFinderWait - s.clock.Now().Sub(began)
-		if left <= 0 || told || !s.await(ctx, round, left) {
+		remaining := homeFinderWait - f.clock.Now().Sub(began)
+		if remaining <= 0 || enoughAsked || !f.awaitRound(ctx, roundDone, remaining) {
 			return platform.Instance{}, false
 		}
 	}
 }
 
-// await waits for the end of a round.
-func (s *homeFinder) await(ctx context.Context, round <-chan struct{}, d time.Duration) bool {
-	timer := s.clock.NewTimer(d)
+// awaitRound waits for the end of a round.
+func (f *homeFinder) awaitRound(ctx context.Context, roundDone <-chan struct{}, d time.Duration) bool {
+	timer := f.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-round:
+	case <-roundDone:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -84,90 +84,91 @@
 	return false
 }
 
-// want has the homes asked from now on, and returns what is closed when the present
-// round ends.
-func (s *homeFinder) want() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.wantedAt = s.clock.Now()
+// requestRound starts or continues the querying of homes. It returns a channel that is closed at
+// the end of the current round.
+func (f *homeFinder) requestRound() <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastRequested = f.clock.Now()
 	select {
-	case s.wake <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
-	return s.round
+	return f.roundDone
 }
 
-// pick returns a home that is known to serve the unit.
-func (s *homeFinder) pick(u *execution.Unit) (platform.Instance, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.known.pick(u, s.clock.Now())
+// pickHome returns a home that is known to be able to serve the unit.
+func (f *homeFinder) pickHome(u *execution.Unit) (platform.Instance, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.known.pickHome(u, f.clock.Now())
 }
 
-// told reports whether enough homes were asked of late.
-func (s *homeFinder) told() bool {
-	homes := s.homes()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.known.enoughAsked(homes, s.clock.Now())
+// enoughAsked reports whether enough homes were queried recently.
+func (f *homeFinder) enoughAsked() bool {
+	homes := f.homes()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.known.enoughAsked(homes, f.clock.Now())
 }
 
-// failed says that a home did not serve what it said it could.
-func (s *homeFinder) failed(home platform.Instance) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.known.failed(home)
+// forgetHome discards the answer of a home that did not serve a unit it reported it could.
+func (f *homeFinder) forgetHome(home platform.Instance) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.known.forgetAnswer(home)
 }
 
-// run asks homes round by round as long as somebody wants to know, until ctx ends.
-func (s *homeFinder) run(ctx context.Context) {
+// run queries homes in rounds while units need another home, until ctx ends.
+func (f *homeFinder) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-f.wake:
 		}
-		for s.askRound(ctx) {
-			if clock.Sleep(ctx, s.clock, homeFinderInterval) != nil {
+		for f.askRound(ctx) {
+			if clock.Sleep(ctx, f.clock, homeFinderInterval) != nil {
 				return
 			}
 		}
 	}
 }
 
-// askRound asks some homes at once. It returns false when nobody wants to know any more.
-func (s *homeFinder) askRound(ctx context.Context) bool {
+// askRound queries some homes concurrently. It returns false if no unit needs another home
+// any more.
+func (f *homeFinder) askRound(ctx context.Context) bool {
 	var calls sync.WaitGroup
-	for _, home := range s.nextHomes() {
-		calls.Go(func() { s.askOne(ctx, home) })
+	for _, home := range f.nextHomes() {
+		calls.Go(func() { f.askHome(ctx, home) })
 	}
 	calls.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	close(s.round)
-	s.round = make(chan struct{})
-	return s.clock.Now().Sub(s.wantedAt) < homeFinderLinger
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	close(f.roundDone)
+	f.roundDone = make(chan struct{})
+	return f.clock.Now().Sub(f.lastRequested) < homeFinderIdleAfter
 }
 
-// nextHomes returns the homes that the next round asks.
-func (s *homeFinder) nextHomes() []platform.Instance {
-	homes := s.homes()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.known.choose(homes)
+// nextHomes returns the homes to query in the next round.
+func (f *homeFinder) nextHomes() []platform.Instance {
+	homes := f.homes()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.known.chooseNext(homes)
 }
 
-// askOne asks one home.
-func (s *homeFinder) askOne(ctx context.Context, home platform.Instance) {
+// askHome queries one home and records its answer.
+func (f *homeFinder) askHome(ctx context.Context, home platform.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, homeFinderTimeout)
 	defer cancel()
-	at := s.clock.Now()
-	told, err := s.ask(ctx, home)
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	askedAt := f.clock.Now()
+	reported, err := f.ask(ctx, home)
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if err != nil {
-		s.known.silent(home, at)
+		f.known.recordNoAnswer(home, askedAt)
 		return
 	}
-	s.known.answered(home, told, at)
+	f.known.recordAnswer(home, reported, askedAt)
 }
--- a/internal/executor/homeorder.go
+++ b/internal/executor/homeorder.go
@@ -9,14 +9,14 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// forOwner orders homes for units that run on connections of one owner alone: those of a
-// failure domain stay before those of the next, and among them a hash of the owner decides. Each
-// home then serves a part of the owners, on connections that it keeps for them.
+// orderForOwner orders homes for units that may run only on connections of one owner. The order
+// of failure domains is kept; within a failure domain, a hash of the owner and the home decides.
+// Each home thus serves some of the owners, on connections that it keeps open for them.
 //
-// The load pattern is tens of workspaces of very unequal size before homes that hold a few
-// connections each: with one home for all callers of a failure domain, most statements open a
-// connection, while those of the other homes lie idle.
-func forOwner(homes []platform.Instance, owner string) []platform.Instance {
+// It handles tens of workspaces of very unequal size on homes with a few connections each: if one
+// home served all callers of a failure domain, most statements would open a connection while the
+// connections of the other homes are idle.
+func orderForOwner(homes []platform.Instance, owner string) []platform.Instance {
 	if owner == "" || len(homes) < 2 {
 		return homes
 	}
--- a/internal/executor/homeorder_test.go
+++ b/internal/executor/homeorder_test.go
@@ -9,7 +9,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-func orderedHomes() []platform.Instance {
+func homesInThreeDomains() []platform.Instance {
 	var homes []platform.Instance
 	for n := range 6 {
 		homes = append(homes, platform.Instance{ID: fmt.Sprint("e", n), FailureDomain: fmt.Sprint("z", n/2)})
@@ -19,11 +19,11 @@
 
 // Guards against one home of a failure domain that serves all owners while the other is idle,
 // and against statements that leave the failure domain for it.
-func TestOwnersAreDividedAmongTheNearestHomes(t *testing.T) {
+func TestOwnersAreSpreadOverNearestHomes(t *testing.T) {
 	is := is.New(t)
 	first := make(map[string]int)
 	for n := range 75 {
-		ordered := forOwner(orderedHomes(), fmt.Sprint("workspace", n))
+		ordered := orderForOwner(homesInThreeDomains(), fmt.Sprint("workspace", n))
 		is.Equal(len(ordered), 6)
 		for k, i := range ordered {
 			is.Equal(i.FailureDomain, fmt.Sprint("z", k/2))
@@ -32,16 +32,16 @@
 	}
 	is.Equal(len(first), 2)
 	is.True(first["e0"] >= 25 && first["e1"] >= 25)
-	is.Equal(forOwner(orderedHomes(), ""), orderedHomes())
+	is.Equal(orderForOwner(homesInThreeDomains(), ""), homesInThreeDomains())
 }
 
 // Guards against owners that all change their homes when one home is lost.
-func TestLostHomeMovesItsOwnOwnersAlone(t *testing.T) {
+func TestLostHomeMovesOnlyItsOwners(t *testing.T) {
 	is := is.New(t)
 	for n := range 75 {
 		owner := fmt.Sprint("workspace", n)
-		before := forOwner(orderedHomes(), owner)[0].ID
-		after := forOwner(orderedHomes()[1:], owner)[0].ID
+		before := orderForOwner(homesInThreeDomains(), owner)[0].ID
+		after := orderForOwner(homesInThreeDomains()[1:], owner)[0].ID
 		is.True(after == before || before == "e0")
 	}
 }
--- a/internal/executor/idle_test.go
+++ b/internal/executor/idle_test.go
@@ -26,9 +26,9 @@
 
 // An instance is home to dozens of groups, of which most are idle. None of them wakes it: on a
 // small machine the wake-ups of idle groups would leave little time for those at work.
-func TestIdleGroupWakesNobody(t *testing.T) {
+func TestIdleGroupCreatesNoTimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, _ := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+		g, _ := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 		var timers atomic.Int64
 		g.Clock = countingClock{timers: &timers}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/executor/intransaction.go
+++ b/internal/executor/intransaction.go
@@ -19,9 +19,9 @@
 	if tx.ended {
 		return nil, result.New(result.TransactionLost, "it was ended before")
 	}
-	release, err := g.enterTransaction(ctx, p, tx)
+	release, err := g.acquireTransactionSlot(ctx, p, tx)
 	if err != nil {
-		g.end(tx, true)
+		g.endTransaction(tx, true)
 		return nil, err
 	}
 	if p.keyed(u) {
@@ -30,18 +30,18 @@
 	x := newExchange(tx.conn, u, p, partial)
 	x.term = tx.term
 	x.keyed = tx.key != ""
-	err = g.converse(ctx, p, x, g.transactionSteps(u, p, tx)...)
+	err = g.runExchange(ctx, p, x, g.transactionSteps(u, p, tx)...)
 	release()
 	if err != nil {
-		g.end(tx, true)
-		g.reportBroken(tx.conn, err)
-		return nil, g.settleCommit(ctx, u, tx, g.lostInTransaction(ctx, u, tx, err))
+		g.endTransaction(tx, true)
+		g.reportBrokenConn(tx.conn, err)
+		return nil, g.resolveCommitOutcome(ctx, u, tx, g.lostInTransaction(ctx, u, tx, err))
 	}
 	tx.lastUsed = g.Clock.Now()
-	return g.concludeIn(ctx, u, p, x, tx)
+	return g.completeInTransaction(ctx, u, p, x, tx)
 }
 
-// transactionSteps lists what is sent for a unit inside of a transaction.
+// transactionSteps returns the steps to send for a unit in a transaction.
 func (g *Group) transactionSteps(u *execution.Unit, p plan, tx *transaction) []wire.Step {
 	var steps []wire.Step
 	if p.keyed(u) {
@@ -54,11 +54,11 @@
 	return steps
 }
 
-// lostInTransaction is the error of a unit whose connection broke. Unless it was
-// to commit, the member rolls the transaction back with the connection.
+// lostInTransaction returns the error of a unit whose connection broke. Unless the unit was to
+// commit, the member rolls the transaction back when the connection closes.
 func (g *Group) lostInTransaction(ctx context.Context, u *execution.Unit, tx *transaction, err error) error {
-	if g.Wire.TellsEnd && (!u.Ends || !tx.wrote) {
+	if g.Wire.TellsEnd && (!u.Ends || !tx.mayHaveWritten) {
 		return result.New(result.TransactionLost, "its connection broke before the commit").WithCause(err)
 	}
-	return unknown(ctx, err)
+	return unknownOutcome(ctx, err)
 }
--- a/internal/executor/key.go
+++ b/internal/executor/key.go
@@ -9,37 +9,37 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// keyRefused answers a keyed unit whose key row could not be inserted. The
-// unit's own statements met an aborted transaction, so they did not run.
-func (g *Group) keyRefused(ctx context.Context, u *execution.Unit, x *exchange) error {
+// keyInsertFailed returns the error of a keyed unit whose key row could not be inserted. The
+// unit's own statements were sent in the aborted transaction, so they did not run.
+func (g *Group) keyInsertFailed(ctx context.Context, u *execution.Unit, x *exchange) error {
 	if x.Final != wire.Idle {
-		// The unit was the transaction's BEGIN: closing rolls it back.
+		// The unit opened the transaction: closing the connection rolls it back.
 		x.conn.Spoil()
 	}
 	g.Pool.Release(x.conn)
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
 		return keyNotStored(x.KeyFailure)
 	}
-	return g.lookUpKey(ctx, requestKey{u.Key, u.Owner})
+	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
 }
 
-// keyRefusedIn is keyRefused inside of the caller's transaction, which is
-// rolled back as a whole.
-func (g *Group) keyRefusedIn(ctx context.Context, u *execution.Unit, x *exchange, tx *transaction) error {
-	g.end(tx, true)
+// keyInsertFailedInTransaction is keyInsertFailed inside a caller's transaction, which is rolled
+// back as a whole.
+func (g *Group) keyInsertFailedInTransaction(ctx context.Context, u *execution.Unit, x *exchange, tx *transaction) error {
+	g.endTransaction(tx, true)
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
 		return keyNotStored(x.KeyFailure)
 	}
-	return g.lookUpKey(ctx, requestKey{u.Key, u.Owner})
+	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
 }
 
 func keyNotStored(e *wire.Failure) error {
 	return result.New(result.UpstreamUnreachable, "the request key was not stored: %s %s", e.Code, e.Message)
 }
 
-// lookUpKey tells what an existing key row says, once that row is confirmed: a
-// row that only a replaced primary holds proves nothing.
-func (g *Group) lookUpKey(ctx context.Context, key requestKey) error {
+// lookUpKeyOutcome returns the outcome recorded in an existing key row, after the row is
+// confirmed: a row that only a replaced primary holds proves nothing.
+func (g *Group) lookUpKeyOutcome(ctx context.Context, key requestKey) error {
 	outcome, err := g.readKey(ctx, key)
 	if err != nil {
 		return result.New(result.TombstoneFailed, "the key's row could not be read").WithCause(err)
@@ -54,68 +54,68 @@
 	}
 }
 
-// settle tries to turn an unknown outcome into a known one. It blocks the key:
-// if that commits, the request can never run; if the key is there, it ran.
-func (g *Group) settle(ctx context.Context, key requestKey, err error) error {
+// resolveOutcome tries to replace an unknown outcome by a known one. It blocks the key by a
+// tombstone: if the tombstone commits, the request can never run; if the key exists, it ran.
+func (g *Group) resolveOutcome(ctx context.Context, key requestKey, err error) error {
 	e, ok := result.As(err)
 	if !ok || e.Code.Family() != result.FamilyOutcomeUnknown || e.Code == result.TombstoneFailed {
 		return err
 	}
-	g.Metrics.settling(g.Group, e.Code)
+	g.Metrics.countResolution(g.Group, e.Code)
 	for {
-		settled, done := g.block(ctx, key)
+		resolved, done := g.blockKey(ctx, key)
 		if done {
-			return settled
+			return resolved
 		}
-		if g.pause(ctx) != nil {
+		if g.sleepPollInterval(ctx) != nil {
 			return e
 		}
 	}
 }
 
-// block makes one attempt to insert the tombstone. The second value is false
-// when the attempt showed nothing and may be made again.
-func (g *Group) block(ctx context.Context, key requestKey) (error, bool) {
-	x, err := g.control(ctx, key.owner, wire.Step{Kind: wire.StepStoreKey, Key: key.name, Outcome: wire.KeyBlocked})
+// blockKey makes one attempt to insert the tombstone. The second result is false if the attempt
+// was inconclusive and may be repeated.
+func (g *Group) blockKey(ctx context.Context, key requestKey) (error, bool) {
+	x, err := g.runKeyStep(ctx, key.owner, wire.Step{Kind: wire.StepStoreKey, Key: key.name, Outcome: wire.KeyBlocked})
 	if err != nil {
 		return nil, false
 	}
 	failure := x.KeyFailure
 	if failure != nil && failure.Kind == wire.FailureKeyExists {
-		settled := g.lookUpKey(ctx, key)
-		e, _ := result.As(settled)
-		return settled, e.Code != result.TombstoneFailed
+		resolved := g.lookUpKeyOutcome(ctx, key)
+		e, _ := result.As(resolved)
+		return resolved, e.Code != result.TombstoneFailed
 	}
 	if failure != nil && failure.Kind != wire.FailureReadOnly {
-		// Such as a missing table: the next attempt would end the same way.
+		// For example a missing table: another attempt would fail in the same way.
 		return result.New(result.TombstoneFailed, "%s %s", failure.Code, failure.Message), true
 	}
 	if failure != nil {
 		return nil, false
 	}
-	if _, err := g.confirmStatus(ctx, x); err != nil {
+	if _, err := g.confirmKeyExchange(ctx, x); err != nil {
 		return nil, false
 	}
 	return result.New(result.TombstoneWritten, "key %q", key.name), true
 }
 
 func (g *Group) readKey(ctx context.Context, key requestKey) (wire.KeyOutcome, error) {
-	x, err := g.control(ctx, key.owner, wire.Step{Kind: wire.StepFindKey, Key: key.name})
+	x, err := g.runKeyStep(ctx, key.owner, wire.Step{Kind: wire.StepFindKey, Key: key.name})
 	if err != nil {
 		return "", err
 	}
 	if x.KeyFailure != nil {
 		return "", result.New(result.TombstoneFailed, "%s", x.KeyFailure.Message)
 	}
-	if _, err := g.confirmStatus(ctx, x); err != nil {
+	if _, err := g.confirmKeyExchange(ctx, x); err != nil {
 		return "", err
 	}
 	return x.KeyOutcome, nil
 }
 
-// control runs one step about keys at the present primary.
-func (g *Group) control(ctx context.Context, owner string, step wire.Step) (*exchange, error) {
-	x, err := g.keyExchange(ctx, owner)
+// runKeyStep runs one request-key step at the current primary.
+func (g *Group) runKeyStep(ctx context.Context, owner string, step wire.Step) (*exchange, error) {
+	x, err := g.newKeyExchange(ctx, owner)
 	if err != nil {
 		return nil, err
 	}
@@ -124,8 +124,8 @@
 	return x, x.conn.Run(&x.Exchange)
 }
 
-// keyExchange begins an exchange at the present primary.
-func (g *Group) keyExchange(ctx context.Context, owner string) (*exchange, error) {
+// newKeyExchange prepares an exchange at the current primary.
+func (g *Group) newKeyExchange(ctx context.Context, owner string) (*exchange, error) {
 	s, err := g.writablePrimary()
 	if err != nil {
 		return nil, err
@@ -144,6 +144,6 @@
 	return x, nil
 }
 
-func (g *Group) confirmStatus(ctx context.Context, x *exchange) (logpos.Mark, error) {
+func (g *Group) confirmKeyExchange(ctx context.Context, x *exchange) (logpos.Mark, error) {
 	return g.confirm(ctx, plan{limits: g.Service().Limits}, x)
 }
--- a/internal/executor/knownhomes.go
+++ b/internal/executor/knownhomes.go
@@ -11,89 +11,89 @@
 )
 
 const (
-	// homeFinderWidth is how many homes are asked in a round. Seven homes so are all asked
-	// in three rounds.
-	homeFinderWidth = 3
-	// scoutMemory is how long an answer counts: a home whose own view of the group
-	// changed since is asked again within it.
-	scoutMemory = 600 * time.Millisecond
+	// homesPerRound is how many homes are queried in a round, so that seven homes are all
+	// queried in three rounds.
+	homesPerRound = 3
+	// homeAnswerTTL is how long an answer is valid: a home whose own view of the group has
+	// changed is queried again within this time.
+	homeAnswerTTL = 600 * time.Millisecond
 )
 
-// answer is what a home told, and when it was asked.
-type answer struct {
-	home     platform.Instance
-	standing standing
-	at       time.Time
+// homeAnswer is the answer of a home and the time at which it was queried.
+type homeAnswer struct {
+	home       platform.Instance
+	capability capability
+	askedAt    time.Time
 }
 
-// knownHomes is what a home finder knows of a group's other homes. It decides who is asked
-// next, whether enough were asked, and to whom a unit goes. It asks nobody itself, and is
-// not safe for concurrent use.
+// knownHomes holds a home finder's knowledge of a group's other homes. It decides which homes are
+// queried next, whether enough were queried, and which one gets a unit. It sends no queries itself
+// and is not safe for concurrent use.
 type knownHomes struct {
 	random *rand.Rand
-	// next is where the next round goes on in the list of homes.
-	next    int
-	answers map[string]answer
-	// askedAt is when each home was asked last, whether it answered or not.
+	// nextIndex is the position in the list of homes at which the next round starts.
+	nextIndex int
+	answers   map[string]homeAnswer
+	// askedAt is when each home was last queried, whether it answered or not.
 	askedAt map[string]time.Time
 }
 
 func newKnownHomes(r *rand.Rand) *knownHomes {
-	return &knownHomes{random: r, answers: make(map[string]answer), askedAt: make(map[string]time.Time)}
+	return &knownHomes{random: r, answers: make(map[string]homeAnswer), askedAt: make(map[string]time.Time)}
 }
 
-// choose returns the homes that the next round asks, in turn.
-func (k *knownHomes) choose(homes []platform.Instance) []platform.Instance {
+// chooseNext returns the homes to query in the next round, in rotation.
+func (k *knownHomes) chooseNext(homes []platform.Instance) []platform.Instance {
 	var chosen []platform.Instance
-	for range min(homeFinderWidth, len(homes)) {
-		chosen = append(chosen, homes[k.next%len(homes)])
-		k.next++
+	for range min(homesPerRound, len(homes)) {
+		chosen = append(chosen, homes[k.nextIndex%len(homes)])
+		k.nextIndex++
 	}
 	return chosen
 }
 
-// answered keeps what a home told that was asked at a time.
-func (k *knownHomes) answered(home platform.Instance, told standing, at time.Time) {
-	k.askedAt[home.ID] = at
-	k.answers[home.ID] = answer{home: home, standing: told, at: at}
+// recordAnswer stores the answer of a home that was queried at askedAt.
+func (k *knownHomes) recordAnswer(home platform.Instance, reported capability, askedAt time.Time) {
+	k.askedAt[home.ID] = askedAt
+	k.answers[home.ID] = homeAnswer{home: home, capability: reported, askedAt: askedAt}
 }
 
-// silent notes that a home that was asked at a time has not answered: it is not known to
-// serve.
-func (k *knownHomes) silent(home platform.Instance, at time.Time) {
-	k.askedAt[home.ID] = at
+// recordNoAnswer records that a home queried at askedAt did not answer; its earlier answer is
+// dropped.
+func (k *knownHomes) recordNoAnswer(home platform.Instance, askedAt time.Time) {
+	k.askedAt[home.ID] = askedAt
 	delete(k.answers, home.ID)
 }
 
-// failed forgets what a home told: it did not serve what it said it could.
-func (k *knownHomes) failed(home platform.Instance) { delete(k.answers, home.ID) }
+// forgetAnswer drops the answer of a home that did not serve a unit it reported it could.
+func (k *knownHomes) forgetAnswer(home platform.Instance) { delete(k.answers, home.ID) }
 
-// enoughAsked reports whether as many homes were asked of late as two rounds ask.
+// enoughAsked reports whether at least as many homes as two rounds cover were queried recently.
 func (k *knownHomes) enoughAsked(homes []platform.Instance, now time.Time) bool {
-	oldest := now.Add(-scoutMemory)
+	oldest := now.Add(-homeAnswerTTL)
 	asked := 0
 	for _, home := range homes {
 		if !k.askedAt[home.ID].Before(oldest) {
 			asked++
 		}
 	}
-	return asked >= min(len(homes), 2*homeFinderWidth)
+	return asked >= min(len(homes), 2*homesPerRound)
 }
 
-// pick returns one of the homes that are known to serve the unit. Chance decides
-// between them, so that their callers share the load.
-func (k *knownHomes) pick(u *execution.Unit, now time.Time) (platform.Instance, bool) {
-	oldest := now.Add(-scoutMemory)
-	var able []answer
+// pickHome returns a random one of the homes that are known to be able to serve the unit, so that
+// the load is spread over them.
+func (k *knownHomes) pickHome(u *execution.Unit, now time.Time) (platform.Instance, bool) {
+	oldest := now.Add(-homeAnswerTTL)
+	var candidates []homeAnswer
 	for _, a := range k.answers {
-		if !a.at.Before(oldest) && a.standing.serves(u) {
-			able = append(able, a)
+		if !a.askedAt.Before(oldest) && a.capability.canServe(u) {
+			candidates = append(candidates, a)
 		}
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return platform.Instance{}, false
 	}
-	// The map's order is another one each time, and chance must depend on the seed alone.
-	slices.SortFunc(able, func(a, b answer) int { return cmp.Compare(a.home.ID, b.home.ID) })
-	return able[k.random.IntN(len(able))].home, true
+	// Map iteration order varies; sorting makes the choice depend on the random seed only.
+	slices.SortFunc(candidates, func(a, b homeAnswer) int { return cmp.Compare(a.home.ID, b.home.ID) })
+	return candidates[k.random.IntN(len(candidates))].home, true
 }
--- a/internal/executor/knownhomes_test.go
+++ b/internal/executor/knownhomes_test.go
@@ -14,7 +14,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-func someHomes(n int) []platform.Instance {
+func newHomes(n int) []platform.Instance {
 	var list []platform.Instance
 	for k := range n {
 		list = append(list, platform.Instance{ID: fmt.Sprint("h", k)})
@@ -23,62 +23,62 @@
 }
 
 // Rounds ask the homes in turn. Two rounds are enough to tell a caller that nobody is
-// known to serve; what they told counts for scoutMemory.
+// known to serve; what they told counts for homeAnswerTTL.
 func TestHomesAreAskedInTurn(t *testing.T) {
 	is := is.New(t)
-	homes := someHomes(8)
+	homes := newHomes(8)
 	k := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
 	asked := make(map[string]int)
 	for round := range 8 {
-		for _, home := range k.choose(homes) {
+		for _, home := range k.chooseNext(homes) {
 			asked[home.ID]++
-			k.silent(home, now)
+			k.recordNoAnswer(home, now)
 		}
 		is.Equal(k.enoughAsked(homes, now), round >= 1)
 	}
 	for _, home := range homes {
-		is.Equal(asked[home.ID], homeFinderWidth)
+		is.Equal(asked[home.ID], homesPerRound)
 	}
-	is.True(k.enoughAsked(homes, now.Add(scoutMemory)))
-	is.True(!k.enoughAsked(homes, now.Add(scoutMemory+1)))
+	is.True(k.enoughAsked(homes, now.Add(homeAnswerTTL)))
+	is.True(!k.enoughAsked(homes, now.Add(homeAnswerTTL+1)))
 }
 
 // A primary is lost to one side of a cut. Callers of that side are spread over the homes
 // that reach it; one that answered and then fell silent, or refused, gets none.
-func TestUnitsAreSpreadOverTheHomesThatServe(t *testing.T) {
+func TestUnitsAreSpreadOverCapableHomes(t *testing.T) {
 	is := is.New(t)
-	homes := someHomes(6)
+	homes := newHomes(6)
 	k := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
 	for _, home := range homes[:4] {
-		k.answered(home, standing{Writes: true, Reads: true}, now)
+		k.recordAnswer(home, capability{Writes: true, Reads: true}, now)
 	}
-	k.answered(homes[4], standing{Reads: true}, now)
-	k.silent(homes[2], now)
-	k.failed(homes[3])
+	k.recordAnswer(homes[4], capability{Reads: true}, now)
+	k.recordNoAnswer(homes[2], now)
+	k.forgetAnswer(homes[3])
 	picked := make(map[string]int)
 	for range 1000 {
-		home, ok := k.pick(writing, now)
+		home, ok := k.pickHome(writeUnit, now)
 		is.True(ok)
 		picked[home.ID]++
 	}
 	is.Equal(len(picked), 2)
 	is.True(picked["h0"] > 400 && picked["h1"] > 400)
-	_, ok := k.pick(writing, now.Add(scoutMemory))
+	_, ok := k.pickHome(writeUnit, now.Add(homeAnswerTTL))
 	is.True(ok)
-	_, ok = k.pick(writing, now.Add(scoutMemory+1))
+	_, ok = k.pickHome(writeUnit, now.Add(homeAnswerTTL+1))
 	is.True(!ok)
 }
 
 // What a home began to answer is not continued by another one, and what writes goes on
 // only if it did not leave this instance.
-func TestWhatMayBeRelayedAgain(t *testing.T) {
+func TestMayRelayAgain(t *testing.T) {
 	is := is.New(t)
 	lost := errors.New("connection lost")
-	is.True(mayRelayAgain(reading, false, lost))
-	is.True(!mayRelayAgain(reading, true, lost))
-	is.True(!mayRelayAgain(writing, false, lost))
-	is.True(mayRelayAgain(writing, false, peer.ErrNotSent))
+	is.True(mayRelayAgain(readUnit, false, lost))
+	is.True(!mayRelayAgain(readUnit, true, lost))
+	is.True(!mayRelayAgain(writeUnit, false, lost))
+	is.True(mayRelayAgain(writeUnit, false, peer.ErrNotSent))
 	is.True(!mayRelayAgain(&execution.Unit{}, true, peer.ErrNotSent))
 }
--- a/internal/executor/metrics.go
+++ b/internal/executor/metrics.go
@@ -5,17 +5,17 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Metrics counts what became of units. Labels are bounded: groups and classes
-// come from service documents, codes from the table of result codes.
+// Metrics counts the results of units. Label cardinality is bounded: groups and classes come from
+// service documents, codes from the table of result codes.
 type Metrics struct {
-	units     *prometheus.CounterVec
-	refusals  *prometheus.CounterVec
-	settlings *prometheus.CounterVec
-	reaped    *prometheus.CounterVec
-	relays    *prometheus.CounterVec
+	units       *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	resolutions *prometheus.CounterVec
+	reaped      *prometheus.CounterVec
+	relays      *prometheus.CounterVec
 }
 
-// NewMetrics registers the package's metrics.
+// NewMetrics creates and registers the package's metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		units: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -26,7 +26,7 @@
 			Name: "topazrock_refusals_total",
 			Help: "Units that ended in a result code, by group and code.",
 		}, []string{"group", "code"}),
-		settlings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		resolutions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazrock_settlings_total",
 			Help: "Unknown outcomes of keyed requests that were settled, by group and code.",
 		}, []string{"group", "code"}),
@@ -39,11 +39,11 @@
 			Help: "Units passed on to another home because this one could not serve them, by group and outcome.",
 		}, []string{"group", "outcome"}),
 	}
-	r.MustRegister(m.units, m.refusals, m.settlings, m.reaped, m.relays)
+	r.MustRegister(m.units, m.refusals, m.resolutions, m.reaped, m.relays)
 	return m
 }
 
-func (m *Metrics) answered(group, class string, replica bool) {
+func (m *Metrics) countAnswer(group, class string, replica bool) {
 	kind := "primary"
 	if replica {
 		kind = "replica"
@@ -51,20 +51,20 @@
 	m.units.WithLabelValues(group, class, kind).Inc()
 }
 
-// refused counts err and returns it.
-func (m *Metrics) refused(group string, err error) error {
+// countRefusal counts err by its result code and returns it.
+func (m *Metrics) countRefusal(group string, err error) error {
 	if e, ok := result.As(err); ok {
 		m.refusals.WithLabelValues(group, e.Code.Label()).Inc()
 	}
 	return err
 }
 
-func (m *Metrics) settling(group string, c result.Code) {
-	m.settlings.WithLabelValues(group, c.Label()).Inc()
+func (m *Metrics) countResolution(group string, c result.Code) {
+	m.resolutions.WithLabelValues(group, c.Label()).Inc()
 }
 
-// relayed counts a unit that was passed on to another home.
-func (m *Metrics) relayed(group string, err error) {
+// countRelay counts a unit that was passed on to another home.
+func (m *Metrics) countRelay(group string, err error) {
 	outcome := "served"
 	if e, ok := result.As(err); ok {
 		outcome = e.Code.Label()
@@ -74,4 +74,4 @@
 	m.relays.WithLabelValues(group, outcome).Inc()
 }
 
-func (m *Metrics) transactionReaped(group string) { m.reaped.WithLabelValues(group).Inc() }
+func (m *Metrics) countReapedTransaction(group string) { m.reaped.WithLabelValues(group).Inc() }
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -23,9 +23,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// ownersLoad is the work of many owners of very unequal size at one group: six homes in three
+// ownersWorkload is the work of many owners of very unequal size at one group: six homes in three
 // failure domains, three members, and six connections of each home to each member.
-type ownersLoad struct {
+type ownersWorkload struct {
 	homes    []platform.Instance
 	pools    map[string]*pool.Limited
 	snapshot group.Snapshot
@@ -35,14 +35,14 @@
 }
 
 const (
-	ownersOpenTime  = 12 * time.Millisecond
-	ownersWorkTime  = 20 * time.Millisecond
-	ownersPerMember = 6
-	ownersRate      = 135
+	ownersConnectTime    = 12 * time.Millisecond
+	ownersStatementTime  = 20 * time.Millisecond
+	ownersConnsPerMember = 6
+	ownersRate           = 135
 )
 
-func newOwnersLoad() *ownersLoad {
-	l := &ownersLoad{homes: orderedHomes(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
+func newOwnersWorkload() *ownersWorkload {
+	l := &ownersWorkload{homes: homesInThreeDomains(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
 	l.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
 	for n := range 3 {
 		status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1}
@@ -58,22 +58,22 @@
 			Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(n), 1)), Limit: 100,
 			Open: func(ctx context.Context, address, _ string) (wire.Conn, error) {
 				l.openings.Add(1)
-				if err := clock.Sleep(ctx, clock.System{}, ownersOpenTime); err != nil {
+				if err := clock.Sleep(ctx, clock.System{}, ownersConnectTime); err != nil {
 					return nil, err
 				}
-				near, _ := net.Pipe()
-				return upstream.NewConn(address, time.Now(), near, nil), nil
+				conn, _ := net.Pipe()
+				return upstream.NewConn(address, time.Now(), conn, nil), nil
 			},
 			Close: func(_ context.Context, c wire.Conn) error { return c.Close() },
 		})
-		p.SetMemberLimit(ownersPerMember)
+		p.SetMemberLimit(ownersConnsPerMember)
 		l.pools[home.ID] = p
 	}
 	return l
 }
 
 // owner draws an owner: the largest begins some thirty times as much as the smallest.
-func (l *ownersLoad) owner() string {
+func (l *ownersWorkload) drawOwner() string {
 	for {
 		n := l.random.IntN(75)
 		if l.random.Float64()*174 < max(6, 174/float64(n+1)) {
@@ -83,7 +83,7 @@
 }
 
 // near returns the homes of a failure domain first.
-func (l *ownersLoad) near(domain string) []platform.Instance {
+func (l *ownersWorkload) nearestFirst(domain string) []platform.Instance {
 	var near, far []platform.Instance
 	for _, i := range l.homes {
 		if i.FailureDomain == domain {
@@ -96,17 +96,17 @@
 }
 
 // run plays the load and returns how many openings there were for a request.
-func (l *ownersLoad) run(byOwner bool, length time.Duration) float64 {
+func (l *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
 	var running sync.WaitGroup
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		time.Sleep(time.Duration(l.random.ExpFloat64() / ownersRate * float64(time.Second)))
 		l.requests++
-		owner, domain := l.owner(), fmt.Sprint("z", l.random.IntN(3))
-		homes := l.near(domain)
+		owner, domain := l.drawOwner(), fmt.Sprint("z", l.random.IntN(3))
+		homes := l.nearestFirst(domain)
 		read := routing.Read{FailureDomain: domain, Checked: true, Load: func(string) int { return 0 }}
 		p := l.pools[homes[0].ID]
 		if byOwner {
-			p = l.pools[forOwner(homes, owner)[0].ID]
+			p = l.pools[orderForOwner(homes, owner)[0].ID]
 			read.Owner = owner
 			read.Connected = func(address string) bool { return p.Idle(address, owner) }
 		}
@@ -120,7 +120,7 @@
 			if err != nil {
 				return
 			}
-			time.Sleep(ownersWorkTime)
+			time.Sleep(ownersStatementTime)
 			p.Release(c)
 		})
 	}
@@ -130,11 +130,11 @@
 
 // Guards against work of many owners that goes to the nearest home and member, where most
 // statements open a connection while those of the other homes lie idle.
-func TestOwnersOpenFewerConnectionsWhenTheyKeepToAHome(t *testing.T) {
+func TestOwnersOpenFewerConnectionsWithHomeAffinity(t *testing.T) {
 	figures := make(map[bool]float64)
 	for _, byOwner := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newOwnersLoad()
+			l := newOwnersWorkload()
 			figures[byOwner] = l.run(byOwner, 30*time.Second)
 			for _, p := range l.pools {
 				_ = p.Close(context.Background())
--- a/internal/executor/place_test.go
+++ b/internal/executor/placement_test.go
@@ -15,46 +15,46 @@
 
 // All instances have lost power, and one replica still counts their connections. Reads go
 // to the other one and to the primary; none is spent on finding the replica full again.
-func TestReadsPassAMemberByThatTakesNoConnection(t *testing.T) {
+func TestReadsAvoidMemberWithoutFreeConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+		g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 		s.full = map[string]bool{"r1": true}
 		for range 40 {
 			_, _, err := readOnce(t, g)
 			is.NoErr(err)
 		}
-		is.Equal(s.metFull, 0)
+		is.Equal(s.refusedAcquires, 0)
 	})
 }
 
 // There is no primary, and both replicas have received what a read must see and apply it
 // some milliseconds later. The read waits for that and is answered; asked once each and
 // given up, it would be refused for a lag that every replica has.
-func TestReadWithoutAPrimaryWaitsForTheLog(t *testing.T) {
+func TestReadWithoutPrimaryWaitsForReplicaApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		behind := func() *scripted {
-			return &scripted{failure: &wire.Failure{Kind: wire.FailureBehind}, until: time.Now().Add(40 * time.Millisecond)}
+		lagging := func() *fakeMember {
+			return &fakeMember{failure: &wire.Failure{Kind: wire.FailureBehind}, failsUntil: time.Now().Add(40 * time.Millisecond)}
 		}
-		g, s := scriptedGroup(&scripted{}, behind(), behind())
+		g, s := newFakeGroup(&fakeMember{}, lagging(), lagging())
 		s.snapshot.Primary = ""
 		s.snapshot.Members = s.snapshot.Members[1:]
 		s.snapshot.Size = 3
 		_, took, err := readOnce(t, g)
 		is.NoErr(err)
 		is.True(took >= 40*time.Millisecond)
-		is.True(took < logWait)
+		is.True(took < replicaApplyWait)
 	})
 }
 
 // A caller opens a transaction with a read and keeps it for seconds. What its slot was
 // held for says nothing of how long answers take: the next read, with a short deadline,
 // must not be refused as one that cannot be served in time.
-func TestHeldTransactionIsNoSlowAnswer(t *testing.T) {
+func TestOpenTransactionTimeIsNotCountedAsAnswerTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := scriptedGroup(&scripted{}, &scripted{opens: true, after: 5 * time.Millisecond}, &scripted{})
+		g, s := newFakeGroup(&fakeMember{}, &fakeMember{opensTransaction: true, delay: 5 * time.Millisecond}, &fakeMember{})
 		s.snapshot.Primary, s.snapshot.Members = "", s.snapshot.Members[1:2]
 		g.Wire.SlotIsConnection = true
 		begin := &execution.Unit{ID: "t", Group: "g", Class: "aged", Timeout: time.Minute, ReadOnly: true, Begins: true, ReadTransaction: true}
@@ -70,8 +70,8 @@
 		}
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
 		s.mu.Lock()
-		s.members["r1"].opens = false
-		s.members["r1"].after = 100 * time.Millisecond
+		s.members["r1"].opensTransaction = false
+		s.members["r1"].delay = 100 * time.Millisecond
 		s.mu.Unlock()
 		for range 4 {
 			go func() { _, _, _ = readOnce(t, g) }()
@@ -88,12 +88,12 @@
 // The primary has missed one probe. Units of this instance still wait for it, as one late
 // answer says little, but others are not told that it can be written to: what they send
 // would be lost with it.
-func TestPrimaryThatMissedAProbeIsNotOfferedToOthers(t *testing.T) {
+func TestPrimaryWithMissedProbeIsNotOfferedToOtherHomes(t *testing.T) {
 	is := is.New(t)
-	g, s := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
-	is.Equal(g.standing(), standing{Writes: true, Reads: true})
+	g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+	is.Equal(g.capability(), capability{Writes: true, Reads: true})
 	s.snapshot.Members[0].Failing, s.snapshot.Members[0].Failures = time.Now(), 1
-	_, err := g.findWritable()
+	_, err := g.findWritablePrimary()
 	is.NoErr(err)
-	is.Equal(g.standing(), standing{Reads: true})
+	is.Equal(g.capability(), capability{Reads: true})
 }
--- a/internal/executor/plan.go
+++ b/internal/executor/plan.go
@@ -9,38 +9,38 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// maxKeyLength bounds a request key, in bytes.
+// maxKeyLength is the maximum length of a request key in bytes.
 const maxKeyLength = 200
 
-// Priorities of units that name no class.
+// Priorities of units without a class.
 const (
 	priorityTransaction = 1
 	priorityUntagged    = 5
 )
 
-// classUntagged is the class label of units that name no class.
+// classUntagged is the class label of units without a class.
 const classUntagged = "untagged"
 
-// plan is what the service document asks for one unit.
+// plan is what the service document specifies for one unit.
 type plan struct {
 	class  string
 	read   bool
 	maxAge time.Duration
-	// fresh says that reads need the primary itself, proved not to be replaced.
+	// fresh means that reads must run at the primary, with proof that it was not replaced.
 	fresh      bool
 	atMostOnce bool
 	priority   int
 	maxQueue   int
 	timeout    time.Duration
 	objective  time.Duration
-	// wantedBy is when the objective is over, counted from the unit's arrival; zero
-	// where the class has none.
+	// wantedBy is when the objective ends, counted from the unit's arrival; zero if the class
+	// has no objective.
 	wantedBy time.Time
 	limits   document.Limits
 }
 
-// newPlan looks the unit's class up in the document. A unit without a class is
-// taken for a write that may not be repeated.
+// newPlan looks up the unit's class in the service document. A unit without a class is treated as
+// a write that must not be repeated.
 func newPlan(s *document.Service, u *execution.Unit) (plan, error) {
 	p := plan{
 		class:    classUntagged,
@@ -58,20 +58,20 @@
 		p.maxAge = r.MaxAge
 		p.fresh = r.Primary
 		p.objective = r.Objective
-		p.override(r.Priority, r.MaxQueue, r.Timeout)
+		p.overrideLimits(r.Priority, r.MaxQueue, r.Timeout)
 		return p, nil
 	}
 	w, ok := s.FindWrite(u.Class)
 	if !ok {
 		return plan{}, result.New(result.UnknownClass, "%q", u.Class)
 	}
-	// Preparing or describing a request does not run it and must not use up its key.
+	// Preparing or describing a statement does not run it and must not consume its key.
 	p.atMostOnce = w.AtMostOnce && u.Runs()
-	p.override(w.Priority, w.MaxQueue, w.Timeout)
+	p.overrideLimits(w.Priority, w.MaxQueue, w.Timeout)
 	return p, p.checkKey(u)
 }
 
-func (p *plan) override(priority, maxQueue int, timeout time.Duration) {
+func (p *plan) overrideLimits(priority, maxQueue int, timeout time.Duration) {
 	if priority > 0 {
 		p.priority = priority
 	}
@@ -93,13 +93,13 @@
 	return nil
 }
 
-// keyed reports whether the request's key row goes into its transaction.
+// keyed reports whether a row for the request key is inserted in the unit's transaction.
 func (p *plan) keyed(u *execution.Unit) bool { return p.atMostOnce && u.Key != "" }
 
-// atPrimary reports whether the unit has to run at the primary.
-func (p *plan) atPrimary() bool { return !p.read || p.fresh }
+// needsPrimary reports whether the unit must run at the primary.
+func (p *plan) needsPrimary() bool { return !p.read || p.fresh }
 
-// keyOf returns the key whose row goes into the unit's transaction, if any.
+// keyOf returns the key whose row is inserted in the unit's transaction, or an empty string.
 func (p *plan) keyOf(u *execution.Unit) string {
 	if !p.keyed(u) {
 		return ""
@@ -107,7 +107,7 @@
 	return u.Key
 }
 
-func (p *plan) admission(deadline time.Time, member string, inTransaction bool) admission.Request {
+func (p *plan) admissionRequest(deadline time.Time, member string, inTransaction bool) admission.Request {
 	r := admission.Request{
 		Class:    p.class,
 		Priority: p.priority,
--- a/internal/executor/primary.go
+++ b/internal/executor/primary.go
@@ -7,59 +7,59 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// write runs a unit at the primary, once. It is sent again only where it was
-// proved not to have run, or where it only reads.
-func (g *Group) write(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
+// executeWrite runs a unit at the primary, once. It is sent again only if it is proved not to
+// have run, or if it only reads.
+func (g *Group) executeWrite(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
 	for attempt := 1; ; attempt++ {
-		reply, err := g.atPrimary(ctx, u, p, partial)
+		reply, err := g.runAtPrimary(ctx, u, p, partial)
 		if err == nil {
 			return reply, nil
 		}
 		if g.mayReadElsewhere(u, p, err) {
-			return g.read(ctx, u, p, partial)
+			return g.executeRead(ctx, u, p, partial)
 		}
 		if g.mayResend(ctx, p, err, attempt) || p.read && g.mayRetryRead(ctx, err, attempt) {
-			g.Logger.Info("Statement is sent to the primary again.", "request", u.Request, "unit", u.ID, "group", g.Group, "attempt", attempt, "error", err)
+			g.Logger.Info("Retrying statement at the primary.", "request", u.Request, "unit", u.ID, "group", g.Group, "attempt", attempt, "error", err)
 			continue
 		}
 		if p.keyed(u) {
-			err = g.settle(ctx, requestKey{u.Key, u.Owner}, err)
+			err = g.resolveOutcome(ctx, requestKey{u.Key, u.Owner}, err)
 		}
 		return nil, err
 	}
 }
 
-// atPrimary sends the unit to the primary and confirms it. The slot is given back
-// when the member has finished: confirmation needs none.
-func (g *Group) atPrimary(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
+// runAtPrimary sends the unit to the primary and confirms it. The slot is released when the
+// member has finished, because confirmation does not need one.
+func (g *Group) runAtPrimary(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
 	s, err := g.writablePrimary()
 	if err != nil {
 		return nil, err
 	}
-	slot, err := g.enter(ctx, p, s.Primary)
+	slot, err := g.acquireSlot(ctx, p, s.Primary)
 	if err != nil {
 		return nil, err
 	}
-	// The wait may have outlived the primary.
+	// The primary may have been replaced during the wait.
 	if s, err = g.writablePrimary(); err != nil {
-		leaveUnserved(slot)
+		releaseUnusedSlot(slot)
 		return nil, err
 	}
 	c, err := g.Pool.Acquire(ctx, s.Primary, u.Owner)
 	if err != nil {
-		leaveUnserved(slot)
-		g.reportRefused(s.Primary, err)
+		releaseUnusedSlot(slot)
+		g.reportUnreachable(s.Primary, err)
 		return nil, err
 	}
 	x := newExchange(c, u, p, partial)
 	x.term = s.Term
 	x.keyed = p.keyed(u)
-	if err := g.proveReads(ctx, u, p, x); err != nil {
-		leaveUnserved(slot)
+	if err := g.prepareReadProof(ctx, u, p, x); err != nil {
+		releaseUnusedSlot(slot)
 		g.Pool.Release(c)
 		return nil, err
 	}
-	err = g.converse(ctx, p, x, g.primarySteps(u, p)...)
+	err = g.runExchange(ctx, p, x, g.primarySteps(u, p)...)
 	if err == nil && x.refused() {
 		slot.Refused()
 	}
@@ -71,16 +71,16 @@
 	if err != nil {
 		x.verification.Drop()
 		g.Pool.Release(c)
-		g.reportBroken(c, err)
-		return nil, unknown(ctx, err)
+		g.reportBrokenConn(c, err)
+		return nil, unknownOutcome(ctx, err)
 	}
-	return g.concludeAtPrimary(ctx, u, p, x, slot)
+	return g.completeAtPrimary(ctx, u, p, x, slot)
 }
 
-// proveReads sees to what reads at the primary need, those of a transaction that
-// the unit opens included: a fresh one, a proof that the primary was not replaced
-// when it began; an aged one, the position that the log must hold.
-func (g *Group) proveReads(ctx context.Context, u *execution.Unit, p plan, x *exchange) error {
+// prepareReadProof sets what reads at the primary require, including those of a transaction that
+// the unit opens. A fresh read requires a proof that the primary had not been replaced when the
+// read began; a bounded-staleness read requires a log position.
+func (g *Group) prepareReadProof(ctx context.Context, u *execution.Unit, p plan, x *exchange) error {
 	if !g.Wire.ChecksPosition || !u.ReadOnly && !u.Begins {
 		return nil
 	}
@@ -89,13 +89,12 @@
 		x.verification = v
 		return err
 	}
-	n, err := g.needChecked(ctx, u, p)
+	n, err := g.checkedRequirement(ctx, u, p)
 	x.Required = n.mark
 	return err
 }
 
-// primarySteps lists what is sent to the primary for a unit outside of a
-// transaction.
+// primarySteps returns the steps to send to the primary for a unit outside a transaction.
 func (g *Group) primarySteps(u *execution.Unit, p plan) []wire.Step {
 	unit, report := wire.Step{Kind: wire.StepUnit}, wire.Step{Kind: wire.StepReport}
 	storeKey := wire.Step{Kind: wire.StepStoreKey, Key: u.Key, Outcome: wire.KeyRan}
@@ -105,7 +104,7 @@
 	case p.keyed(u):
 		return []wire.Step{{Kind: wire.StepBegin}, storeKey, unit, {Kind: wire.StepCommit}, report}
 	case g.Wire.ChecksPosition && p.fresh && u.OnlyReads():
-		// Only the report tells whether the member led; a replica reads as well.
+		// Only the report shows whether the member was the primary; a replica also reads.
 		return []wire.Step{report, unit}
 	case u.Begins, g.Wire.TellsLog:
 		return []wire.Step{unit}
--- /dev/null
+++ b/internal/executor/readrequirement.go
@@ -0,0 +1,164 @@
+package executor
+
+import (
+	"context"
+	"time"
+
+	"github.com/topazrock/topazrock/internal/execution"
+	"github.com/topazrock/topazrock/internal/group"
+	"github.com/topazrock/topazrock/internal/logpos"
+	"github.com/topazrock/topazrock/internal/result"
+	"github.com/topazrock/topazrock/internal/routing"
+)
+
+// readMargin is subtracted from the maximum age that a read accepts: it covers the time from
+// computing the requirement to sending the read's first byte, on a machine with some scheduling
+// delay.
+const readMargin = 50 * time.Millisecond
+
+// readRequirement is what a read must see.
+type readRequirement struct {
+	position logpos.Position
+	maxAge   time.Duration
+	// mark is position with its term, for members that check it themselves.
+	mark logpos.Mark
+	// token is the session's token after the read.
+	token logpos.Token
+}
+
+// requirementFor computes what the read must see. A fresh read, and the first read of a session
+// that came without a token, take a barrier.
+func (g *Group) requirementFor(ctx context.Context, u *execution.Unit, p plan) (readRequirement, error) {
+	if g.Wire.ChecksPosition {
+		return g.checkedRequirement(ctx, u, p)
+	}
+	if u.Token.IsZero() && u.Roaming || p.maxAge == 0 {
+		return g.barrierRequirement(ctx, u, p)
+	}
+	s, err := g.snapshotForToken(ctx, u.Token)
+	if err != nil {
+		return readRequirement{}, err
+	}
+	position, _ := routing.RequiredPosition(s, u.Token)
+	if position > highestReportedPosition(s) {
+		// The token may be forged, or reports may be delayed; the barrier decides.
+		return g.barrierRequirement(ctx, u, p)
+	}
+	return readRequirement{position: position, maxAge: p.maxAge, token: u.Token}, nil
+}
+
+// checkedRequirement computes the position to send with a read to a member that refuses the read
+// if its log lacks the position. It uses the oldest proved mark that is recent enough, because a
+// lagging replica is most likely to contain it.
+func (g *Group) checkedRequirement(ctx context.Context, u *execution.Unit, p plan) (readRequirement, error) {
+	mark, ok := g.provenMark(p)
+	if !ok {
+		var err error
+		if mark, err = g.fetchFloor(ctx, p); err != nil {
+			return readRequirement{}, err
+		}
+		// The query may have proved a lower mark as well.
+		if older, ok := g.provenMark(p); ok {
+			mark = older
+		}
+	}
+	if mark.Less(u.Token.Mark) {
+		mark = u.Token.Mark
+	}
+	return readRequirement{position: mark.Position, mark: mark, token: u.Token}, nil
+}
+
+func (g *Group) provenMark(p plan) (logpos.Mark, bool) {
+	return g.Tracker.Proven(g.Clock.Now().Add(readMargin - p.maxAge))
+}
+
+// refreshRequirement computes the requirement again before the read is sent, where it is measured
+// against the time of sending. It stays unchanged where members do not check positions, because
+// the age of each replica is proved separately, and for a fresh read, whose requirement is
+// measured against its arrival.
+func (g *Group) refreshRequirement(ctx context.Context, u *execution.Unit, p plan, req readRequirement) (readRequirement, error) {
+	if !g.Wire.ChecksPosition || p.fresh {
+		return req, nil
+	}
+	return g.checkedRequirement(ctx, u, p)
+}
+
+func (g *Group) barrierRequirement(ctx context.Context, u *execution.Unit, p plan) (readRequirement, error) {
+	if _, err := g.snapshotForToken(ctx, u.Token); err != nil {
+		return readRequirement{}, err
+	}
+	if err := g.awaitBarrierPossible(ctx, p); err != nil {
+		return readRequirement{}, err
+	}
+	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	defer cancel()
+	mark, err := g.Tracker.Barrier(bounded)
+	if err != nil {
+		return readRequirement{}, g.barrierError(err)
+	}
+	if u.Token.Term == mark.Term && u.Token.Position > mark.Position {
+		return readRequirement{}, result.New(result.TokenUnreachable, "token %s, log ends at %d", u.Token, mark.Position)
+	}
+	return readRequirement{position: mark.Position, token: g.newToken(mark)}, nil
+}
+
+// fetchFloor queries a position that covers all writes acknowledged before the query.
+func (g *Group) fetchFloor(ctx context.Context, p plan) (logpos.Mark, error) {
+	if !g.Tracker.Snapshot().MajorityAnswers() {
+		if err := g.awaitBarrierPossible(ctx, p); err != nil {
+			return logpos.Mark{}, err
+		}
+	}
+	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	defer cancel()
+	mark, err := g.Tracker.Floor(bounded)
+	if err != nil {
+		return logpos.Mark{}, g.barrierError(err)
+	}
+	return mark, nil
+}
+
+// awaitBarrierPossible returns an error if no replica would confirm a barrier. It fails
+// immediately if the group has been without a primary for longer than a failover takes, as in an
+// isolated failure domain, and otherwise after waiting for that time.
+func (g *Group) awaitBarrierPossible(ctx context.Context, p plan) error {
+	_, err := g.writablePrimary()
+	if err == nil || g.awaitPrimary(ctx, p) {
+		return nil
+	}
+	return g.barrierError(err)
+}
+
+// barrierError returns the error of a read that was not sent because the barrier failed.
+func (g *Group) barrierError(err error) error {
+	return result.New(result.NoReplicaFresh, "no barrier").WithCause(err).WithRetryAfter(retryAfterFailover)
+}
+
+// snapshotForToken waits up to tokenWait for a snapshot that has reached the token's term.
+func (g *Group) snapshotForToken(ctx context.Context, t logpos.Token) (*group.Snapshot, error) {
+	deadline := earlierDeadline(ctx, g.Clock.Now().Add(tokenWait))
+	for {
+		s := g.Tracker.Snapshot()
+		if t.Term <= s.Term {
+			return s, nil
+		}
+		if !g.Clock.Now().Before(deadline) {
+			return nil, result.New(result.TokenUnreachable, "term %d is not known", t.Term).WithRetryAfter(retryAfterFailover)
+		}
+		if err := g.sleepPollInterval(ctx); err != nil {
+			return nil, result.New(result.TokenUnreachable, "term %d is not known", t.Term).WithCause(err)
+		}
+	}
+}
+
+// highestReportedPosition returns the highest position that any member attached to the term has
+// reported.
+func highestReportedPosition(s *group.Snapshot) logpos.Position {
+	end := s.TermStart
+	for _, m := range s.Members {
+		if m.Status.Attached == s.Term {
+			end = max(end, m.Status.Last.Position)
+		}
+	}
+	return end
+}
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -11,11 +11,11 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// usualWork is what a statement takes at the members of these tests.
-const usualWork = 30 * time.Millisecond
+// statementTime is what a statement takes at the members of these tests.
+const statementTime = 30 * time.Millisecond
 
-// readsAtOnce sends reads side by side and returns how long the last one took.
-func readsAtOnce(t *testing.T, g *Group, n int) time.Duration {
+// readConcurrently sends reads side by side and returns how long the last one took.
+func readConcurrently(t *testing.T, g *Group, n int) time.Duration {
 	began := time.Now()
 	var all sync.WaitGroup
 	for range n {
@@ -31,32 +31,32 @@
 
 // Guards against a queue that outlives the time in which replicas lacked what reads asked for, or
 // were full: they refuse at once, which is no measure of how long a statement takes.
-func TestMemberThatRefusedIsUsedInFullAgain(t *testing.T) {
+func TestMemberIsFullyUsedAfterRefusals(t *testing.T) {
 	for _, kind := range []wire.FailureKind{wire.FailureBehind, wire.FailureBusy} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			p, r1, r2 := &scripted{after: usualWork}, &scripted{after: usualWork}, &scripted{after: usualWork}
-			g, s := scriptedGroup(p, r1, r2)
+			p, r1, r2 := &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}
+			g, s := newFakeGroup(p, r1, r2)
 			for range 40 {
-				readsAtOnce(t, g, 2)
+				readConcurrently(t, g, 2)
 			}
 			refuse := func(f *wire.Failure, after time.Duration) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				for _, r := range []*scripted{r1, r2} {
-					r.failure, r.after = f, after
+				for _, r := range []*fakeMember{r1, r2} {
+					r.failure, r.delay = f, after
 				}
 			}
 			refuse(&wire.Failure{Kind: kind}, time.Millisecond)
 			for range 100 {
 				_, _, _ = readOnce(t, g)
-				time.Sleep(behindFor)
+				time.Sleep(laggingPeriod)
 			}
-			refuse(nil, usualWork)
+			refuse(nil, statementTime)
 			time.Sleep(time.Second)
 			for range 10 {
 				// Twice two replicas' slots.
-				is.True(readsAtOnce(t, g, 8) <= 2*usualWork)
+				is.True(readConcurrently(t, g, 8) <= 2*statementTime)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/executor/remoteunits.go
@@ -0,0 +1,29 @@
+package executor
+
+// remoteUnit is a unit of one of this instance's callers that runs at another instance.
+type remoteUnit struct {
+	instance string
+	// unitID is the unit's ID at that instance.
+	unitID string
+}
+
+// trackRemoteUnit records where a unit runs until the returned function is called. If this
+// instance is also home to the group, the group does not know such a unit, and a cancel request
+// for it would be lost.
+func (r *Router) trackRemoteUnit(unitID string, remote remoteUnit) (untrack func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.remoteUnits[unitID] = remote
+	return func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		delete(r.remoteUnits, unitID)
+	}
+}
+
+func (r *Router) findRemoteUnit(unitID string) (remoteUnit, bool) {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	remote, ok := r.remoteUnits[unitID]
+	return remote, ok
+}
--- a/internal/executor/retries.go
+++ b/internal/executor/retries.go
@@ -9,8 +9,8 @@
 	"github.com/topazrock/topazrock/internal/retry"
 )
 
-// mayRetryRead decides on one more attempt, and waits for its turn. Reads on
-// replicas are idempotent: a replica refuses anything that writes.
+// mayRetryRead decides whether a read may be sent again, and waits as long as the retry budget
+// requires. Reads at replicas are idempotent: a replica refuses all writes.
 func (g *Group) mayRetryRead(ctx context.Context, err error, attempt int) bool {
 	e, ok := result.As(err)
 	if !ok || ctx.Err() != nil || attempt >= maxReadAttempts {
@@ -21,8 +21,8 @@
 		return false
 	}
 	if e.Code == result.NoReplicaFresh {
-		// The member answered at once and did no work, so that asking another
-		// one adds no load worth a budget.
+		// The member answered immediately without doing any work, so asking another one adds no
+		// load that needs a budget.
 		return true
 	}
 	deadline, _ := ctx.Deadline()
@@ -30,7 +30,7 @@
 	return g.Budget.Wait(ctx, failed) == nil
 }
 
-// retryReasons are the codes after which a read may go to another member.
+// retryReasons maps the codes after which a read may go to another member to retry reasons.
 var retryReasons = map[result.Code]retry.Reason{
 	result.ConnectionLost:      retry.ConnectionLost,
 	result.StatementTimeout:    retry.Silent,
@@ -41,22 +41,21 @@
 	result.ReadFailed:          retry.Failed,
 }
 
-// mayReadElsewhere reports whether a read that wants the primary may go to any member
-// whose log holds what a majority proves: there is no primary to ask, or it failed the
-// read, and members check positions themselves. Reads of a group that lost its primary
-// so go on while it is replaced, which takes seconds, and in a failure domain that
-// cannot replace it.
+// mayReadElsewhere reports whether a read for the primary may go to any member whose log contains
+// what a majority proves: there is no primary, or it failed the read, and members check positions
+// themselves. Reads of a group that lost its primary thus continue while it is replaced, which
+// takes seconds, and in a failure domain that cannot replace it.
 func (g *Group) mayReadElsewhere(u *execution.Unit, p plan, err error) bool {
 	if !g.Wire.ChecksPosition || !p.read || !u.ReadOnly || u.Begins && !u.ReadTransaction {
 		return false
 	}
 	e, ok := result.As(err)
-	return ok && primaryFailed[e.Code] && g.Tracker.Snapshot().MajorityAnswers()
+	return ok && primaryFailureCodes[e.Code] && g.Tracker.Snapshot().MajorityAnswers()
 }
 
-// primaryFailed are the codes of a read for which there was no primary, or none that
-// answered.
-var primaryFailed = map[result.Code]bool{
+// primaryFailureCodes are the codes of a read for which there was no primary or the primary did
+// not answer.
+var primaryFailureCodes = map[result.Code]bool{
 	result.NoPrimary:           true,
 	result.NoConfirmingReplica: true,
 	result.UpstreamUnreachable: true,
@@ -64,21 +63,22 @@
 	result.StatementTimeout:    true,
 }
 
-// logWait bounds how long a read waits for a replica to apply what it has received:
-// several times a usual lag, and short against what callers want.
-const logWait = 150 * time.Millisecond
+// replicaApplyWait bounds how long a read waits for a replica to apply received log entries:
+// several times the usual lag, and short compared with callers' objectives.
+const replicaApplyWait = 150 * time.Millisecond
 
-// mayWaitForLog waits for a moment, after which the members may be tried again that
-// were, where there is no primary to turn to: replicas apply what they have received
-// some milliseconds later, and a floor counts what they have received.
-func (g *Group) mayWaitForLog(ctx context.Context, tried map[string]bool, until time.Time) bool {
+// waitForReplicaApply waits for one poll interval and reports whether the members that were tried
+// may be tried again, which is so if there is no primary to use. Replicas apply what they have
+// received a few milliseconds later, and a floor includes entries that are received but not yet
+// applied.
+func (g *Group) waitForReplicaApply(ctx context.Context, tried map[string]bool, until time.Time) bool {
 	if !g.Wire.ChecksPosition || len(tried) == 0 || !g.Clock.Now().Before(until) {
 		return false
 	}
-	if _, err := g.findWritable(); err == nil || !g.Tracker.Snapshot().MajorityAnswers() {
+	if _, err := g.findWritablePrimary(); err == nil || !g.Tracker.Snapshot().MajorityAnswers() {
 		return false
 	}
-	return g.pause(ctx) == nil
+	return g.sleepPollInterval(ctx) == nil
 }
 
 // mayResend waits until a write that was refused before it ran may be sent again.
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -12,62 +12,62 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Homes tells which instances are home to a group, nearest first.
+// Homes returns the instances that are home to a group, nearest first.
 type Homes interface {
 	Homes(group string) []platform.Instance
-	// FindInstance returns the instance of an ID.
+	// FindInstance returns the instance with the given ID.
 	FindInstance(id string) (platform.Instance, bool)
 }
 
-// Router sends each unit to a home of its group: this instance, or a peer. A
-// disagreement between instances about who is home costs a hop or a refusal
-// before sending, and no promise: whichever home runs the unit confirms it.
+// Router sends each unit to a home of its group: this instance or a peer. If instances disagree
+// about the homes of a group, this costs a hop or a refusal before sending, but no guarantee is
+// lost: every home confirms the units that it runs.
 //
-// Lock order: Router.mu or avoided.mu, never both; then a Group's running. None is held
-// while a unit runs.
+// Lock order: Router.mu or avoidedHomes.mu, never both; then a Group's runningUnits.mu. None is
+// held while a unit runs.
 type Router struct {
-	self    string
-	address string
-	homes   Homes
-	caller  peer.Caller
-	metrics *Metrics
-	clock   clock.Clock
-	avoided avoided
+	self         string
+	peerAddress  string
+	homes        Homes
+	caller       peer.Caller
+	metrics      *Metrics
+	clock        clock.Clock
+	avoidedHomes avoidedHomes
 
 	mu     sync.RWMutex
 	groups map[string]*Group
-	// retiring holds groups that this instance is no longer home to, while
-	// transactions are open in them.
+	// retiring holds groups that this instance is no longer home to but that still have open
+	// transactions.
 	retiring map[string]*Group
-	// draining refuses new units of peers; inFlight counts those at work.
-	draining bool
-	inFlight int
-	// idle is closed when draining and no unit of a peer is at work.
-	idle chan struct{}
-	// away holds where units of this instance's callers are at work elsewhere.
-	away map[string]awayUnit
-	// partials takes the pieces of large answers that peers send, by unit.
-	partials map[string]func([]byte) error
+	// draining means that new units of peers are refused; peerUnits counts the running ones.
+	draining  bool
+	peerUnits int
+	// drained is closed when draining is set and no unit of a peer is running.
+	drained chan struct{}
+	// remoteUnits records where units of this instance's callers run at other instances.
+	remoteUnits map[string]remoteUnit
+	// partialHandlers receive the chunks of large answers that peers send, by unit ID.
+	partialHandlers map[string]func([]byte) error
 }
 
-// NewRouter returns a Router of the instance self, whose peer address is given.
+// NewRouter returns a Router for the instance self, whose peer address is address.
 func NewRouter(self, address string, h Homes, c peer.Caller, k clock.Clock, m *Metrics) *Router {
 	return &Router{
-		self:     self,
-		address:  address,
-		homes:    h,
-		caller:   c,
-		metrics:  m,
-		clock:    k,
-		groups:   make(map[string]*Group),
-		retiring: make(map[string]*Group),
-		idle:     make(chan struct{}),
-		away:     make(map[string]awayUnit),
-		partials: make(map[string]func([]byte) error),
+		self:            self,
+		peerAddress:     address,
+		homes:           h,
+		caller:          c,
+		metrics:         m,
+		clock:           k,
+		groups:          make(map[string]*Group),
+		retiring:        make(map[string]*Group),
+		drained:         make(chan struct{}),
+		remoteUnits:     make(map[string]remoteUnit),
+		partialHandlers: make(map[string]func([]byte) error),
 	}
 }
 
-// Add makes this instance run units of a group itself.
+// Add makes this instance run the units of a group itself.
 func (r *Router) Add(g *Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,8 +77,8 @@
 	r.groups[g.Group] = g
 }
 
-// Retire ends that for new units. Transactions that are open go on until they
-// end; Remove follows.
+// Retire stops this instance from running new units of a group. Open transactions continue until
+// they end; Remove is called afterwards.
 func (r *Router) Retire(group string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Remove drops a group that was retired.
+// Remove drops a retired group.
 func (r *Router) Remove(g *Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,8 +97,8 @@
 	}
 }
 
-// owner returns the group of an open transaction of this instance.
-func (r *Router) owner(group, transaction string) *Group {
+// transactionGroup returns the group of an open transaction of this instance.
+func (r *Router) transactionGroup(group, transaction string) *Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, g := range []*Group{r.groups[group], r.retiring[group]} {
@@ -109,31 +109,31 @@
 	return nil
 }
 
-// enterTransaction is enter for a unit of an open transaction.
-func (r *Router) enterTransaction(group, transaction string) *Group {
-	g := r.owner(group, transaction)
+// acquireTransactionGroup is acquireGroup for a unit of an open transaction.
+func (r *Router) acquireTransactionGroup(group, transaction string) *Group {
+	g := r.transactionGroup(group, transaction)
 	if g != nil {
-		g.atWork.Add(1)
+		g.activeUnits.Add(1)
 	}
 	return g
 }
 
-// Local returns the group if this instance runs its units itself.
+// Local returns the group if this instance runs its units itself, and nil otherwise.
 func (r *Router) Local(group string) *Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.groups[group]
 }
 
-// enter returns the group if this instance runs its units itself, and counts one
-// more unit in it. Counting under the lock keeps Retire from missing a unit that
-// has found its group and not begun: its connections would close under it.
-func (r *Router) enter(group string) *Group {
+// acquireGroup returns the group if this instance runs its units itself, and counts one more
+// active unit in it. Counting under the lock ensures that Retire does not miss a unit that has
+// looked up its group but not begun: its connections would be closed while it runs.
+func (r *Router) acquireGroup(group string) *Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	g := r.groups[group]
 	if g != nil {
-		g.atWork.Add(1)
+		g.activeUnits.Add(1)
 	}
 	return g
 }
@@ -141,29 +141,29 @@
 // Execute implements execution.Executor.
 func (r *Router) Execute(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	if owner, ok := transactionOwner(u.Transaction); ok && owner != r.self {
-		return r.forwardTo(ctx, owner, u, partial)
+		return r.forwardToOwner(ctx, owner, u, partial)
 	}
 	if u.Transaction != "" {
-		return r.inTransaction(ctx, u, partial)
+		return r.executeInTransaction(ctx, u, partial)
 	}
-	if g := r.enter(u.Group); g != nil {
-		defer g.leave()
-		return r.atHome(ctx, g, u, partial)
+	if g := r.acquireGroup(u.Group); g != nil {
+		defer g.finishUnit()
+		return r.executeAtHome(ctx, g, u, partial)
 	}
 	return r.forward(ctx, u, partial)
 }
 
-// inTransaction runs a unit of a transaction that is open on this instance.
-func (r *Router) inTransaction(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
-	g := r.enterTransaction(u.Group, u.Transaction)
+// executeInTransaction runs a unit of a transaction that is open on this instance.
+func (r *Router) executeInTransaction(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
+	g := r.acquireTransactionGroup(u.Group, u.Transaction)
 	if g == nil {
-		return nil, r.metrics.refused(u.Group, result.New(result.TransactionLost, "its connection is gone"))
+		return nil, r.metrics.countRefusal(u.Group, result.New(result.TransactionLost, "its connection is gone"))
 	}
-	defer g.leave()
+	defer g.finishUnit()
 	return g.Execute(ctx, u, partial)
 }
 
-// transactionOwner returns the instance that a transaction's ID names.
+// transactionOwner returns the instance that is named in a transaction ID.
 func transactionOwner(id string) (string, bool) {
 	owner, _, ok := strings.Cut(id, transactionSeparator)
 	return owner, ok
@@ -173,18 +173,18 @@
 func (r *Router) Abandon(group, transaction string) {
 	owner, ok := transactionOwner(transaction)
 	if ok && owner != r.self {
-		r.notify(owner, methodAbandon, reference{Group: group, ID: transaction})
+		r.notifyInstance(owner, methodAbandon, objectRef{Group: group, ID: transaction})
 		return
 	}
-	if g := r.owner(group, transaction); g != nil {
+	if g := r.transactionGroup(group, transaction); g != nil {
 		g.Abandon(group, transaction)
 	}
 }
 
 // Cancel implements execution.Executor.
 func (r *Router) Cancel(group, unitID string) {
-	if at, ok := r.awayAt(unitID); ok {
-		r.notify(at.instance, methodCancel, reference{Group: group, ID: at.id})
+	if remote, ok := r.findRemoteUnit(unitID); ok {
+		r.notifyInstance(remote.instance, methodCancel, objectRef{Group: group, ID: remote.unitID})
 		return
 	}
 	if g := r.Local(group); g != nil {
@@ -193,64 +193,64 @@
 	}
 	for _, home := range r.homes.Homes(group) {
 		if home.ID != r.self {
-			r.notify(home.ID, methodCancel, reference{Group: group, ID: unitID})
+			r.notifyInstance(home.ID, methodCancel, objectRef{Group: group, ID: unitID})
 		}
 	}
 }
 
-// Drain refuses new units of peers, which then go to other homes, and returns
-// when those at work have ended or ctx has.
+// Drain refuses new units of peers, which then go to other homes. It returns when the running
+// units of peers or ctx have ended.
 func (r *Router) Drain(ctx context.Context) error {
 	r.mu.Lock()
 	r.draining = true
-	r.noteIdle()
+	r.closeDrainedIfIdle()
 	r.mu.Unlock()
 	select {
-	case <-r.idle:
+	case <-r.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// EndUnits ends the units that members work on, and lets no more be sent to members. The first
-// are answered as those whose outcome is not known, the others as those that did not run.
+// EndUnits interrupts the units that are running at members and prevents further units from being
+// sent. Interrupted units get an outcome-unknown result, the others a did-not-run result.
 func (r *Router) EndUnits() {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, groups := range []map[string]*Group{r.groups, r.retiring} {
 		for _, g := range groups {
-			g.running.end()
+			g.runningUnits.closeAndInterrupt()
 		}
 	}
 }
 
-// begin counts a unit of a peer, or reports that it is not to be taken.
-func (r *Router) begin(u *execution.Unit) bool {
+// beginPeerUnit counts a unit of a peer, or returns false if the unit must be refused.
+func (r *Router) beginPeerUnit(u *execution.Unit) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.draining && u.Transaction == "" {
 		return false
 	}
-	r.inFlight++
+	r.peerUnits++
 	return true
 }
 
-func (r *Router) finish() {
+func (r *Router) finishPeerUnit() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.inFlight--
-	r.noteIdle()
+	r.peerUnits--
+	r.closeDrainedIfIdle()
 }
 
-// noteIdle closes idle once. The caller holds r.mu.
-func (r *Router) noteIdle() {
-	if !r.draining || r.inFlight > 0 {
+// closeDrainedIfIdle closes drained once no unit of a peer is running. The caller must hold r.mu.
+func (r *Router) closeDrainedIfIdle() {
+	if !r.draining || r.peerUnits > 0 {
 		return
 	}
 	select {
-	case <-r.idle:
+	case <-r.drained:
 	default:
-		close(r.idle)
+		close(r.drained)
 	}
 }
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -8,22 +8,22 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// Run ends what must not be waited for any longer, and asks other homes where units need
-// it, until ctx ends. A Router has been told of the group before.
+// Run ends units and transactions that must not be waited for any longer, and queries other homes
+// when units need them, until ctx ends. The group must have been added to its Router before.
 func (g *Group) Run(ctx context.Context) {
-	var parts sync.WaitGroup
-	parts.Go(func() { g.oversee(ctx) })
-	parts.Go(func() { g.endIdle(ctx) })
+	var tasks sync.WaitGroup
+	tasks.Go(func() { g.monitorUnits(ctx) })
+	tasks.Go(func() { g.reapIdleTransactions(ctx) })
 	if g.homeFinder != nil {
-		parts.Go(func() { g.homeFinder.run(ctx) })
+		tasks.Go(func() { g.homeFinder.run(ctx) })
 	}
-	parts.Wait()
+	tasks.Wait()
 }
 
-// endIdle ends transactions that were idle for too long, until ctx ends. Their locks and
-// connections are held for callers that may be gone for good. While none is open, it
-// sleeps; an idle group then costs no processor time.
-func (g *Group) endIdle(ctx context.Context) {
+// reapIdleTransactions rolls back transactions that have been idle for too long, until ctx ends.
+// They hold locks and connections for callers that may never return. It blocks while no
+// transaction is open, so an idle group costs no CPU time.
+func (g *Group) reapIdleTransactions(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -34,24 +34,24 @@
 			if clock.Sleep(ctx, g.Clock, reapInterval) != nil {
 				return
 			}
-			g.rollBackIdle()
+			g.rollBackIdleTransactions()
 		}
 	}
 }
 
-// rollBackIdle rolls back the transactions that are idle for too long now.
-func (g *Group) rollBackIdle() {
+// rollBackIdleTransactions rolls back the transactions that exceed the idle timeout.
+func (g *Group) rollBackIdleTransactions() {
 	limit := g.Service().Limits.TransactionIdleTimeout
 	for _, tx := range g.transactions.idleSince(g.Clock.Now().Add(-limit)) {
-		g.Logger.Info("Idle transaction was rolled back.", "group", g.Group, "transaction", tx.id)
-		g.Metrics.transactionReaped(g.Group)
+		g.Logger.Info("Rolling back idle transaction.", "group", g.Group, "transaction", tx.id)
+		g.Metrics.countReapedTransaction(g.Group)
 		g.Abandon(g.Group, tx.id)
 	}
 }
 
-// pollPause is the pause between two looks at a snapshot.
-const pollPause = 5 * time.Millisecond
+// pollInterval is the interval between two checks of a snapshot.
+const pollInterval = 5 * time.Millisecond
 
-func (g *Group) pause(ctx context.Context) error {
-	return clock.Sleep(ctx, g.Clock, pollPause)
+func (g *Group) sleepPollInterval(ctx context.Context) error {
+	return clock.Sleep(ctx, g.Clock, pollInterval)
 }
--- a/internal/executor/running_test.go
+++ b/internal/executor/runningunits_test.go
@@ -17,40 +17,40 @@
 // A caller cancels its statement, which ends by itself a moment before the
 // cancel request reaches the member. Were the connection used again, the request
 // would stop the next caller's statement.
-func TestConnectionThatACancelNamesIsNotUsedAgain(t *testing.T) {
+func TestCancelledConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	r := newRunning()
+	r := newRunningUnits()
 	cancelled := upstream.NewConn("a", time.Time{}, nil, nil)
-	r.start("u1", cancelled, time.Time{})
+	r.addUnit("u1", cancelled, time.Time{})
 	is.Equal(r.claimCancel("u1"), cancelled)
-	r.stop("u1", cancelled, time.Time{}, true)
+	r.removeUnit("u1", cancelled, time.Time{}, true)
 	is.True(!cancelled.Clean())
 
 	finished := upstream.NewConn("a", time.Time{}, nil, nil)
-	r.start("u2", finished, time.Time{})
-	r.stop("u2", finished, time.Time{}, true)
+	r.addUnit("u2", finished, time.Time{})
+	r.removeUnit("u2", finished, time.Time{}, true)
 	is.True(r.claimCancel("u2") == nil)
 	is.True(finished.Clean())
-	is.Equal(r.at("a"), 0)
+	is.Equal(r.loadOf("a"), 0)
 }
 
 // Guards against a statement that is sent to a member when its instance has ended all units: its
 // caller's connection is closed before the member answers.
-func TestUnitIsNotSentWhenUnitsWereEnded(t *testing.T) {
+func TestUnitIsNotSentAfterEndUnits(t *testing.T) {
 	for _, class := range []string{"aged", ""} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			g, s := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+			g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 			r := NewRouter("i", "i:1", nil, nil, clock.System{}, NewMetrics(prometheus.NewRegistry()))
 			r.Add(g)
-			s.acquired = r.EndUnits
+			s.onAcquire = r.EndUnits
 			u := &execution.Unit{ID: "u", Group: "g", Class: class, Timeout: time.Second, ReadOnly: class != ""}
 			_, err := g.Execute(t.Context(), u, func([]byte) error { return nil })
 			e, ok := result.As(err)
 			is.True(ok)
 			is.Equal(e.Code, result.Draining)
-			is.Equal(s.asked("p")+s.asked("r1")+s.asked("r2"), 0)
-			is.Equal(len(s.failed), 0)
+			is.Equal(s.statementsAt("p")+s.statementsAt("r1")+s.statementsAt("r2"), 0)
+			is.Equal(len(s.reportedFailed), 0)
 		})
 	}
 }
--- a/internal/executor/transaction.go
+++ b/internal/executor/transaction.go
@@ -15,24 +15,23 @@
 	id      string
 	conn    wire.Conn
 	replica bool
-	// term is the one that the member led in when the transaction was begun.
+	// term is the term in which the member was primary when the transaction began.
 	term logpos.Term
-	// key is the request key whose row the transaction holds; empty if none.
+	// key is the request key whose row the transaction inserted; empty if none.
 	key string
-	// wrote says that a unit of the transaction may have written.
-	wrote bool
-	// verification proves that the primary had not been replaced when the
-	// transaction began; nil where no read of it needs that any more.
+	// mayHaveWritten is set if any unit of the transaction may have written.
+	mayHaveWritten bool
+	// verification proves that the primary had not been replaced when the transaction began;
+	// nil once no read of the transaction needs the proof.
 	verification *group.Verification
-	// slot is held from the transaction's first unit to its end, where a slot stands
-	// for a connection; nil otherwise.
+	// slot is held until the transaction ends if a slot represents a connection; nil otherwise.
 	slot *admission.Slot
-	// token is what the session must see at least after the transaction.
+	// token is the minimum log position that the session must see after the transaction.
 	token logpos.Token
 
 	// mu is held while a unit runs in the transaction.
 	mu       sync.Mutex
 	lastUsed time.Time
-	// ended says that the connection was given back; no unit may follow.
+	// ended means that the connection was released; no further unit may run.
 	ended bool
 }
--- a/internal/executor/transactions.go
+++ b/internal/executor/transactions.go
@@ -8,11 +8,11 @@
 
 // transactions is the table of open transactions of one group.
 type transactions struct {
-	mu     sync.Mutex
-	prefix string
-	next   uint64
-	open   map[string]*transaction
-	// opened has room for one signal that a transaction was opened.
+	mu         sync.Mutex
+	prefix     string
+	lastNumber uint64
+	open       map[string]*transaction
+	// opened is signalled (with capacity for one signal) when a transaction is opened.
 	opened chan struct{}
 }
 
@@ -20,12 +20,12 @@
 	return &transactions{prefix: prefix, open: make(map[string]*transaction), opened: make(chan struct{}, 1)}
 }
 
-// add gives t an identity that no other transaction of any instance has had.
+// add assigns tx an ID that is unique across all instances and registers it.
 func (t *transactions) add(tx *transaction) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.next++
-	tx.id = t.prefix + transactionSeparator + strconv.FormatUint(t.next, 36)
+	t.lastNumber++
+	tx.id = t.prefix + transactionSeparator + strconv.FormatUint(t.lastNumber, 36)
 	t.open[tx.id] = tx
 	select {
 	case t.opened <- struct{}{}:
@@ -53,8 +53,8 @@
 	return len(t.open)
 }
 
-// idleSince returns the transactions that no unit used after a moment.
-func (t *transactions) idleSince(moment time.Time) []*transaction {
+// idleSince returns the transactions that have not been used by any unit since cutoff.
+func (t *transactions) idleSince(cutoff time.Time) []*transaction {
 	t.mu.Lock()
 	all := make([]*transaction, 0, len(t.open))
 	for _, tx := range t.open {
@@ -66,7 +66,7 @@
 		if !tx.mu.TryLock() {
 			continue
 		}
-		if tx.lastUsed.Before(moment) {
+		if tx.lastUsed.Before(cutoff) {
 			idle = append(idle, tx)
 		}
 		tx.mu.Unlock()
--- a/internal/executor/unanswered.go
+++ b/internal/executor/unanswered.go
@@ -6,26 +6,25 @@
 	"github.com/topazrock/topazrock/internal/group"
 )
 
-// pastDeadline makes every read and write on a connection end at once.
+// pastDeadline makes every read and write on a connection return immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// endUnanswered ends units that wait for a member which no longer answers: at once
-// where another one is the primary, and after the time of a failover where it is
-// the known primary itself, as seen from a failure domain that is cut off. A
-// member out of reach does not close its connections: without this, units sent to
-// it would hold their slots and their callers until the statement timeout. They
-// were sent, so their outcome is unknown, as it would be at the timeout; a keyed
-// request has its time left to settle it.
-func (g *Group) endUnanswered() {
+// interruptUnanswered interrupts units that wait for a member that no longer answers: immediately
+// if another member is the primary, and after failoverWait if the member itself is the known
+// primary, as seen from an isolated failure domain. An unreachable member does not close its
+// connections; without this, units sent to it would hold their slots and callers until the
+// statement timeout. The units were sent, so their outcome is unknown, as it would be at the
+// timeout; a keyed request still has time to resolve it.
+func (g *Group) interruptUnanswered() {
 	s := g.Tracker.Snapshot()
 	for _, m := range s.Members {
-		if unanswered(s, m, g.Clock.Now()) {
-			g.running.interrupt(m.Address)
+		if isUnanswered(s, m, g.Clock.Now()) {
+			g.runningUnits.interruptMember(m.Address)
 		}
 	}
 }
 
-func unanswered(s *group.Snapshot, m group.MemberView, now time.Time) bool {
+func isUnanswered(s *group.Snapshot, m group.MemberView, now time.Time) bool {
 	if m.Failing.IsZero() || s.Primary == "" {
 		return false
 	}
