--- a/internal/executor/admit_test.go
+++ b/internal/executor/admit_test.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// recordingGate refuses everything and keeps what was asked.
+// recordingGate refuses every request and records it.
 type recordingGate struct{ asked []admission.Request }
 
 // Enter implements admission.Gate.
@@ -21,8 +21,9 @@
 	return nil, result.New(result.QueueFull, "recorded")
 }
 
-// Callers of a class want their answers within its objective, which is long before their
-// deadline. The queue must know: ordered by deadlines alone it makes everybody late.
+// Callers of a class want their answers within its objective, which ends long before their
+// deadline. Guards against an admission queue that does not know the objective: ordered by
+// deadlines alone, it makes all callers late.
 func TestAdmissionRequestCarriesObjectiveAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -23,9 +23,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// BenchmarkRead runs one aged read through the core, from the unit to its reply:
-// plan, admission, choice of a replica, exchange, answer. The member's end of
-// the connection answers at once, so that what is left is the core's own cost.
+// BenchmarkRead runs one bounded-staleness read from the unit to its reply: plan, admission,
+// choice of a replica, exchange, answer. The member's end of the connection answers
+// immediately, so only the package's own cost is measured.
 func BenchmarkRead(b *testing.B) {
 	instanceEnd, memberEnd := net.Pipe()
 	go answerQueries(memberEnd)
@@ -69,7 +69,7 @@
 	}
 }
 
-// benchmarkGroup is a group with one fresh replica, whose connection is c.
+// benchmarkGroup returns a group with one fresh replica, whose connection is c.
 func benchmarkGroup(c wire.Conn) *Group {
 	now := time.Now()
 	service := &document.Service{
@@ -91,7 +91,7 @@
 	})
 }
 
-// singleConnPool hands out one connection.
+// singleConnPool always returns the same connection.
 type singleConnPool struct{ conn wire.Conn }
 
 // Acquire implements pool.Pool.
--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -15,7 +15,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// agreeable is a tracker that confirms every mark.
+// confirmingTracker is a tracker that confirms every mark.
 type confirmingTracker struct {
 	group.Tracker
 	confirmed []logpos.Mark
@@ -27,10 +27,9 @@
 	return nil
 }
 
-// A unit is sent to the primary of term 1 and commits there. Before the report
-// behind it runs, the member is fenced, drops the commit with its tail, and leads
-// again in term 3. The positions of term 3 say nothing of the commit, so that the
-// caller must hear that the outcome is unknown.
+// A unit is sent to the primary of term 1 and commits there. Before the report after it runs,
+// the member is fenced, truncates the commit from its log and becomes primary again in term 3.
+// Positions of term 3 do not confirm the commit, so the caller must get an unknown outcome.
 func TestReportOfLaterTermDoesNotConfirmWrite(t *testing.T) {
 	is := is.New(t)
 	tracker := &confirmingTracker{}
@@ -49,7 +48,7 @@
 	is.Equal(tracker.confirmed, []logpos.Mark{mark})
 }
 
-// reported counts the failures that a tracker was told of.
+// failureCounter is a tracker that counts reported failures.
 type failureCounter struct {
 	group.Tracker
 	failures int
@@ -69,7 +68,7 @@
 	is.Equal(tracker.failures, 1)
 }
 
-// shown is a tracker that shows one snapshot.
+// snapshotTracker is a tracker with a fixed snapshot.
 type snapshotTracker struct {
 	group.Tracker
 	snapshot group.Snapshot
@@ -78,9 +77,9 @@
 // Snapshot implements group.Tracker.
 func (s *snapshotTracker) Snapshot() *group.Snapshot { return &s.snapshot }
 
-// A write that cannot be confirmed is refused before it is sent: the primary does
-// not answer, no replica has been heard of, or none has got on for as long as a
-// confirmation may take.
+// A write that cannot be confirmed is refused before it is sent: the primary does not answer,
+// no replica has reported recently, or none has made progress for as long as a confirmation may
+// take.
 func TestWriteThatCannotBeConfirmedIsNotSent(t *testing.T) {
 	now := time.Now()
 	healthy := group.Snapshot{Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{{Address: "p"}}}
--- a/internal/executor/failingmembers_test.go
+++ b/internal/executor/failingmembers_test.go
@@ -12,9 +12,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// For eight seconds one replica answers every read with an error at once, and looks healthy
-// otherwise. Reads come a hundred a second. Nearly all are served by the other members at
-// their first try, callers are not refused, and the replica serves its part again within
+// For eight seconds, one replica answers every read with an error immediately and looks healthy
+// otherwise, at a hundred reads per second. Nearly all reads must be served by other members at
+// the first attempt, callers must not be refused, and the replica must be used again within
 // seconds of its recovery.
 func TestReplicaThatFailsEveryReadIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	})
 }
 
-// A read fails at a member now and then. That is no reason to pass it by.
+// Reads occasionally fail at any member. That must not exclude the member.
 func TestOccasionalFailuresDoNotExcludeMember(t *testing.T) {
 	is := is.New(t)
 	f := newFailingMembers()
--- a/internal/executor/forward_test.go
+++ b/internal/executor/forward_test.go
@@ -15,11 +15,11 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// homesWithDeadNearest is a group with two homes elsewhere, the nearer of which is gone: a call to it
-// is told after a while that it was not sent.
+// homesWithDeadNearest is a group with two homes at other instances, the nearer of which is
+// dead: a call to it fails with ErrNotSent after a delay.
 type homesWithDeadNearest struct{ deadCalls int }
 
-// deadCallTime is how long such a call takes.
+// deadCallTime is the duration of a call to the dead home.
 const deadCallTime = 250 * time.Millisecond
 
 // Homes implements Homes.
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// A machine is removed for good and still listed as the nearest home of a group. Callers
-// of an instance that is no home see one request in two seconds wait for it, and not
+// A machine is removed for good and is still listed as the nearest home of a group. At an
+// instance that is not home to the group, one request in two seconds may wait for it, but not
 // every one.
 func TestDeadHomeIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -15,11 +15,11 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// A primary steps down for a promotion that fenced it and one replica. The other
-// replica was not fenced, so that it proves the old term, and the old primary, now a
-// replica, still answers reads. A caller who asks for fresh data would get that of
-// before the promotion. The member must have shown that it leads the term that was
-// proved; only a transaction that may write shows it by being taken.
+// A primary steps down for a promotion that fenced it and one replica. The other replica was
+// not fenced, so it proves the old term, and the old primary, now a replica, still answers
+// reads. A caller that asks for fresh data would get data from before the promotion. The member
+// must have shown that it is the primary of the proved term; of transactions, only one that may
+// write shows this by being accepted.
 func TestFreshReadRequiresCurrentPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		unit   execution.Unit
@@ -28,9 +28,9 @@
 	}{
 		"leads":                      {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
 		"stepped down":               {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
-		"held":                       {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
+		"fenced":                     {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
 		"leads a later term":         {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
-		"told nothing":               {},
+		"no report":                  {},
 		"took a transaction":         {unit: execution.Unit{Begins: true}, fresh: true},
 		"took a reading transaction": {unit: execution.Unit{Begins: true, ReadTransaction: true}},
 	} {
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -27,42 +27,42 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// objective is what callers of these tests want their answers in.
+// readObjective is the objective of the read class in these tests.
 const readObjective = 300 * time.Millisecond
 
-// scripted is a member that answers all statements in one way.
+// fakeMember is a member that answers all statements in the same way.
 type fakeMember struct {
 	delay   time.Duration
 	err     error
 	failure *wire.Failure
-	// until is when failure ends; zero never. opens says that a statement leaves a
-	// transaction open.
+	// failsUntil is when failure ends; zero means never. opensTransaction means that a
+	// statement leaves a transaction open.
 	failsUntil       time.Time
 	opensTransaction bool
-	// asked counts the statements that reached it; required is what the last one
-	// demanded of its log.
+	// statements counts the statements that reached the member; required is the log position
+	// that the last one required.
 	statements int
 	required   logpos.Mark
 }
 
-// fakeCluster are members by address, and the pool and tracker of a group.
+// fakeCluster holds members by address and is the pool and tracker of a group.
 type fakeCluster struct {
 	group.Tracker
 	snapshot group.Snapshot
-	// unproven says that no mark is proved but by a barrier.
+	// noProvenMark means that only a barrier proves a mark.
 	noProvenMark bool
 
 	mu             sync.Mutex
 	members        map[string]*fakeMember
 	reportedFailed []string
-	// acquired is called when a connection was handed out; nil for nothing.
+	// onAcquire is called when a connection is acquired; may be nil.
 	onAcquire func()
-	// full are members that take no connection, and refusedAcquires counts who tried.
+	// full holds members that accept no connection; refusedAcquires counts the attempts.
 	full            map[string]bool
 	refusedAcquires int
 }
 
-// fakeConn is a connection to a scripted member.
+// fakeConn is a connection to a fake member.
 type fakeConn struct {
 	wire.Conn
 	cluster *fakeCluster
@@ -165,14 +165,14 @@
 	return logpos.Mark{Term: 1, Position: 15}, nil
 }
 
-// asked is how often a member was asked.
+// statementsAt returns how many statements reached a member.
 func (s *fakeCluster) statementsAt(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members[address].statements
 }
 
-// fullRetryBudget is a retry budget that requests have filled.
+// fullRetryBudget returns a retry budget that earlier requests have filled.
 func fullRetryBudget() *retry.Budget {
 	b := retry.New(retry.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	for range int(retry.DefaultBurst / retry.DefaultRatio) {
@@ -181,7 +181,7 @@
 	return b
 }
 
-// newFakeGroup is a group of a primary p and two replicas.
+// newFakeGroup returns a group with a primary p and two replicas.
 func newFakeGroup(p, r1, r2 *fakeMember) (*Group, *fakeCluster) {
 	now := time.Now()
 	view := func(address string, role member.Role) group.MemberView {
@@ -208,7 +208,7 @@
 	}), s
 }
 
-// readOnce runs one aged read and tells who answered, and after how long.
+// readOnce runs one bounded-staleness read and returns which member answered, and the duration.
 func readOnce(t *testing.T, g *Group) (string, time.Duration, error) {
 	t.Helper()
 	began := time.Now()
@@ -220,10 +220,9 @@
 	return string(reply.Messages), time.Since(began), nil
 }
 
-// A replica answers nothing for seconds, and closes no connection either. A read that
-// it was given is sent to the other replica as well when a third of the caller's
-// objective is over, and the caller has its answer in time, whichever replica was
-// picked first.
+// A replica answers nothing for seconds and closes no connection. A read at it must also be
+// sent to the other replica after a third of the objective, so that the caller gets its answer
+// in time whichever replica was picked first.
 func TestReadAtSilentReplicaIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,9 +241,9 @@
 	})
 }
 
-// A replica's connection breaks, or the statement fails there, or the replica lacks
-// what the read must see. The read changes nothing, so that another replica answers
-// it, and the caller sees no error.
+// A replica's connection breaks, the statement fails there, or the replica lacks what the read
+// must see or is busy. The read changes nothing, so another replica must answer it without an
+// error for the caller.
 func TestFailedReadIsRetriedAtAnotherReplica(t *testing.T) {
 	for name, broken := range map[string]*fakeMember{
 		"broken": {err: net.ErrClosed},
@@ -267,8 +266,8 @@
 	}
 }
 
-// All members fail the statement. The caller is told the error after a few members,
-// not after a storm of attempts.
+// All members fail the statement. The caller must get the error after a few members; guards
+// against unbounded retries.
 func TestReadThatFailsEverywhereStopsRetrying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -283,8 +282,8 @@
 	})
 }
 
-// One replica of two is lost, and the other one has statements of this instance
-// queued while the primary has none. Aged reads go to the primary too.
+// One of two replicas is lost, and the other one has statements of this instance queued while
+// the primary has none. Bounded-staleness reads must go to the primary as well.
 func TestAgedReadsSpillToIdlePrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -302,9 +301,9 @@
 	})
 }
 
-// The first read of a group comes while its first write is under way, and no earlier
-// position is proved. A barrier is; another sample, taken meanwhile, hides its own. The
-// read is sent with what the barrier itself proved, and not refused.
+// The first read of a group arrives while its first write is running, and no earlier position
+// is proved. A barrier proves one, but another sample taken meanwhile hides it. The read must
+// be sent with the position that the barrier itself proved, and must not be refused.
 func TestFirstReadUsesBarrierPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/homefinder_test.go
+++ b/internal/executor/homefinder_test.go
@@ -17,7 +17,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// fakeHomes are the other homes of a group, and what they tell.
+// fakeHomes holds the answers of the other homes of a group.
 type fakeHomes struct {
 	mu           sync.Mutex
 	capabilities map[string]capability
@@ -64,9 +64,9 @@
 	readUnit  = &execution.Unit{ReadOnly: true}
 )
 
-// One of six other homes reaches the primary, one more a majority, and one does not
-// answer. A write goes to the first, a read to either, and the caller waits for the
-// answers no longer than they take.
+// Of six other homes, one reaches the primary, another one only a majority, and one does not
+// answer. A write must go to the first and a read to either, and the caller must not wait for
+// longer than the answers take.
 func TestHomeFinderFindsCapableHome(t *testing.T) {
 	withHomeFinder(t, 6, func(is *is.I, homes *fakeHomes, finder *homeFinder) {
 		homes.capabilities["h1"] = capability{Writes: true, Reads: true}
@@ -87,8 +87,8 @@
 	})
 }
 
-// No home can serve the group. The first caller waits for the answers; those who come
-// after it are refused at once, and homes are not asked any more when nobody comes.
+// No home can serve the group. The first caller waits for the answers; later ones must be
+// refused immediately, and homes must not be queried any more once no caller needs one.
 func TestHomeFinderFailsFastWhenNoHomeCanServe(t *testing.T) {
 	withHomeFinder(t, 6, func(is *is.I, homes *fakeHomes, finder *homeFinder) {
 		began := time.Now()
@@ -111,9 +111,9 @@
 	})
 }
 
-// A home loses reach after it told that it can serve. The unit that it refused is not
-// offered to it again, nor are others, until it tells so again; what it told is forgotten
-// in any case when it is old.
+// A home loses access to the primary after it answered that it can serve. Neither the unit that
+// it refused nor others may be sent to it again until it gives that answer again. Answers
+// expire in any case.
 func TestHomeFinderDropsStaleAndFailedAnswers(t *testing.T) {
 	withHomeFinder(t, 2, func(is *is.I, homes *fakeHomes, finder *homeFinder) {
 		homes.capabilities["h1"] = capability{Writes: true}
@@ -137,9 +137,9 @@
 	})
 }
 
-// The last answer of a round comes just while a caller looks what is known: it has seen
-// that nobody serves, and sees then that everybody was asked. It must see the answer
-// too; refused at that moment, it would come back for nothing.
+// The last answer of a round arrives during a lookup: the lookup has found no capable home and
+// then sees that all homes were queried. It must use the answer as well; otherwise the caller
+// is refused although a home can serve it.
 func TestAnswerArrivingDuringLookupIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/homeorder_test.go
+++ b/internal/executor/homeorder_test.go
@@ -17,8 +17,8 @@
 	return homes
 }
 
-// Guards against one home of a failure domain that serves all owners while the other is idle,
-// and against statements that leave the failure domain for it.
+// Guards against one home of a failure domain serving all owners while the other one is idle,
+// and against statements leaving the failure domain to avoid that.
 func TestOwnersAreSpreadOverNearestHomes(t *testing.T) {
 	is := is.New(t)
 	first := make(map[string]int)
@@ -35,7 +35,7 @@
 	is.Equal(orderForOwner(homesInThreeDomains(), ""), homesInThreeDomains())
 }
 
-// Guards against owners that all change their homes when one home is lost.
+// Guards against all owners changing their homes when one home is lost.
 func TestLostHomeMovesOnlyItsOwners(t *testing.T) {
 	is := is.New(t)
 	for n := range 75 {
--- a/internal/executor/idle_test.go
+++ b/internal/executor/idle_test.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// countingClock counts the timers that are made.
+// countingClock counts the timers that are created.
 type countingClock struct {
 	clock.System
 	timers *atomic.Int64
@@ -24,8 +24,9 @@
 	return c.System.NewTimer(d)
 }
 
-// An instance is home to dozens of groups, of which most are idle. None of them wakes it: on a
-// small machine the wake-ups of idle groups would leave little time for those at work.
+// An instance is home to dozens of groups, most of which are idle. None of them may wake it up:
+// on a small machine the wake-ups of idle groups would leave little CPU time for the active
+// ones.
 func TestIdleGroupCreatesNoTimers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
--- a/internal/executor/knownhomes_test.go
+++ b/internal/executor/knownhomes_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// Rounds ask the homes in turn. Two rounds are enough to tell a caller that nobody is
-// known to serve; what they told counts for homeAnswerTTL.
+// Rounds query the homes in rotation. After two rounds, a caller can be refused for lack of a
+// capable home; the answers are valid for homeAnswerTTL.
 func TestHomesAreAskedInTurn(t *testing.T) {
 	is := is.New(t)
 	homes := newHomes(8)
@@ -44,8 +44,8 @@
 	is.True(!k.enoughAsked(homes, now.Add(homeAnswerTTL+1)))
 }
 
-// A primary is lost to one side of a cut. Callers of that side are spread over the homes
-// that reach it; one that answered and then fell silent, or refused, gets none.
+// A network partition cuts some instances off from a primary. Their callers must be spread over
+// the homes that reach it; a home that stopped answering or refused a unit must get none.
 func TestUnitsAreSpreadOverCapableHomes(t *testing.T) {
 	is := is.New(t)
 	homes := newHomes(6)
@@ -71,8 +71,8 @@
 	is.True(!ok)
 }
 
-// What a home began to answer is not continued by another one, and what writes goes on
-// only if it did not leave this instance.
+// An answer that one home has begun must not be continued by another one, and a write may be
+// relayed again only if it was not sent.
 func TestMayRelayAgain(t *testing.T) {
 	is := is.New(t)
 	lost := errors.New("connection lost")
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -23,8 +23,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// ownersWorkload is the work of many owners of very unequal size at one group: six homes in three
-// failure domains, three members, and six connections of each home to each member.
+// ownersWorkload is the load of many owners of very unequal size on one group: six homes in
+// three failure domains, three members, and six connections from each home to each member.
 type ownersWorkload struct {
 	homes    []platform.Instance
 	pools    map[string]*pool.Limited
@@ -72,7 +72,7 @@
 	return l
 }
 
-// owner draws an owner: the largest begins some thirty times as much as the smallest.
+// drawOwner picks a random owner: the largest sends some thirty times as much as the smallest.
 func (l *ownersWorkload) drawOwner() string {
 	for {
 		n := l.random.IntN(75)
@@ -82,7 +82,7 @@
 	}
 }
 
-// near returns the homes of a failure domain first.
+// nearestFirst returns the homes with those of a failure domain first.
 func (l *ownersWorkload) nearestFirst(domain string) []platform.Instance {
 	var near, far []platform.Instance
 	for _, i := range l.homes {
@@ -95,7 +95,7 @@
 	return append(near, far...)
 }
 
-// run plays the load and returns how many openings there were for a request.
+// run simulates the load and returns the number of opened connections per request.
 func (l *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
 	var running sync.WaitGroup
 	for until := time.Now().Add(length); time.Now().Before(until); {
@@ -128,8 +128,8 @@
 	return float64(l.openings.Load()) / float64(l.requests)
 }
 
-// Guards against work of many owners that goes to the nearest home and member, where most
-// statements open a connection while those of the other homes lie idle.
+// Guards against sending the load of many owners to the nearest home and member: most
+// statements would open a connection while the connections of the other homes are idle.
 func TestOwnersOpenFewerConnectionsWithHomeAffinity(t *testing.T) {
 	figures := make(map[bool]float64)
 	for _, byOwner := range []bool{false, true} {
--- a/internal/executor/placement_test.go
+++ b/internal/executor/placement_test.go
@@ -13,8 +13,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// All instances have lost power, and one replica still counts their connections. Reads go
-// to the other one and to the primary; none is spent on finding the replica full again.
+// All instances have lost power, and one replica still counts their connections. Reads must go
+// to the other replica and to the primary; none may be spent on finding the replica full again.
 func TestReadsAvoidMemberWithoutFreeConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -28,9 +28,9 @@
 	})
 }
 
-// There is no primary, and both replicas have received what a read must see and apply it
-// some milliseconds later. The read waits for that and is answered; asked once each and
-// given up, it would be refused for a lag that every replica has.
+// There is no primary, and both replicas have received what a read must see and apply it a few
+// milliseconds later. The read must wait for that: if each replica were asked only once, the
+// read would be refused for a lag that every replica has.
 func TestReadWithoutPrimaryWaitsForReplicaApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,9 +48,9 @@
 	})
 }
 
-// A caller opens a transaction with a read and keeps it for seconds. What its slot was
-// held for says nothing of how long answers take: the next read, with a short deadline,
-// must not be refused as one that cannot be served in time.
+// A caller opens a transaction with a read and keeps it open for seconds. How long its slot was
+// held says nothing about how long answers take: the next read, with a short deadline, must not
+// be refused as one that cannot be served in time.
 func TestOpenTransactionTimeIsNotCountedAsAnswerTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -86,8 +86,8 @@
 }
 
 // The primary has missed one probe. Units of this instance still wait for it, as one late
-// answer says little, but others are not told that it can be written to: what they send
-// would be lost with it.
+// answer means little, but other homes must not learn that it is writable: what they send would
+// be lost with it.
 func TestPrimaryWithMissedProbeIsNotOfferedToOtherHomes(t *testing.T) {
 	is := is.New(t)
 	g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -11,10 +11,10 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// statementTime is what a statement takes at the members of these tests.
+// statementTime is the usual duration of a statement at the members in these tests.
 const statementTime = 30 * time.Millisecond
 
-// readConcurrently sends reads side by side and returns how long the last one took.
+// readConcurrently sends n concurrent reads and returns how long the last one took.
 func readConcurrently(t *testing.T, g *Group, n int) time.Duration {
 	began := time.Now()
 	var all sync.WaitGroup
@@ -29,8 +29,8 @@
 	return time.Since(began)
 }
 
-// Guards against a queue that outlives the time in which replicas lacked what reads asked for, or
-// were full: they refuse at once, which is no measure of how long a statement takes.
+// Guards against a queue that persists after a time in which replicas were behind or full: they
+// refuse immediately, so refusals must not count as statement durations.
 func TestMemberIsFullyUsedAfterRefusals(t *testing.T) {
 	for _, kind := range []wire.FailureKind{wire.FailureBehind, wire.FailureBusy} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/executor/relay_test.go
+++ b/internal/executor/relay_test.go
@@ -18,28 +18,28 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// fakeRelayHome is another home of the group: what it does with a unit that is passed on.
+// fakeRelayHome is another home of the group and its reaction to a relayed unit.
 type fakeRelayHome struct {
-	// pieces are sent ahead of the end.
+	// chunks are sent before the reply.
 	chunks []string
 	answer string
 	err    error
 	units  int
 }
 
-// fakeRelayPeers is the router's homes and its way to them. Every home says that it serves.
+// fakeRelayPeers is the router's list of homes and its peer.Caller. Every home reports that it
+// can serve.
 type fakeRelayPeers struct {
 	router *Router
 	order  []string
 	homes  map[string]*fakeRelayHome
-	// ids are those of the units that were passed on, in order.
+	// unitIDs are the IDs of the relayed units, in order.
 	unitIDs []string
-	// cancelled takes the cancel requests that reach homes.
+	// cancelled receives the cancel requests that reach homes.
 	cancelled chan string
-	// unmarked says that a unit came without the mark that keeps it from being passed on
-	// again.
+	// sawUnmarkedUnit is set when a unit arrives without the mark that prevents another relay.
 	sawUnmarkedUnit bool
-	// late is called when a unit has arrived at a home; nil does nothing.
+	// onUnit is called when a unit has arrived at a home; may be nil.
 	onUnit func()
 }
 
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// relayed runs a unit at an instance that reaches no member, beside other homes, and
-// returns what the caller got ahead of the reply.
+// relayThrough runs a unit at an instance that reaches no member, with other homes, and returns
+// what the caller received before the reply.
 func relayThrough(t *testing.T, u *execution.Unit, homes map[string]*fakeRelayHome, order ...string) (string, *execution.Reply, error) {
 	t.Helper()
 	return (&fakeRelayPeers{homes: homes, order: order}).relayUnit(u)
@@ -121,14 +121,14 @@
 	return string(seen), reply, err
 }
 
-// newRelayRead is a read of a class that may be an hour old.
+// newRelayRead returns a read of a class that accepts data up to an hour old.
 func newRelayRead() *execution.Unit {
 	return &execution.Unit{ID: "u", Group: "g", Class: "aged", Timeout: 3 * time.Second, ReadOnly: true, Messages: []byte("read")}
 }
 
-// An instance that reaches no member passes a read on. The home sends half of a large
-// answer and is lost. The caller has that half: another home's answer behind it would
-// be taken for the rest of the first, so that the read ends with an error.
+// An instance that reaches no member passes a read on. The home sends half of a large answer
+// and is lost. The caller would take another home's answer for the rest of the first, so the
+// read must end with an error.
 func TestPartialAnswerIsNotContinuedByAnotherHome(t *testing.T) {
 	for _, order := range [][]string{{"h1", "h2"}, {"h2", "h1"}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Both homes that a read was passed on to are lost with it. It may have run there, so
-// that the caller must not be told that it did not.
+// Both homes that a read was passed on to are lost. It may have run there, so the caller must
+// not get a did-not-run result.
 func TestReadThatMayHaveRunElsewhereIsNotReportedRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -161,8 +161,8 @@
 	})
 }
 
-// One home is lost with a read before it answered anything; the other one answers. The
-// caller sees one whole answer.
+// One home is lost with a read before it answered anything; the other one answers. The caller
+// must get one complete answer.
 func TestReadIsRelayedToSecondHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -176,8 +176,9 @@
 	})
 }
 
-// The connection to the first home breaks; the home lives, and sends a piece of its answer
-// when the read is at the second one. The piece is not taken for the second home's.
+// The connection to the first home breaks, but the home is alive and sends a chunk of its
+// answer while the read runs at the second one. The chunk must not be taken for the second
+// home's.
 func TestLateChunkOfFirstHomeIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -198,8 +199,8 @@
 	})
 }
 
-// A write that left this instance is not passed on again, whatever became of it; one
-// that did not leave is.
+// A write that was sent must not be relayed again, whatever its outcome; one that was not sent
+// must be.
 func TestSentWriteIsRelayedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -221,8 +222,8 @@
 	})
 }
 
-// A caller cancels its statement while it is at work at another home, which knows it by
-// another ID. The home is told to stop it; without that it would run on to its timeout.
+// A caller cancels its statement while it runs at another home, which knows it by another ID.
+// The cancel request must reach that home; otherwise the statement would run until its timeout.
 func TestCancelReachesRelayHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -239,9 +240,9 @@
 	})
 }
 
-// Two instances each think that the other one serves. A unit that was passed on carries a
-// mark, and who gets one with the mark and cannot serve it refuses it: it would else go
-// to and fro until its time is over.
+// Two instances each believe that the other one can serve a unit. A relayed unit carries a
+// mark, and an instance that cannot serve a marked unit must refuse it; otherwise the unit
+// would be passed back and forth until its timeout.
 func TestRelayedUnitIsNotRelayedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -259,9 +260,9 @@
 	})
 }
 
-// The primary is out of reach here, and another home reaches it. A write that came while
-// the group may still be replacing its primary does not wait that time out: it goes to
-// the home as soon as that is known.
+// The primary is unreachable here but another home reaches it. A write that arrives while the
+// group may still be replacing its primary must not wait for failoverWait: it must go to the
+// home as soon as the home's answer is known.
 func TestWriteDoesNotWaitWhenAnotherHomeHasPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/runningunits_test.go
+++ b/internal/executor/runningunits_test.go
@@ -14,9 +14,9 @@
 	"github.com/topazrock/topazrock/internal/upstream"
 )
 
-// A caller cancels its statement, which ends by itself a moment before the
-// cancel request reaches the member. Were the connection used again, the request
-// would stop the next caller's statement.
+// A caller cancels its statement, which ends by itself just before the cancel request reaches
+// the member. If the connection were reused, the request would cancel the next caller's
+// statement.
 func TestCancelledConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	r := newRunningUnits()
@@ -34,7 +34,7 @@
 	is.Equal(r.loadOf("a"), 0)
 }
 
-// Guards against a statement that is sent to a member when its instance has ended all units: its
+// Guards against sending a statement to a member after the instance has ended all units: the
 // caller's connection is closed before the member answers.
 func TestUnitIsNotSentAfterEndUnits(t *testing.T) {
 	for _, class := range []string{"aged", ""} {
