--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -52,9 +52,9 @@
 // the unit was not sent, or if the home refused it because it is not home to the group or is
 // draining.
 func (r *Router) forward(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
-	last := result.New(result.UpstreamUnreachable, "no home of group %s answers", u.Group).WithRetryAfter(retryAfterFailover)
+	unreachable := result.New(result.UpstreamUnreachable, "no home of group %s answers", u.Group).WithRetryAfter(retryAfterFailover)
 	for _, home := range r.avoidedHomes.orderHomes(r.clock.Now(), orderForOwner(r.homes.Homes(u.Group), u.Owner)) {
-		if home.ID == r.self {
+		if home.ID == r.selfID {
 			continue
 		}
 		reply, err := r.sendUnit(ctx, home, u, partial)
@@ -65,9 +65,9 @@
 		if !unitNotStarted(err) {
 			return nil, forwardError(err)
 		}
-		last = last.WithCause(err)
+		unreachable = unreachable.WithCause(err)
 	}
-	return nil, r.metrics.countRefusal(u.Group, last)
+	return nil, r.metrics.countRefusal(u.Group, unreachable)
 }
 
 // avoidFailedHome records a home that refuses new units because it is shutting down, and one that
@@ -109,7 +109,7 @@
 	if !ok {
 		return nil, result.New(result.TransactionLost, "instance %s is gone", owner)
 	}
-	defer r.trackRemoteUnit(u.ID, remoteUnit{instance: home.ID, unitID: u.ID})()
+	defer r.addRemoteUnit(u.ID, remoteUnit{instance: home.ID, unitID: u.ID})()
 	reply, err := r.sendUnit(ctx, home, u, partial)
 	if errors.Is(err, peer.ErrNotSent) {
 		return nil, result.New(result.TransactionLost, "instance %s does not answer", owner).WithCause(err)
@@ -164,7 +164,7 @@
 		return nil, result.New(result.ProtocolViolation, "unit").WithCause(err)
 	}
 	if !r.beginPeerUnit(u) {
-		return nil, result.New(result.Draining, "instance %s", r.self)
+		return nil, result.New(result.Draining, "instance %s", r.selfID)
 	}
 	defer r.finishPeerUnit()
 	if u.Transaction != "" {
--- a/internal/executor/forward_test.go
+++ b/internal/executor/forward_test.go
@@ -53,11 +53,11 @@
 		r := NewRouter("self", "self:1", homes, homes, clock.System{}, NewMetrics(prometheus.NewRegistry()))
 		slow := 0
 		for range 100 {
-			began := time.Now()
+			start := time.Now()
 			reply, err := r.Execute(t.Context(), &execution.Unit{ID: "u", Group: "g", Timeout: time.Second}, nil)
 			is.NoErr(err)
 			is.Equal(string(reply.Messages), "rows")
-			if time.Since(began) >= deadCallTime {
+			if time.Since(start) >= deadCallTime {
 				slow++
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -211,13 +211,13 @@
 // readOnce runs one bounded-staleness read and returns which member answered, and the duration.
 func readOnce(t *testing.T, g *Group) (string, time.Duration, error) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	u := &execution.Unit{ID: "u", Group: "g", Class: "aged", Timeout: time.Second, ReadOnly: true, Messages: []byte("read")}
 	reply, err := g.Execute(t.Context(), u, func([]byte) error { return nil })
 	if err != nil {
-		return "", time.Since(began), err
+		return "", time.Since(start), err
 	}
-	return string(reply.Messages), time.Since(began), nil
+	return string(reply.Messages), time.Since(start), nil
 }
 
 // A replica answers nothing for seconds and closes no connection. A read at it must also be
@@ -230,10 +230,10 @@
 		g, s := newFakeGroup(&fakeMember{}, &fakeMember{delay: 5 * time.Second}, quick)
 		slow := 0
 		for range 8 {
-			by, took, err := readOnce(t, g)
+			member, elapsed, err := readOnce(t, g)
 			is.NoErr(err)
-			is.Equal(by, "r2")
-			is.True(took <= readObjective/hedgeDivisor+10*time.Millisecond)
+			is.Equal(member, "r2")
+			is.True(elapsed <= readObjective/hedgeDivisor+10*time.Millisecond)
 			slow += s.statementsAt("r1")
 		}
 		is.True(slow > 0)
@@ -256,9 +256,9 @@
 				is := is.New(t)
 				g, s := newFakeGroup(&fakeMember{}, broken, &fakeMember{})
 				for range 4 {
-					by, _, err := readOnce(t, g)
+					member, _, err := readOnce(t, g)
 					is.NoErr(err)
-					is.Equal(by, "r2")
+					is.Equal(member, "r2")
 				}
 				is.True(s.statementsAt("r1") > 0)
 			})
@@ -309,8 +309,8 @@
 		is := is.New(t)
 		g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 		s.noProvenMark = true
-		by, _, err := readOnce(t, g)
+		member, _, err := readOnce(t, g)
 		is.NoErr(err)
-		is.Equal(s.members[by].required, logpos.Mark{Term: 1, Position: 15})
+		is.Equal(s.members[member].required, logpos.Mark{Term: 1, Position: 15})
 	})
 }
--- a/internal/executor/homefinder.go
+++ b/internal/executor/homefinder.go
@@ -13,10 +13,10 @@
 
 const (
 	// homeFinderInterval is the pause between two rounds of queries: three rounds, which query
-	// seven homes, end within half of homeAnswerTTL. homeFinderTimeout bounds each query; it
+	// seven homes, end within half of homeAnswerTTL. homeQueryTimeout bounds each query; it
 	// is many times a slow answer.
 	homeFinderInterval = 150 * time.Millisecond
-	homeFinderTimeout  = 100 * time.Millisecond
+	homeQueryTimeout   = 100 * time.Millisecond
 	// homeFinderIdleAfter is how long homes are still queried after the last unit that could
 	// not be served here.
 	homeFinderIdleAfter = 500 * time.Millisecond
@@ -33,9 +33,9 @@
 // while the group is served here.
 type homeFinder struct {
 	clock clock.Clock
-	// homes returns the group's other homes; ask queries one of them.
+	// homes returns the group's other homes; query sends a query to one of them.
 	homes func() []platform.Instance
-	ask   func(ctx context.Context, home platform.Instance) (capability, error)
+	query func(ctx context.Context, home platform.Instance) (capability, error)
 	// wake receives a token when a unit needs another home.
 	wake chan struct{}
 
@@ -47,25 +47,25 @@
 	roundDone     chan struct{}
 }
 
-func newHomeFinder(k clock.Clock, r *rand.Rand, homes func() []platform.Instance, ask func(context.Context, platform.Instance) (capability, error)) *homeFinder {
-	return &homeFinder{clock: k, homes: homes, ask: ask, wake: make(chan struct{}, 1), roundDone: make(chan struct{}), known: newKnownHomes(r)}
+func newHomeFinder(k clock.Clock, r *rand.Rand, homes func() []platform.Instance, query func(context.Context, platform.Instance) (capability, error)) *homeFinder {
+	return &homeFinder{clock: k, homes: homes, query: query, wake: make(chan struct{}, 1), roundDone: make(chan struct{}), known: newKnownHomes(r)}
 }
 
 // findHome returns a home that can serve the unit, or false if none is known. It waits a short
 // time for answers unless enough homes were queried recently, so that units that cannot be served
 // are refused immediately.
 func (f *homeFinder) findHome(ctx context.Context, u *execution.Unit) (platform.Instance, bool) {
-	began := f.clock.Now()
+	start := f.clock.Now()
 	for {
 		roundDone := f.requestRound()
-		// enoughAsked must be read before the answers: otherwise the query of an answer that
+		// enoughQueried must be read before the answers: otherwise the query of an answer that
 		// arrives in between would be counted but its answer missed.
-		enoughAsked := f.enoughAsked()
+		enoughQueried := f.enoughQueried()
 		if home, ok := f.pickHome(u); ok {
 			return home, true
 		}
-		remaining := homeFinderWait - f.clock.Now().Sub(began)
-		if remaining <= 0 || enoughAsked || !f.awaitRound(ctx, roundDone, remaining) {
+		remaining := homeFinderWait - f.clock.Now().Sub(start)
+		if remaining <= 0 || enoughQueried || !f.awaitRound(ctx, roundDone, remaining) {
 			return platform.Instance{}, false
 		}
 	}
@@ -104,12 +104,12 @@
 	return f.known.pickHome(u, f.clock.Now())
 }
 
-// enoughAsked reports whether enough homes were queried recently.
-func (f *homeFinder) enoughAsked() bool {
+// enoughQueried reports whether enough homes were queried recently.
+func (f *homeFinder) enoughQueried() bool {
 	homes := f.homes()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.known.enoughAsked(homes, f.clock.Now())
+	return f.known.enoughQueried(homes, f.clock.Now())
 }
 
 // forgetHome discards the answer of a home that did not serve a unit it reported it could.
@@ -127,7 +127,7 @@
 			return
 		case <-f.wake:
 		}
-		for f.askRound(ctx) {
+		for f.queryRound(ctx) {
 			if clock.Sleep(ctx, f.clock, homeFinderInterval) != nil {
 				return
 			}
@@ -135,12 +135,12 @@
 	}
 }
 
-// askRound queries some homes concurrently. It returns false if no unit needs another home
+// queryRound queries some homes concurrently. It returns false if no unit needs another home
 // any more.
-func (f *homeFinder) askRound(ctx context.Context) bool {
+func (f *homeFinder) queryRound(ctx context.Context) bool {
 	var calls sync.WaitGroup
 	for _, home := range f.nextHomes() {
-		calls.Go(func() { f.askHome(ctx, home) })
+		calls.Go(func() { f.queryHome(ctx, home) })
 	}
 	calls.Wait()
 	f.mu.Lock()
@@ -158,17 +158,17 @@
 	return f.known.chooseNext(homes)
 }
 
-// askHome queries one home and records its answer.
-func (f *homeFinder) askHome(ctx context.Context, home platform.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, homeFinderTimeout)
+// queryHome queries one home and records its answer.
+func (f *homeFinder) queryHome(ctx context.Context, home platform.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, homeQueryTimeout)
 	defer cancel()
-	askedAt := f.clock.Now()
-	reported, err := f.ask(ctx, home)
+	queriedAt := f.clock.Now()
+	reported, err := f.query(ctx, home)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.known.recordNoAnswer(home, askedAt)
+		f.known.recordNoAnswer(home, queriedAt)
 		return
 	}
-	f.known.recordAnswer(home, reported, askedAt)
+	f.known.recordAnswer(home, reported, queriedAt)
 }
--- a/internal/executor/homefinder_test.go
+++ b/internal/executor/homefinder_test.go
@@ -22,12 +22,12 @@
 	mu           sync.Mutex
 	capabilities map[string]capability
 	silent       map[string]bool
-	asked        int
+	queries      int
 }
 
-func (h *fakeHomes) askHome(ctx context.Context, home platform.Instance) (capability, error) {
+func (h *fakeHomes) queryHome(ctx context.Context, home platform.Instance) (capability, error) {
 	h.mu.Lock()
-	h.asked++
+	h.queries++
 	silent, reported := h.silent[home.ID], h.capabilities[home.ID]
 	h.mu.Unlock()
 	if silent {
@@ -46,7 +46,7 @@
 		for k := range n {
 			list = append(list, platform.Instance{ID: fmt.Sprint("h", k)})
 		}
-		finder := newHomeFinder(clock.System{}, rand.New(rand.NewPCG(1, 2)), func() []platform.Instance { return list }, homes.askHome)
+		finder := newHomeFinder(clock.System{}, rand.New(rand.NewPCG(1, 2)), func() []platform.Instance { return list }, homes.queryHome)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
@@ -71,11 +71,11 @@
 	withHomeFinder(t, 6, func(is *is.I, homes *fakeHomes, finder *homeFinder) {
 		homes.capabilities["h1"] = capability{Writes: true, Reads: true}
 		homes.capabilities["h2"] = capability{Reads: true}
-		began := time.Now()
+		start := time.Now()
 		home, ok := finder.findHome(context.Background(), writeUnit)
 		is.True(ok)
 		is.Equal(home.ID, "h1")
-		is.True(time.Since(began) < 10*time.Millisecond)
+		is.True(time.Since(start) < 10*time.Millisecond)
 		homes.silent["h0"] = true
 		seen := make(map[string]bool)
 		for range 20 {
@@ -91,23 +91,23 @@
 // refused immediately, and homes must not be queried any more once no caller needs one.
 func TestHomeFinderFailsFastWhenNoHomeCanServe(t *testing.T) {
 	withHomeFinder(t, 6, func(is *is.I, homes *fakeHomes, finder *homeFinder) {
-		began := time.Now()
+		start := time.Now()
 		_, ok := finder.findHome(context.Background(), writeUnit)
 		is.True(!ok)
-		is.True(time.Since(began) <= homeFinderWait)
+		is.True(time.Since(start) <= homeFinderWait)
 		time.Sleep(2 * homeFinderInterval)
 		for range 10 {
-			began = time.Now()
+			start = time.Now()
 			_, ok = finder.findHome(context.Background(), writeUnit)
 			is.True(!ok)
-			is.Equal(time.Since(began), time.Duration(0))
+			is.Equal(time.Since(start), time.Duration(0))
 		}
 		time.Sleep(2 * homeFinderIdleAfter)
 		homes.mu.Lock()
-		asked := homes.asked
+		queries := homes.queries
 		homes.mu.Unlock()
 		time.Sleep(time.Minute)
-		is.Equal(homes.asked, asked)
+		is.Equal(homes.queries, queries)
 	})
 }
 
@@ -150,10 +150,10 @@
 		finder = newHomeFinder(clock.System{}, rand.New(rand.NewPCG(1, 2)), func() []platform.Instance {
 			if !arrived {
 				arrived = true
-				finder.askHome(context.Background(), list[0])
+				finder.queryHome(context.Background(), list[0])
 			}
 			return list
-		}, homes.askHome)
+		}, homes.queryHome)
 		home, ok := finder.findHome(context.Background(), writeUnit)
 		is.True(ok)
 		is.Equal(home.ID, "h0")
--- a/internal/executor/knownhomes.go
+++ b/internal/executor/knownhomes.go
@@ -23,7 +23,7 @@
 type homeAnswer struct {
 	home       platform.Instance
 	capability capability
-	askedAt    time.Time
+	queriedAt  time.Time
 }
 
 // knownHomes holds a home finder's knowledge of a group's other homes. It decides which homes are
@@ -34,12 +34,12 @@
 	// nextIndex is the position in the list of homes at which the next round starts.
 	nextIndex int
 	answers   map[string]homeAnswer
-	// askedAt is when each home was last queried, whether it answered or not.
-	askedAt map[string]time.Time
+	// queriedAt is when each home was last queried, whether it answered or not.
+	queriedAt map[string]time.Time
 }
 
 func newKnownHomes(r *rand.Rand) *knownHomes {
-	return &knownHomes{random: r, answers: make(map[string]homeAnswer), askedAt: make(map[string]time.Time)}
+	return &knownHomes{random: r, answers: make(map[string]homeAnswer), queriedAt: make(map[string]time.Time)}
 }
 
 // chooseNext returns the homes to query in the next round, in rotation.
@@ -52,32 +52,32 @@
 	return chosen
 }
 
-// recordAnswer stores the answer of a home that was queried at askedAt.
-func (k *knownHomes) recordAnswer(home platform.Instance, reported capability, askedAt time.Time) {
-	k.askedAt[home.ID] = askedAt
-	k.answers[home.ID] = homeAnswer{home: home, capability: reported, askedAt: askedAt}
+// recordAnswer stores the answer of a home that was queried at queriedAt.
+func (k *knownHomes) recordAnswer(home platform.Instance, reported capability, queriedAt time.Time) {
+	k.queriedAt[home.ID] = queriedAt
+	k.answers[home.ID] = homeAnswer{home: home, capability: reported, queriedAt: queriedAt}
 }
 
-// recordNoAnswer records that a home queried at askedAt did not answer; its earlier answer is
+// recordNoAnswer records that a home queried at queriedAt did not answer; its earlier answer is
 // dropped.
-func (k *knownHomes) recordNoAnswer(home platform.Instance, askedAt time.Time) {
-	k.askedAt[home.ID] = askedAt
+func (k *knownHomes) recordNoAnswer(home platform.Instance, queriedAt time.Time) {
+	k.queriedAt[home.ID] = queriedAt
 	delete(k.answers, home.ID)
 }
 
 // forgetAnswer drops the answer of a home that did not serve a unit it reported it could.
 func (k *knownHomes) forgetAnswer(home platform.Instance) { delete(k.answers, home.ID) }
 
-// enoughAsked reports whether at least as many homes as two rounds cover were queried recently.
-func (k *knownHomes) enoughAsked(homes []platform.Instance, now time.Time) bool {
+// enoughQueried reports whether at least as many homes as two rounds cover were queried recently.
+func (k *knownHomes) enoughQueried(homes []platform.Instance, now time.Time) bool {
 	oldest := now.Add(-homeAnswerTTL)
-	asked := 0
+	queried := 0
 	for _, home := range homes {
-		if !k.askedAt[home.ID].Before(oldest) {
-			asked++
+		if !k.queriedAt[home.ID].Before(oldest) {
+			queried++
 		}
 	}
-	return asked >= min(len(homes), 2*homesPerRound)
+	return queried >= min(len(homes), 2*homesPerRound)
 }
 
 // pickHome returns a random one of the homes that are known to be able to serve the unit, so that
@@ -86,7 +86,7 @@
 	oldest := now.Add(-homeAnswerTTL)
 	var candidates []homeAnswer
 	for _, a := range k.answers {
-		if !a.askedAt.Before(oldest) && a.capability.canServe(u) {
+		if !a.queriedAt.Before(oldest) && a.capability.canServe(u) {
 			candidates = append(candidates, a)
 		}
 	}
--- a/internal/executor/knownhomes_test.go
+++ b/internal/executor/knownhomes_test.go
@@ -27,21 +27,21 @@
 func TestHomesAreAskedInTurn(t *testing.T) {
 	is := is.New(t)
 	homes := newHomes(8)
-	k := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
+	known := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
-	asked := make(map[string]int)
+	queries := make(map[string]int)
 	for round := range 8 {
-		for _, home := range k.chooseNext(homes) {
-			asked[home.ID]++
-			k.recordNoAnswer(home, now)
+		for _, home := range known.chooseNext(homes) {
+			queries[home.ID]++
+			known.recordNoAnswer(home, now)
 		}
-		is.Equal(k.enoughAsked(homes, now), round >= 1)
+		is.Equal(known.enoughQueried(homes, now), round >= 1)
 	}
 	for _, home := range homes {
-		is.Equal(asked[home.ID], homesPerRound)
+		is.Equal(queries[home.ID], homesPerRound)
 	}
-	is.True(k.enoughAsked(homes, now.Add(homeAnswerTTL)))
-	is.True(!k.enoughAsked(homes, now.Add(homeAnswerTTL+1)))
+	is.True(known.enoughQueried(homes, now.Add(homeAnswerTTL)))
+	is.True(!known.enoughQueried(homes, now.Add(homeAnswerTTL+1)))
 }
 
 // A network partition cuts some instances off from a primary. Their callers must be spread over
@@ -49,25 +49,25 @@
 func TestUnitsAreSpreadOverCapableHomes(t *testing.T) {
 	is := is.New(t)
 	homes := newHomes(6)
-	k := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
+	known := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
 	for _, home := range homes[:4] {
-		k.recordAnswer(home, capability{Writes: true, Reads: true}, now)
+		known.recordAnswer(home, capability{Writes: true, Reads: true}, now)
 	}
-	k.recordAnswer(homes[4], capability{Reads: true}, now)
-	k.recordNoAnswer(homes[2], now)
-	k.forgetAnswer(homes[3])
+	known.recordAnswer(homes[4], capability{Reads: true}, now)
+	known.recordNoAnswer(homes[2], now)
+	known.forgetAnswer(homes[3])
 	picked := make(map[string]int)
 	for range 1000 {
-		home, ok := k.pickHome(writeUnit, now)
+		home, ok := known.pickHome(writeUnit, now)
 		is.True(ok)
 		picked[home.ID]++
 	}
 	is.Equal(len(picked), 2)
 	is.True(picked["h0"] > 400 && picked["h1"] > 400)
-	_, ok := k.pickHome(writeUnit, now.Add(homeAnswerTTL))
+	_, ok := known.pickHome(writeUnit, now.Add(homeAnswerTTL))
 	is.True(ok)
-	_, ok = k.pickHome(writeUnit, now.Add(homeAnswerTTL+1))
+	_, ok = known.pickHome(writeUnit, now.Add(homeAnswerTTL+1))
 	is.True(!ok)
 }
 
--- a/internal/executor/placement_test.go
+++ b/internal/executor/placement_test.go
@@ -41,10 +41,10 @@
 		s.snapshot.Primary = ""
 		s.snapshot.Members = s.snapshot.Members[1:]
 		s.snapshot.Size = 3
-		_, took, err := readOnce(t, g)
+		_, elapsed, err := readOnce(t, g)
 		is.NoErr(err)
-		is.True(took >= 40*time.Millisecond)
-		is.True(took < replicaApplyWait)
+		is.True(elapsed >= 40*time.Millisecond)
+		is.True(elapsed < replicaApplyWait)
 	})
 }
 
--- a/internal/executor/read.go
+++ b/internal/executor/read.go
@@ -32,12 +32,12 @@
 		if !ok {
 			return g.runAtPrimary(ctx, u, p, partial)
 		}
-		o := g.attemptRead(ctx, u, p, m, req, exclude, partial)
-		if o.err == nil || o.streamed || !g.mayRetryRead(ctx, o.err, attempt) {
-			return o.reply, o.err
+		outcome := g.attemptRead(ctx, u, p, m, req, exclude, partial)
+		if outcome.err == nil || outcome.streamed || !g.mayRetryRead(ctx, outcome.err, attempt) {
+			return outcome.reply, outcome.err
 		}
-		g.Logger.Info("Retrying read at another member.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", o.member, "attempt", attempt, "error", o.err)
-		exclude[o.member] = true
+		g.Logger.Info("Retrying read at another member.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", outcome.member, "attempt", attempt, "error", outcome.err)
+		exclude[outcome.member] = true
 	}
 }
 
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -16,7 +16,7 @@
 
 // readConcurrently sends n concurrent reads and returns how long the last one took.
 func readConcurrently(t *testing.T, g *Group, n int) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	var all sync.WaitGroup
 	for range n {
 		all.Go(func() {
@@ -26,7 +26,7 @@
 		})
 	}
 	all.Wait()
-	return time.Since(began)
+	return time.Since(start)
 }
 
 // Guards against a queue that persists after a time in which replicas were behind or full: they
--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -29,12 +29,12 @@
 // serve the unit, it passes the unit on to a home that can. Local execution is tried first: most
 // units that are refused for lack of a primary wait for a promotion that no instance has made yet.
 func (r *Router) executeAtHome(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
-	began := r.clock.Now()
+	start := r.clock.Now()
 	reply, err := g.Execute(ctx, u, partial)
 	if err == nil || u.Relayed || g.homeFinder == nil || !relayable(err) {
 		return reply, err
 	}
-	return r.relay(ctx, g, u, partial, began, err)
+	return r.relay(ctx, g, u, partial, start, err)
 }
 
 // relayable reports whether a unit did not run because of what this instance can reach.
@@ -57,12 +57,12 @@
 // A read is passed on to a second home under another ID, and only if no part of the first home's
 // answer was passed on: answer chunks are matched by unit ID, and the caller would take chunks
 // from two homes for one answer.
-func (r *Router) relay(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error, began time.Time, refusal error) (*execution.Reply, error) {
+func (r *Router) relay(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error, start time.Time, refusal error) (*execution.Reply, error) {
 	for attempt := 1; attempt <= maxReadRelays; attempt++ {
 		relayedUnit := *u
 		relayedUnit.Relayed = true
 		relayedUnit.ID = u.ID + relaySeparator + strconv.Itoa(attempt)
-		elapsed := r.clock.Now().Sub(began)
+		elapsed := r.clock.Now().Sub(start)
 		relayedUnit.Timeout = u.Timeout - elapsed
 		relayedUnit.Waited = u.Waited + elapsed
 		if relayedUnit.Timeout < minRelayTime {
@@ -73,12 +73,12 @@
 			return nil, refusal
 		}
 		var answerStarted atomic.Bool
-		untrack := r.trackRemoteUnit(u.ID, remoteUnit{instance: home.ID, unitID: relayedUnit.ID})
+		removeRemoteUnit := r.addRemoteUnit(u.ID, remoteUnit{instance: home.ID, unitID: relayedUnit.ID})
 		reply, err := r.sendUnit(ctx, home, &relayedUnit, func(p []byte) error {
 			answerStarted.Store(true)
 			return partial(p)
 		})
-		untrack()
+		removeRemoteUnit()
 		r.metrics.countRelay(u.Group, err)
 		if err == nil {
 			return reply, nil
@@ -122,18 +122,18 @@
 	homes := func() []platform.Instance {
 		var others []platform.Instance
 		for _, home := range r.homes.Homes(g.Group) {
-			if home.ID != r.self {
+			if home.ID != r.selfID {
 				others = append(others, home)
 			}
 		}
 		return others
 	}
-	ask := func(ctx context.Context, home platform.Instance) (capability, error) {
+	query := func(ctx context.Context, home platform.Instance) (capability, error) {
 		var s capability
 		err := r.caller.Call(ctx, home.PeerAddress, methodCapability, objectRef{Group: g.Group}, &s)
 		return s, err
 	}
-	return newHomeFinder(r.clock, g.forkRandom(), homes, ask)
+	return newHomeFinder(r.clock, g.forkRandom(), homes, query)
 }
 
 // serveCapability answers the home finder of another home.
--- a/internal/executor/relay_test.go
+++ b/internal/executor/relay_test.go
@@ -267,10 +267,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "done"}}}
-		began := time.Now()
+		start := time.Now()
 		_, reply, err := n.relayUnit(&execution.Unit{ID: "u", Group: "g", Timeout: 3 * time.Second, Messages: []byte("write")})
 		is.NoErr(err)
 		is.Equal(string(reply.Messages), "done")
-		is.True(time.Since(began) < failoverWait/4)
+		is.True(time.Since(start) < failoverWait/4)
 	})
 }
--- a/internal/executor/remoteunits.go
+++ b/internal/executor/remoteunits.go
@@ -7,10 +7,10 @@
 	unitID string
 }
 
-// trackRemoteUnit records where a unit runs until the returned function is called. If this
+// addRemoteUnit records where a unit runs until the returned function is called. If this
 // instance is also home to the group, the group does not know such a unit, and a cancel request
 // for it would be lost.
-func (r *Router) trackRemoteUnit(unitID string, remote remoteUnit) (untrack func()) {
+func (r *Router) addRemoteUnit(unitID string, remote remoteUnit) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.remoteUnits[unitID] = remote
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -26,7 +26,7 @@
 // Lock order: Router.mu or avoidedHomes.mu, never both; then a Group's runningUnits.mu. None is
 // held while a unit runs.
 type Router struct {
-	self         string
+	selfID       string
 	peerAddress  string
 	homes        Homes
 	caller       peer.Caller
@@ -53,7 +53,7 @@
 // NewRouter returns a Router for the instance self, whose peer address is address.
 func NewRouter(self, address string, h Homes, c peer.Caller, k clock.Clock, m *Metrics) *Router {
 	return &Router{
-		self:            self,
+		selfID:          self,
 		peerAddress:     address,
 		homes:           h,
 		caller:          c,
@@ -140,7 +140,7 @@
 
 // Execute implements execution.Executor.
 func (r *Router) Execute(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
-	if owner, ok := transactionOwner(u.Transaction); ok && owner != r.self {
+	if owner, ok := transactionOwner(u.Transaction); ok && owner != r.selfID {
 		return r.forwardToOwner(ctx, owner, u, partial)
 	}
 	if u.Transaction != "" {
@@ -172,7 +172,7 @@
 // Abandon implements execution.Executor.
 func (r *Router) Abandon(group, transaction string) {
 	owner, ok := transactionOwner(transaction)
-	if ok && owner != r.self {
+	if ok && owner != r.selfID {
 		r.notifyInstance(owner, methodAbandon, objectRef{Group: group, ID: transaction})
 		return
 	}
@@ -192,7 +192,7 @@
 		return
 	}
 	for _, home := range r.homes.Homes(group) {
-		if home.ID != r.self {
+		if home.ID != r.selfID {
 			r.notifyInstance(home.ID, methodCancel, objectRef{Group: group, ID: unitID})
 		}
 	}
