--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -55,7 +55,7 @@
 }
 
 // ReportFailure implements group.Tracker.
-func (r *failureCounter) ReportFailure(string) { r.failures++ }
+func (c *failureCounter) ReportFailure(string) { c.failures++ }
 
 func TestOnlyUnreachableMemberIsReportedToTracker(t *testing.T) {
 	is := is.New(t)
--- a/internal/executor/failingmembers_test.go
+++ b/internal/executor/failingmembers_test.go
@@ -22,7 +22,7 @@
 		const failurePeriod = 8 * time.Second
 		start := time.Now()
 		broken := &fakeMember{failure: &wire.Failure{Kind: wire.FailureRan, Code: "X"}, failsUntil: start.Add(failurePeriod)}
-		g, s := newFakeGroup(&fakeMember{delay: 5 * time.Millisecond}, broken, &fakeMember{delay: 5 * time.Millisecond})
+		g, cluster := newFakeGroup(&fakeMember{delay: 5 * time.Millisecond}, broken, &fakeMember{delay: 5 * time.Millisecond})
 		refused, reads, metFailing := 0, 0, 0
 		for time.Since(start) < failurePeriod+maxFailureBackoff+2*time.Second {
 			if _, _, err := readOnce(t, g); err != nil {
@@ -30,7 +30,7 @@
 			}
 			reads++
 			if time.Since(start) < failurePeriod {
-				metFailing = s.members["r1"].statements
+				metFailing = cluster.members["r1"].statements
 			}
 			_ = clock.Sleep(context.Background(), clock.System{}, 10*time.Millisecond)
 		}
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -214,7 +214,7 @@
 	if err := json.Unmarshal(params, &ref); err != nil {
 		return nil, err
 	}
-	if g := r.Local(ref.Group); g != nil {
+	if g := r.LocalGroup(ref.Group); g != nil {
 		g.Cancel(ref.Group, ref.ID)
 	}
 	return nil, nil
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -36,10 +36,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
-			g := &Group{Config: Config{Tracker: s, Clock: clock.System{}}}
+			_, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+			g := &Group{Config: Config{Tracker: cluster, Clock: clock.System{}}}
 			x := &exchange{
-				conn:         fakeConn{cluster: s, address: "p"},
+				conn:         fakeConn{cluster: cluster, address: "p"},
 				verification: &group.Verification{Term: 1}, // proved at once
 				Exchange:     wire.Exchange{Unit: &c.unit, Outcome: wire.Outcome{Report: c.report}},
 			}
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -107,15 +107,15 @@
 }
 
 // Acquire implements pool.Pool.
-func (s *fakeCluster) Acquire(_ context.Context, address, _ string) (wire.Conn, error) {
-	if s.full[address] {
-		s.refusedAcquires++
+func (c *fakeCluster) Acquire(_ context.Context, address, _ string) (wire.Conn, error) {
+	if c.full[address] {
+		c.refusedAcquires++
 		return nil, result.New(result.TooManyConnections, "member %s", address)
 	}
-	if s.onAcquire != nil {
-		s.onAcquire()
+	if c.onAcquire != nil {
+		c.onAcquire()
 	}
-	return fakeConn{cluster: s, address: address}, nil
+	return fakeConn{cluster: c, address: address}, nil
 }
 
 // Release implements pool.Pool.
@@ -128,16 +128,16 @@
 func (*fakeCluster) ProbeIdle(time.Time) {}
 
 // Full implements pool.Pool.
-func (s *fakeCluster) Full(address string) bool { return s.full[address] }
+func (c *fakeCluster) Full(address string) bool { return c.full[address] }
 
 // Idle implements pool.Pool.
-func (s *fakeCluster) Idle(string, string) bool { return true }
+func (c *fakeCluster) Idle(string, string) bool { return true }
 
 // FullFor implements pool.Pool.
-func (s *fakeCluster) FullFor(address, _ string) bool { return s.full[address] }
+func (c *fakeCluster) FullFor(address, _ string) bool { return c.full[address] }
 
 // Snapshot implements group.Tracker.
-func (s *fakeCluster) Snapshot() *group.Snapshot { return &s.snapshot }
+func (c *fakeCluster) Snapshot() *group.Snapshot { return &c.snapshot }
 
 // Ask implements group.Tracker.
 func (*fakeCluster) Ask() group.Ticket { return group.Ticket{} }
@@ -146,19 +146,19 @@
 func (*fakeCluster) Recheck(string) {}
 
 // ReportFailure implements group.Tracker.
-func (s *fakeCluster) ReportFailure(address string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.reportedFailed = append(s.reportedFailed, address)
+func (c *fakeCluster) ReportFailure(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reportedFailed = append(c.reportedFailed, address)
 }
 
 // Proven implements group.Tracker.
-func (s *fakeCluster) Proven(time.Time) (logpos.Mark, bool) {
-	return logpos.Mark{Term: 1, Position: 10}, !s.noProvenMark
+func (c *fakeCluster) Proven(time.Time) (logpos.Mark, bool) {
+	return logpos.Mark{Term: 1, Position: 10}, !c.noProvenMark
 }
 
 // Floor implements group.Tracker.
-func (s *fakeCluster) Floor(ctx context.Context) (logpos.Mark, error) { return s.Barrier(ctx) }
+func (c *fakeCluster) Floor(ctx context.Context) (logpos.Mark, error) { return c.Barrier(ctx) }
 
 // Barrier implements group.Tracker.
 func (*fakeCluster) Barrier(context.Context) (logpos.Mark, error) {
@@ -166,10 +166,10 @@
 }
 
 // statementsAt returns how many statements reached a member.
-func (s *fakeCluster) statementsAt(address string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.members[address].statements
+func (c *fakeCluster) statementsAt(address string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.members[address].statements
 }
 
 // fullRetryBudget returns a retry budget that earlier requests have filled.
@@ -188,7 +188,7 @@
 		return group.MemberView{Address: address, SeenAt: now, FreshAsOf: now,
 			Status: member.Status{Role: role, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: 20}}}
 	}
-	s := &fakeCluster{
+	cluster := &fakeCluster{
 		members: map[string]*fakeMember{"p": p, "r1": r1, "r2": r2},
 		snapshot: group.Snapshot{Group: "g", Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{
 			view("p", member.RolePrimary), view("r1", member.RoleReplica), view("r2", member.RoleReplica)}},
@@ -199,13 +199,13 @@
 	}
 	return NewGroup(Config{
 		Group: "g", Instance: "i", Service: func() *document.Service { return service },
-		Tracker: s, Pool: s, Clock: clock.System{}, Logger: hclog.NewNullLogger(),
+		Tracker: cluster, Pool: cluster, Clock: clock.System{}, Logger: hclog.NewNullLogger(),
 		Gate:    admission.NewPerMember(admission.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Slots: 4}),
 		Budget:  fullRetryBudget(),
 		Random:  rand.New(rand.NewPCG(1, 3)),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
 		Wire:    wire.Features{ChecksPosition: true, TellsLog: true, SlotIsConnection: true, HoldsAnswers: true, TellsEnd: true},
-	}), s
+	}), cluster
 }
 
 // readOnce runs one bounded-staleness read and returns which member answered, and the duration.
@@ -227,14 +227,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		quick := &fakeMember{delay: 10 * time.Millisecond}
-		g, s := newFakeGroup(&fakeMember{}, &fakeMember{delay: 5 * time.Second}, quick)
+		g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{delay: 5 * time.Second}, quick)
 		slow := 0
 		for range 8 {
 			member, elapsed, err := readOnce(t, g)
 			is.NoErr(err)
 			is.Equal(member, "r2")
 			is.True(elapsed <= readObjective/hedgeDivisor+10*time.Millisecond)
-			slow += s.statementsAt("r1")
+			slow += cluster.statementsAt("r1")
 		}
 		is.True(slow > 0)
 		_ = clock.Sleep(t.Context(), clock.System{}, 10*time.Second)
@@ -254,13 +254,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g, s := newFakeGroup(&fakeMember{}, broken, &fakeMember{})
+				g, cluster := newFakeGroup(&fakeMember{}, broken, &fakeMember{})
 				for range 4 {
 					member, _, err := readOnce(t, g)
 					is.NoErr(err)
 					is.Equal(member, "r2")
 				}
-				is.True(s.statementsAt("r1") > 0)
+				is.True(cluster.statementsAt("r1") > 0)
 			})
 		})
 	}
@@ -272,23 +272,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		broken := func() *fakeMember { return &fakeMember{err: net.ErrClosed} }
-		g, s := newFakeGroup(broken(), broken(), broken())
+		g, cluster := newFakeGroup(broken(), broken(), broken())
 		_, _, err := readOnce(t, g)
 		var e *result.Error
 		is.True(errors.As(err, &e))
 		is.Equal(e.Code, result.ConnectionLost)
-		is.True(s.statementsAt("p")+s.statementsAt("r1")+s.statementsAt("r2") <= maxReadAttempts+1)
-		is.True(len(s.reportedFailed) > 0)
+		is.True(cluster.statementsAt("p")+cluster.statementsAt("r1")+cluster.statementsAt("r2") <= maxReadAttempts+1)
+		is.True(len(cluster.reportedFailed) > 0)
 	})
 }
 
 // One of two replicas is lost, and the other one has statements of this instance queued while
 // the primary has none. Bounded-staleness reads must go to the primary as well.
-func TestAgedReadsSpillToIdlePrimary(t *testing.T) {
+func TestBoundedStalenessReadsSpillToIdlePrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := newFakeGroup(&fakeMember{delay: time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond})
-		s.snapshot.Members = s.snapshot.Members[:2]
+		g, cluster := newFakeGroup(&fakeMember{delay: time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond}, &fakeMember{delay: 80 * time.Millisecond})
+		cluster.snapshot.Members = cluster.snapshot.Members[:2]
 		var all sync.WaitGroup
 		for range 8 {
 			all.Go(func() { _, _, _ = readOnce(t, g) })
@@ -296,8 +296,8 @@
 		}
 		all.Wait()
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
-		is.True(s.statementsAt("p") > 0)
-		is.True(s.statementsAt("r1") >= spillThreshold)
+		is.True(cluster.statementsAt("p") > 0)
+		is.True(cluster.statementsAt("r1") >= spillThreshold)
 	})
 }
 
@@ -307,10 +307,10 @@
 func TestFirstReadUsesBarrierPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
-		s.noProvenMark = true
+		g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+		cluster.noProvenMark = true
 		member, _, err := readOnce(t, g)
 		is.NoErr(err)
-		is.Equal(s.members[member].required, logpos.Mark{Term: 1, Position: 15})
+		is.Equal(cluster.members[member].required, logpos.Mark{Term: 1, Position: 15})
 	})
 }
--- a/internal/executor/knownhomes_test.go
+++ b/internal/executor/knownhomes_test.go
@@ -24,7 +24,7 @@
 
 // Rounds query the homes in rotation. After two rounds, a caller can be refused for lack of a
 // capable home; the answers are valid for homeAnswerTTL.
-func TestHomesAreAskedInTurn(t *testing.T) {
+func TestHomesAreQueriedInRotation(t *testing.T) {
 	is := is.New(t)
 	homes := newHomes(8)
 	known := newKnownHomes(rand.New(rand.NewPCG(1, 2)))
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -42,22 +42,22 @@
 )
 
 func newOwnersWorkload() *ownersWorkload {
-	l := &ownersWorkload{homes: homesInThreeDomains(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
-	l.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
+	w := &ownersWorkload{homes: homesInThreeDomains(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
+	w.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
 	for n := range 3 {
 		status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1}
 		if n == 0 {
 			status.Role = member.RolePrimary
 		}
-		l.snapshot.Members = append(l.snapshot.Members, group.MemberView{
+		w.snapshot.Members = append(w.snapshot.Members, group.MemberView{
 			Address: fmt.Sprint("m", n), FailureDomain: fmt.Sprint("z", n), Status: status,
 		})
 	}
-	for n, home := range l.homes {
+	for n, home := range w.homes {
 		p := pool.New(pool.Config{
 			Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(n), 1)), Limit: 100,
 			Open: func(ctx context.Context, address, _ string) (wire.Conn, error) {
-				l.openings.Add(1)
+				w.openings.Add(1)
 				if err := clock.Sleep(ctx, clock.System{}, ownersConnectTime); err != nil {
 					return nil, err
 				}
@@ -67,25 +67,25 @@
 			Close: func(_ context.Context, c wire.Conn) error { return c.Close() },
 		})
 		p.SetMemberLimit(ownersConnsPerMember)
-		l.pools[home.ID] = p
+		w.pools[home.ID] = p
 	}
-	return l
+	return w
 }
 
 // drawOwner picks a random owner: the largest sends some thirty times as much as the smallest.
-func (l *ownersWorkload) drawOwner() string {
+func (w *ownersWorkload) drawOwner() string {
 	for {
-		n := l.random.IntN(75)
-		if l.random.Float64()*174 < max(6, 174/float64(n+1)) {
+		n := w.random.IntN(75)
+		if w.random.Float64()*174 < max(6, 174/float64(n+1)) {
 			return fmt.Sprint("w", n)
 		}
 	}
 }
 
 // nearestFirst returns the homes with those of a failure domain first.
-func (l *ownersWorkload) nearestFirst(domain string) []platform.Instance {
+func (w *ownersWorkload) nearestFirst(domain string) []platform.Instance {
 	var near, far []platform.Instance
-	for _, i := range l.homes {
+	for _, i := range w.homes {
 		if i.FailureDomain == domain {
 			near = append(near, i)
 		} else {
@@ -96,23 +96,23 @@
 }
 
 // run simulates the load and returns the number of opened connections per request.
-func (l *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
+func (w *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
 	var running sync.WaitGroup
 	for until := time.Now().Add(length); time.Now().Before(until); {
-		time.Sleep(time.Duration(l.random.ExpFloat64() / ownersRate * float64(time.Second)))
-		l.requests++
-		owner, domain := l.drawOwner(), fmt.Sprint("z", l.random.IntN(3))
-		homes := l.nearestFirst(domain)
+		time.Sleep(time.Duration(w.random.ExpFloat64() / ownersRate * float64(time.Second)))
+		w.requests++
+		owner, domain := w.drawOwner(), fmt.Sprint("z", w.random.IntN(3))
+		homes := w.nearestFirst(domain)
 		read := routing.Read{FailureDomain: domain, Checked: true, Load: func(string) int { return 0 }}
-		p := l.pools[homes[0].ID]
+		p := w.pools[homes[0].ID]
 		if byOwner {
-			p = l.pools[orderForOwner(homes, owner)[0].ID]
+			p = w.pools[orderForOwner(homes, owner)[0].ID]
 			read.Owner = owner
 			read.Connected = func(address string) bool { return p.Idle(address, owner) }
 		}
-		address := l.snapshot.Primary
-		if l.random.Float64() < 0.87 {
-			m, _ := routing.Replica(&l.snapshot, read, l.random)
+		address := w.snapshot.Primary
+		if w.random.Float64() < 0.87 {
+			m, _ := routing.Replica(&w.snapshot, read, w.random)
 			address = m.Address
 		}
 		running.Go(func() {
@@ -125,7 +125,7 @@
 		})
 	}
 	running.Wait()
-	return float64(l.openings.Load()) / float64(l.requests)
+	return float64(w.openings.Load()) / float64(w.requests)
 }
 
 // Guards against sending the load of many owners to the nearest home and member: most
@@ -134,9 +134,9 @@
 	figures := make(map[bool]float64)
 	for _, byOwner := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newOwnersWorkload()
-			figures[byOwner] = l.run(byOwner, 30*time.Second)
-			for _, p := range l.pools {
+			w := newOwnersWorkload()
+			figures[byOwner] = w.run(byOwner, 30*time.Second)
+			for _, p := range w.pools {
 				_ = p.Close(context.Background())
 			}
 		})
--- a/internal/executor/placement_test.go
+++ b/internal/executor/placement_test.go
@@ -18,13 +18,13 @@
 func TestReadsAvoidMemberWithoutFreeConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
-		s.full = map[string]bool{"r1": true}
+		g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+		cluster.full = map[string]bool{"r1": true}
 		for range 40 {
 			_, _, err := readOnce(t, g)
 			is.NoErr(err)
 		}
-		is.Equal(s.refusedAcquires, 0)
+		is.Equal(cluster.refusedAcquires, 0)
 	})
 }
 
@@ -37,10 +37,10 @@
 		lagging := func() *fakeMember {
 			return &fakeMember{failure: &wire.Failure{Kind: wire.FailureBehind}, failsUntil: time.Now().Add(40 * time.Millisecond)}
 		}
-		g, s := newFakeGroup(&fakeMember{}, lagging(), lagging())
-		s.snapshot.Primary = ""
-		s.snapshot.Members = s.snapshot.Members[1:]
-		s.snapshot.Size = 3
+		g, cluster := newFakeGroup(&fakeMember{}, lagging(), lagging())
+		cluster.snapshot.Primary = ""
+		cluster.snapshot.Members = cluster.snapshot.Members[1:]
+		cluster.snapshot.Size = 3
 		_, elapsed, err := readOnce(t, g)
 		is.NoErr(err)
 		is.True(elapsed >= 40*time.Millisecond)
@@ -54,8 +54,8 @@
 func TestOpenTransactionTimeIsNotCountedAsAnswerTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, s := newFakeGroup(&fakeMember{}, &fakeMember{opensTransaction: true, delay: 5 * time.Millisecond}, &fakeMember{})
-		s.snapshot.Primary, s.snapshot.Members = "", s.snapshot.Members[1:2]
+		g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{opensTransaction: true, delay: 5 * time.Millisecond}, &fakeMember{})
+		cluster.snapshot.Primary, cluster.snapshot.Members = "", cluster.snapshot.Members[1:2]
 		g.Wire.SlotIsConnection = true
 		begin := &execution.Unit{ID: "t", Group: "g", Class: "aged", Timeout: time.Minute, ReadOnly: true, Begins: true, ReadTransaction: true}
 		var open []string
@@ -69,10 +69,10 @@
 			g.Abandon("g", id)
 		}
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
-		s.mu.Lock()
-		s.members["r1"].opensTransaction = false
-		s.members["r1"].delay = 100 * time.Millisecond
-		s.mu.Unlock()
+		cluster.mu.Lock()
+		cluster.members["r1"].opensTransaction = false
+		cluster.members["r1"].delay = 100 * time.Millisecond
+		cluster.mu.Unlock()
 		for range 4 {
 			go func() { _, _, _ = readOnce(t, g) }()
 		}
@@ -90,9 +90,9 @@
 // be lost with it.
 func TestPrimaryWithMissedProbeIsNotOfferedToOtherHomes(t *testing.T) {
 	is := is.New(t)
-	g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+	g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 	is.Equal(g.capability(), capability{Writes: true, Reads: true})
-	s.snapshot.Members[0].Failing, s.snapshot.Members[0].Failures = time.Now(), 1
+	cluster.snapshot.Members[0].Failing, cluster.snapshot.Members[0].Failures = time.Now(), 1
 	_, err := g.findWritablePrimary()
 	is.NoErr(err)
 	is.Equal(g.capability(), capability{Reads: true})
--- a/internal/executor/plan.go
+++ b/internal/executor/plan.go
@@ -117,8 +117,8 @@
 		Member:   member,
 	}
 	if inTransaction {
-		// A transaction holds locks that others wait for, so its statements
-		// go before new work.
+		// A transaction holds locks that others wait for, so its statements take priority over
+		// new work.
 		r.Priority = priorityTransaction
 	}
 	return r
--- a/internal/executor/read.go
+++ b/internal/executor/read.go
@@ -58,10 +58,10 @@
 }
 
 // prepareAtReplica runs a unit that only prepares or describes statements at a replica that
-// contains the session's own writes. It returns no rows, so a barrier would only make each new
-// statement wait for the replication lag twice: here and when it runs. The second result is false
-// if the unit must be run as a normal read, for example because the member answered with an error:
-// the objects that the statement names may be newer than the replica.
+// contains the session's own writes. Such a unit returns no rows, so a barrier would only make each
+// new statement wait for the replication lag twice: here and when it runs. The second result is
+// false if the unit must be run as a normal read, for example because the member answered with an
+// error: the objects that the statement names may be newer than the replica.
 func (g *Group) prepareAtReplica(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, bool, error) {
 	position, known := routing.RequiredPosition(g.Tracker.Snapshot(), u.Token)
 	if !known {
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -36,13 +36,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p, r1, r2 := &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}
-			g, s := newFakeGroup(p, r1, r2)
+			g, cluster := newFakeGroup(p, r1, r2)
 			for range 40 {
 				readConcurrently(t, g, 2)
 			}
 			refuse := func(f *wire.Failure, after time.Duration) {
-				s.mu.Lock()
-				defer s.mu.Unlock()
+				cluster.mu.Lock()
+				defer cluster.mu.Unlock()
 				for _, r := range []*fakeMember{r1, r2} {
 					r.failure, r.delay = f, after
 				}
@@ -55,7 +55,7 @@
 			refuse(nil, statementTime)
 			time.Sleep(time.Second)
 			for range 10 {
-				// Twice two replicas' slots.
+				// Twice the slots of two replicas.
 				is.True(readConcurrently(t, g, 8) <= 2*statementTime)
 			}
 		})
--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -142,7 +142,7 @@
 	if err := json.Unmarshal(params, &ref); err != nil {
 		return nil, err
 	}
-	g := r.Local(ref.Group)
+	g := r.LocalGroup(ref.Group)
 	if g == nil {
 		return capability{}, nil
 	}
--- a/internal/executor/relay_test.go
+++ b/internal/executor/relay_test.go
@@ -44,42 +44,42 @@
 }
 
 // Homes implements Homes.
-func (n *fakeRelayPeers) Homes(string) []platform.Instance {
+func (f *fakeRelayPeers) Homes(string) []platform.Instance {
 	all := []platform.Instance{{ID: "self"}}
-	for _, id := range n.order {
+	for _, id := range f.order {
 		all = append(all, platform.Instance{ID: id, PeerAddress: id})
 	}
 	return all
 }
 
 // FindInstance implements Homes.
-func (n *fakeRelayPeers) FindInstance(id string) (platform.Instance, bool) {
-	return platform.Instance{ID: id, PeerAddress: id}, n.homes[id] != nil
+func (f *fakeRelayPeers) FindInstance(id string) (platform.Instance, bool) {
+	return platform.Instance{ID: id, PeerAddress: id}, f.homes[id] != nil
 }
 
 // Call implements peer.Caller.
-func (n *fakeRelayPeers) Call(_ context.Context, address, method string, params, reply any) error {
+func (f *fakeRelayPeers) Call(_ context.Context, address, method string, params, reply any) error {
 	switch method {
 	case methodCapability:
 		*reply.(*capability) = capability{Writes: true, Reads: true}
 		return nil
 	case methodCancel:
-		n.cancelled <- address + " " + params.(objectRef).ID
+		f.cancelled <- address + " " + params.(objectRef).ID
 		return nil
 	}
-	h, u := n.homes[address], params.(*execution.Unit)
+	h, u := f.homes[address], params.(*execution.Unit)
 	h.units++
-	n.sawUnmarkedUnit = n.sawUnmarkedUnit || !u.Relayed
-	n.unitIDs = append(n.unitIDs, u.ID)
-	if n.onUnit != nil {
-		n.onUnit()
+	f.sawUnmarkedUnit = f.sawUnmarkedUnit || !u.Relayed
+	f.unitIDs = append(f.unitIDs, u.ID)
+	if f.onUnit != nil {
+		f.onUnit()
 	}
 	for _, p := range h.chunks {
 		raw, err := json.Marshal(answerChunk{ID: u.ID, Bytes: []byte(p)})
 		if err != nil {
 			return err
 		}
-		if _, err := n.router.servePartial(context.Background(), "", raw); err != nil {
+		if _, err := f.router.servePartial(context.Background(), "", raw); err != nil {
 			return err
 		}
 	}
@@ -97,14 +97,14 @@
 	return (&fakeRelayPeers{homes: homes, order: order}).relayUnit(u)
 }
 
-func (n *fakeRelayPeers) relayUnit(u *execution.Unit) (string, *execution.Reply, error) {
-	g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
-	s.snapshot.Primary = ""
-	for i := range s.snapshot.Members {
-		s.snapshot.Members[i].Failing = time.Now()
+func (f *fakeRelayPeers) relayUnit(u *execution.Unit) (string, *execution.Reply, error) {
+	g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+	cluster.snapshot.Primary = ""
+	for i := range cluster.snapshot.Members {
+		cluster.snapshot.Members[i].Failing = time.Now()
 	}
-	n.router = NewRouter("self", "self:1", n, n, clock.System{}, NewMetrics(prometheus.NewRegistry()))
-	n.router.Add(g)
+	f.router = NewRouter("self", "self:1", f, f, clock.System{}, NewMetrics(prometheus.NewRegistry()))
+	f.router.Add(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -112,7 +112,7 @@
 		g.homeFinder.run(ctx)
 	}()
 	var seen []byte
-	reply, err := n.router.Execute(ctx, u, func(p []byte) error {
+	reply, err := f.router.Execute(ctx, u, func(p []byte) error {
 		seen = append(seen, p...)
 		return nil
 	})
@@ -182,19 +182,19 @@
 func TestLateChunkOfFirstHomeIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &fakeRelayPeers{order: []string{"h1", "h2"},
+		peers := &fakeRelayPeers{order: []string{"h1", "h2"},
 			homes: map[string]*fakeRelayHome{"h1": {err: errors.New("connection lost")}, "h2": {err: errors.New("connection lost")}}}
-		n.onUnit = func() {
-			if len(n.unitIDs) < 2 {
+		peers.onUnit = func() {
+			if len(peers.unitIDs) < 2 {
 				return
 			}
-			raw, err := json.Marshal(answerChunk{ID: n.unitIDs[0], Bytes: []byte("late;")})
+			raw, err := json.Marshal(answerChunk{ID: peers.unitIDs[0], Bytes: []byte("late;")})
 			is.NoErr(err)
-			_, err = n.router.servePartial(context.Background(), "", raw)
+			_, err = peers.router.servePartial(context.Background(), "", raw)
 			is.True(err != nil)
 		}
-		seen, _, _ := n.relayUnit(newRelayRead())
-		is.Equal(len(n.unitIDs), 2)
+		seen, _, _ := peers.relayUnit(newRelayRead())
+		is.Equal(len(peers.unitIDs), 2)
 		is.Equal(seen, "")
 	})
 }
@@ -227,16 +227,16 @@
 func TestCancelReachesRelayHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "rows"}}, cancelled: make(chan string, 2)}
-		n.onUnit = func() {
-			n.router.Cancel("g", "u")
-			is.Equal(<-n.cancelled, "h1 u"+relaySeparator+"1")
+		peers := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "rows"}}, cancelled: make(chan string, 2)}
+		peers.onUnit = func() {
+			peers.router.Cancel("g", "u")
+			is.Equal(<-peers.cancelled, "h1 u"+relaySeparator+"1")
 		}
-		_, _, err := n.relayUnit(newRelayRead())
+		_, _, err := peers.relayUnit(newRelayRead())
 		is.NoErr(err)
-		n.router.Cancel("g", "u")
+		peers.router.Cancel("g", "u")
 		synctest.Wait()
-		is.Equal(len(n.cancelled), 0)
+		is.Equal(len(peers.cancelled), 0)
 	})
 }
 
@@ -246,17 +246,17 @@
 func TestRelayedUnitIsNotRelayedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "rows"}}}
-		_, _, err := n.relayUnit(newRelayRead())
+		peers := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "rows"}}}
+		_, _, err := peers.relayUnit(newRelayRead())
 		is.NoErr(err)
-		is.True(!n.sawUnmarkedUnit)
+		is.True(!peers.sawUnmarkedUnit)
 		again := newRelayRead()
 		again.Relayed = true
-		_, _, err = n.relayUnit(again)
+		_, _, err = peers.relayUnit(again)
 		e, ok := result.As(err)
 		is.True(ok)
 		is.Equal(e.Code.Family(), result.FamilyDidNotRun)
-		is.Equal(n.homes["h1"].units, 1)
+		is.Equal(peers.homes["h1"].units, 1)
 	})
 }
 
@@ -266,9 +266,9 @@
 func TestWriteDoesNotWaitWhenAnotherHomeHasPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "done"}}}
+		peers := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "done"}}}
 		start := time.Now()
-		_, reply, err := n.relayUnit(&execution.Unit{ID: "u", Group: "g", Timeout: 3 * time.Second, Messages: []byte("write")})
+		_, reply, err := peers.relayUnit(&execution.Unit{ID: "u", Group: "g", Timeout: 3 * time.Second, Messages: []byte("write")})
 		is.NoErr(err)
 		is.Equal(string(reply.Messages), "done")
 		is.True(time.Since(start) < failoverWait/4)
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -119,7 +119,7 @@
 }
 
 // Local returns the group if this instance runs its units itself, and nil otherwise.
-func (r *Router) Local(group string) *Group {
+func (r *Router) LocalGroup(group string) *Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.groups[group]
@@ -187,7 +187,7 @@
 		r.notifyInstance(remote.instance, methodCancel, objectRef{Group: group, ID: remote.unitID})
 		return
 	}
-	if g := r.Local(group); g != nil {
+	if g := r.LocalGroup(group); g != nil {
 		g.Cancel(group, unitID)
 		return
 	}
--- a/internal/executor/runningunits_test.go
+++ b/internal/executor/runningunits_test.go
@@ -40,17 +40,17 @@
 	for _, class := range []string{"aged", ""} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			g, s := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
+			g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 			r := NewRouter("i", "i:1", nil, nil, clock.System{}, NewMetrics(prometheus.NewRegistry()))
 			r.Add(g)
-			s.onAcquire = r.EndUnits
+			cluster.onAcquire = r.EndUnits
 			u := &execution.Unit{ID: "u", Group: "g", Class: class, Timeout: time.Second, ReadOnly: class != ""}
 			_, err := g.Execute(t.Context(), u, func([]byte) error { return nil })
 			e, ok := result.As(err)
 			is.True(ok)
 			is.Equal(e.Code, result.Draining)
-			is.Equal(s.statementsAt("p")+s.statementsAt("r1")+s.statementsAt("r2"), 0)
-			is.Equal(len(s.reportedFailed), 0)
+			is.Equal(cluster.statementsAt("p")+cluster.statementsAt("r1")+cluster.statementsAt("r2"), 0)
+			is.Equal(len(cluster.reportedFailed), 0)
 		})
 	}
 }
