--- a/internal/executor/admit_test.go
+++ b/internal/executor/admit_test.go
@@ -12,21 +12,22 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// recordingGate refuses everything and keeps what was asked.
-type recordingGate struct{ asked []admission.Request }
+// recordingGate refuses every request and records it.
+type recordingGate struct{ requests []admission.Request }
 
 // Enter implements admission.Gate.
 func (g *recordingGate) Enter(_ context.Context, r admission.Request) (*admission.Slot, error) {
-	g.asked = append(g.asked, r)
+	g.requests = append(g.requests, r)
 	return nil, result.New(result.QueueFull, "recorded")
 }
 
-// Callers of a class want their answers within its objective, which is long before their
-// deadline. The queue must know: ordered by deadlines alone it makes everybody late.
-func TestQueueKnowsWhenTheAnswerIsWanted(t *testing.T) {
+// Callers of a class want their answers within its objective, which ends long before their
+// deadline. Guards against an admission queue that does not know the objective: ordered by
+// deadlines alone, it makes all callers late.
+func TestAdmissionRequestCarriesObjectiveAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := scriptedGroup(&scripted{}, &scripted{}, &scripted{})
+		g, _ := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 		gate := &recordingGate{}
 		g.Gate = gate
 		arrived := time.Now()
@@ -34,7 +35,7 @@
 		e, ok := result.As(err)
 		is.True(ok)
 		is.Equal(e.Code, result.QueueFull)
-		is.Equal(gate.asked[0].WantedBy, arrived.Add(objective))
-		is.Equal(gate.asked[0].Deadline, arrived.Add(time.Second))
+		is.Equal(gate.requests[0].WantedBy, arrived.Add(readObjective))
+		is.Equal(gate.requests[0].Deadline, arrived.Add(time.Second))
 	})
 }
--- /dev/null
+++ b/internal/executor/failingmembers_test.go
@@ -0,0 +1,55 @@
+package executor
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/topazrock/topazrock/internal/clock"
+	"github.com/topazrock/topazrock/internal/wire"
+)
+
+// For eight seconds, one replica answers every read with an error immediately and looks healthy
+// otherwise, at a hundred reads per second. Nearly all reads must be served by other members at
+// the first attempt, callers must not be refused, and the replica must be used again within
+// seconds of its recovery.
+func TestReplicaThatFailsEveryReadIsAvoided(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		const failurePeriod = 8 * time.Second
+		start := time.Now()
+		broken := &fakeMember{failure: &wire.Failure{Kind: wire.FailureRan, Code: "X"}, failsUntil: start.Add(failurePeriod)}
+		g, cluster := newFakeGroup(&fakeMember{delay: 5 * time.Millisecond}, broken, &fakeMember{delay: 5 * time.Millisecond})
+		refused, reads, metFailing := 0, 0, 0
+		for time.Since(start) < failurePeriod+maxFailureBackoff+2*time.Second {
+			if _, _, err := readOnce(t, g); err != nil {
+				refused++
+			}
+			reads++
+			if time.Since(start) < failurePeriod {
+				metFailing = cluster.members["r1"].statements
+			}
+			_ = clock.Sleep(context.Background(), clock.System{}, 10*time.Millisecond)
+		}
+		t.Logf("%d reads, %d refused, %d met the replica while it failed", reads, refused, metFailing)
+		is.Equal(refused, 0)
+		is.True(metFailing <= 12)
+		is.True(!g.failingMembers.isAvoided("r1", time.Now()))
+	})
+}
+
+// Reads occasionally fail at any member. That must not exclude the member.
+func TestOccasionalFailuresDoNotExcludeMember(t *testing.T) {
+	is := is.New(t)
+	f := newFailingMembers()
+	now := time.Unix(100, 0)
+	for range 20 {
+		f.recordFailure("r1", now)
+		f.recordFailure("r1", now)
+		is.True(!f.isAvoided("r1", now))
+		f.recordSuccess("r1")
+	}
+}
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -23,9 +23,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// ownersLoad is the work of many owners of very unequal size at one group: six homes in three
-// failure domains, three members, and six connections of each home to each member.
-type ownersLoad struct {
+// ownersWorkload is the load of many owners of very unequal size on one group: six homes in
+// three failure domains, three members, and six connections from each home to each member.
+type ownersWorkload struct {
 	homes    []platform.Instance
 	pools    map[string]*pool.Limited
 	snapshot group.Snapshot
@@ -35,57 +35,57 @@
 }
 
 const (
-	ownersOpenTime  = 12 * time.Millisecond
-	ownersWorkTime  = 20 * time.Millisecond
-	ownersPerMember = 6
-	ownersRate      = 135
+	ownersConnectTime    = 12 * time.Millisecond
+	ownersStatementTime  = 20 * time.Millisecond
+	ownersConnsPerMember = 6
+	ownersRate           = 135
 )
 
-func newOwnersLoad() *ownersLoad {
-	l := &ownersLoad{homes: orderedHomes(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
-	l.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
+func newOwnersWorkload() *ownersWorkload {
+	w := &ownersWorkload{homes: homesInThreeDomains(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
+	w.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
 	for n := range 3 {
 		status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1}
 		if n == 0 {
 			status.Role = member.RolePrimary
 		}
-		l.snapshot.Members = append(l.snapshot.Members, group.MemberView{
+		w.snapshot.Members = append(w.snapshot.Members, group.MemberView{
 			Address: fmt.Sprint("m", n), FailureDomain: fmt.Sprint("z", n), Status: status,
 		})
 	}
-	for n, home := range l.homes {
+	for n, home := range w.homes {
 		p := pool.New(pool.Config{
 			Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(n), 1)), Limit: 100,
 			Open: func(ctx context.Context, address, _ string) (wire.Conn, error) {
-				l.openings.Add(1)
-				if err := clock.Sleep(ctx, clock.System{}, ownersOpenTime); err != nil {
+				w.openings.Add(1)
+				if err := clock.Sleep(ctx, clock.System{}, ownersConnectTime); err != nil {
 					return nil, err
 				}
-				near, _ := net.Pipe()
-				return upstream.NewConn(address, time.Now(), near, nil), nil
+				conn, _ := net.Pipe()
+				return upstream.NewConn(address, time.Now(), conn, nil), nil
 			},
 			Close: func(_ context.Context, c wire.Conn) error { return c.Close() },
 		})
-		p.SetMemberLimit(ownersPerMember)
-		l.pools[home.ID] = p
+		p.SetMemberLimit(ownersConnsPerMember)
+		w.pools[home.ID] = p
 	}
-	return l
+	return w
 }
 
-// owner draws an owner: the largest begins some thirty times as much as the smallest.
-func (l *ownersLoad) owner() string {
+// drawOwner picks a random owner: the largest sends some thirty times as much as the smallest.
+func (w *ownersWorkload) drawOwner() string {
 	for {
-		n := l.random.IntN(75)
-		if l.random.Float64()*174 < max(6, 174/float64(n+1)) {
+		n := w.random.IntN(75)
+		if w.random.Float64()*174 < max(6, 174/float64(n+1)) {
 			return fmt.Sprint("w", n)
 		}
 	}
 }
 
-// near returns the homes of a failure domain first.
-func (l *ownersLoad) near(domain string) []platform.Instance {
+// nearestFirst returns the homes with those of a failure domain first.
+func (w *ownersWorkload) nearestFirst(domain string) []platform.Instance {
 	var near, far []platform.Instance
-	for _, i := range l.homes {
+	for _, i := range w.homes {
 		if i.FailureDomain == domain {
 			near = append(near, i)
 		} else {
@@ -95,24 +95,24 @@
 	return append(near, far...)
 }
 
-// run plays the load and returns how many openings there were for a request.
-func (l *ownersLoad) run(byOwner bool, length time.Duration) float64 {
+// run simulates the load and returns the number of opened connections per request.
+func (w *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
 	var running sync.WaitGroup
 	for until := time.Now().Add(length); time.Now().Before(until); {
-		time.Sleep(time.Duration(l.random.ExpFloat64() / ownersRate * float64(time.Second)))
-		l.requests++
-		owner, domain := l.owner(), fmt.Sprint("z", l.random.IntN(3))
-		homes := l.near(domain)
+		time.Sleep(time.Duration(w.random.ExpFloat64() / ownersRate * float64(time.Second)))
+		w.requests++
+		owner, domain := w.drawOwner(), fmt.Sprint("z", w.random.IntN(3))
+		homes := w.nearestFirst(domain)
 		read := routing.Read{FailureDomain: domain, Checked: true, Load: func(string) int { return 0 }}
-		p := l.pools[homes[0].ID]
+		p := w.pools[homes[0].ID]
 		if byOwner {
-			p = l.pools[forOwner(homes, owner)[0].ID]
+			p = w.pools[orderForOwner(homes, owner)[0].ID]
 			read.Owner = owner
 			read.Connected = func(address string) bool { return p.Idle(address, owner) }
 		}
-		address := l.snapshot.Primary
-		if l.random.Float64() < 0.87 {
-			m, _ := routing.Replica(&l.snapshot, read, l.random)
+		address := w.snapshot.Primary
+		if w.random.Float64() < 0.87 {
+			m, _ := routing.Replica(&w.snapshot, read, w.random)
 			address = m.Address
 		}
 		running.Go(func() {
@@ -120,23 +120,23 @@
 			if err != nil {
 				return
 			}
-			time.Sleep(ownersWorkTime)
+			time.Sleep(ownersStatementTime)
 			p.Release(c)
 		})
 	}
 	running.Wait()
-	return float64(l.openings.Load()) / float64(l.requests)
+	return float64(w.openings.Load()) / float64(w.requests)
 }
 
-// Guards against work of many owners that goes to the nearest home and member, where most
-// statements open a connection while those of the other homes lie idle.
-func TestOwnersOpenFewerConnectionsWhenTheyKeepToAHome(t *testing.T) {
+// Guards against sending the load of many owners to the nearest home and member: most
+// statements would open a connection while the connections of the other homes are idle.
+func TestOwnersOpenFewerConnectionsWithHomeAffinity(t *testing.T) {
 	figures := make(map[bool]float64)
 	for _, byOwner := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newOwnersLoad()
-			figures[byOwner] = l.run(byOwner, 30*time.Second)
-			for _, p := range l.pools {
+			w := newOwnersWorkload()
+			figures[byOwner] = w.run(byOwner, 30*time.Second)
+			for _, p := range w.pools {
 				_ = p.Close(context.Background())
 			}
 		})
