--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -12,19 +12,19 @@
 func (p *Limited) Acquire(ctx context.Context, address, workspace string) (wire.Conn, error) {
 	w := p.newWaiter(ctx, address, workspace)
 	for {
-		e, err := p.await(ctx, w)
+		pc, err := p.waitForGrant(ctx, w)
 		if err != nil {
-			p.cfg.Metrics.refused.WithLabelValues(p.cfg.Group, err.Code.Label()).Inc()
+			p.cfg.Metrics.refusals.WithLabelValues(p.cfg.Group, err.Code.Label()).Inc()
 			return nil, err
 		}
-		if p.usable(e) {
-			return e.conn, nil
+		if p.validateConn(pc) {
+			return pc.conn, nil
 		}
 	}
 }
 
-// newWaiter returns a waiter with the place of a caller who arrives now. It is
-// not queued yet.
+// newWaiter returns a waiter that is not queued yet. Its arrival number orders it after all
+// earlier calls.
 func (p *Limited) newWaiter(ctx context.Context, address, workspace string) *waiter {
 	deadline := p.cfg.Clock.Now().Add(p.cfg.MaxWait)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
@@ -42,70 +42,70 @@
 	}
 }
 
-// await queues w and waits for its grant.
-func (p *Limited) await(ctx context.Context, w *waiter) (*entry, *result.Error) {
+// waitForGrant queues w and waits for its grant.
+func (p *Limited) waitForGrant(ctx context.Context, w *waiter) (*pooledConn, *result.Error) {
 	if err := p.enqueue(w); err != nil {
 		return nil, err
 	}
 	select {
 	case g := <-w.granted:
-		return g.entry, g.err
+		return g.conn, g.err
 	default:
 	}
 	timer := p.cfg.Clock.NewTimer(w.deadline.Sub(p.cfg.Clock.Now()))
 	defer timer.Stop()
 	select {
 	case g := <-w.granted:
-		return g.entry, g.err
+		return g.conn, g.err
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return p.giveUp(w)
+	return p.abandonWait(w)
 }
 
-// enqueue adds w unless its answer is known already.
+// enqueue adds w to the queue, or returns an error when the request cannot be served.
 func (p *Limited) enqueue(w *waiter) *result.Error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return p.draining()
+		return p.drainingError()
 	}
 	m := p.member(w.address)
 	if m.leaving {
-		return p.unreachable(m)
+		return p.unreachableError(m)
 	}
-	if err := p.unservable(m, w); err != nil {
+	if err := p.checkServable(m, w); err != nil {
 		return err
 	}
-	p.waiting.Add(w)
+	p.waiters.Add(w)
 	p.dispatch()
 	return nil
 }
 
-// unservable returns the error for a wait that nothing can end in time: no
-// connection of the workspace exists and none will be opened before the deadline.
-func (p *Limited) unservable(m *memberState, w *waiter) *result.Error {
-	if l := m.lanes[w.workspace]; l != nil && l.counted() > 0 {
+// checkServable returns an error when w cannot be served before its deadline: no connection
+// of the workspace exists, and the member's backoff prevents opening one in time.
+func (p *Limited) checkServable(m *memberState, w *waiter) *result.Error {
+	if counts := m.workspaces[w.workspace]; counts != nil && counts.total() > 0 {
 		return nil
 	}
-	if !p.cfg.Clock.Now().Before(m.pausedUntil) {
+	if !p.cfg.Clock.Now().Before(m.backoffUntil) {
 		return nil
 	}
-	if !m.refused {
-		return p.unreachable(m)
+	if !m.reportedFull {
+		return p.unreachableError(m)
 	}
-	if m.pausedUntil.Before(w.deadline) && !p.staysFull(m, w.workspace) {
+	if m.backoffUntil.Before(w.deadline) && !p.isFullFor(m, w.workspace) {
 		return nil
 	}
-	return p.full(m)
+	return p.tooManyConnectionsError(m)
 }
 
-// staysFull reports whether a member has refused openings twice or more in a row and
-// there is no connection of the workspace to it: it will be full for a while, as members
-// are that still count the connections of machines that lost power, and others are to be
-// asked.
-func (p *Limited) staysFull(m *memberState, workspace string) bool {
-	return m.refusesOpenings(p.cfg.MinPause) && !m.lane(workspace).connected()
+// isFullFor reports whether the member has refused at least two openings in a row and has
+// no connection of the workspace. Such a member is likely to stay full for a while, for
+// instance because it still counts the connections of instances that lost power, so
+// requests should go to other members.
+func (p *Limited) isFullFor(m *memberState, workspace string) bool {
+	return m.repeatedlyFull(p.cfg.MinBackoff) && !m.countsFor(workspace).hasEstablished()
 }
 
 // Full implements Pool.
@@ -113,77 +113,78 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.member(address)
-	return m.refusesOpenings(p.cfg.MinPause) && m.counted() == m.opening
+	return m.repeatedlyFull(p.cfg.MinBackoff) && m.total() == m.opening
 }
 
 // Idle implements Pool.
 func (p *Limited) Idle(address, workspace string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.member(address).lanes[workspace]
-	return l != nil && l.idle > 0
+	counts := p.member(address).workspaces[workspace]
+	return counts != nil && counts.idle > 0
 }
 
 // FullFor implements Pool.
 func (p *Limited) FullFor(address, workspace string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.staysFull(p.member(address), workspace)
+	return p.isFullFor(p.member(address), workspace)
 }
 
-// giveUp ends w's wait without a connection.
-func (p *Limited) giveUp(w *waiter) (*entry, *result.Error) {
+// abandonWait ends w's wait at its deadline or when its context is done. A connection that
+// was granted in the meantime goes back to the pool.
+func (p *Limited) abandonWait(w *waiter) (*pooledConn, *result.Error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.member(w.address)
-	if !p.waiting.Remove(w) {
+	if !p.waiters.Remove(w) {
 		g := <-w.granted
 		if g.err != nil {
 			return nil, g.err
 		}
-		p.takeBack(g.entry)
+		p.returnConn(g.conn)
 	}
-	// Its place in the queue may have held back those behind it.
+	// w may have reserved an opening or a closing that a later waiter can use now.
 	p.dispatch()
-	if m.pause > 0 && !m.refused {
-		return nil, p.unreachable(m)
+	if m.backoff > 0 && !m.reportedFull {
+		return nil, p.unreachableError(m)
 	}
-	return nil, p.full(m)
+	return nil, p.tooManyConnectionsError(m)
 }
 
-// usable reports whether e can be handed out; otherwise it closes it. A member
-// that restarted has closed its end of every idle connection: a statement sent
-// on one would end as outcome unknown although it never ran.
-func (p *Limited) usable(e *entry) bool {
-	if p.cfg.Check == nil || p.cfg.Check(e.conn) == nil {
+// validateConn reports whether the connection can be handed out, and closes it otherwise. A
+// member that restarted has closed its end of every idle connection: a statement sent on
+// one would end as outcome unknown although it never ran.
+func (p *Limited) validateConn(pc *pooledConn) bool {
+	if p.cfg.Check == nil || p.cfg.Check(pc.conn) == nil {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leaveUse(e)
-	p.startClose(e, closedByMember)
+	p.removeInUse(pc)
+	p.startClose(pc, closedByMember)
 	return false
 }
 
-// draining returns the error for a pool that is closed.
-func (p *Limited) draining() *result.Error {
+// drainingError returns the error for a pool that is closed.
+func (p *Limited) drainingError() *result.Error {
 	return result.New(result.Draining, "group %s", p.cfg.Group)
 }
 
-// full returns the error for a share of connections that is in use, or for a
-// member that takes no more.
-func (p *Limited) full(m *memberState) *result.Error {
+// tooManyConnectionsError returns the error for an exhausted share of connections, or for a
+// member that accepts no more.
+func (p *Limited) tooManyConnectionsError(m *memberState) *result.Error {
 	return result.New(result.TooManyConnections, "group %s, member %s", p.cfg.Group, m.address).
 		WithRetryAfter(p.retryAfter(m))
 }
 
-// unreachable returns the error for a member to which no connection opens.
-func (p *Limited) unreachable(m *memberState) *result.Error {
+// unreachableError returns the error for a member to which no connection can be opened.
+func (p *Limited) unreachableError(m *memberState) *result.Error {
 	return result.New(result.UpstreamUnreachable, "group %s, member %s", p.cfg.Group, m.address).
 		WithRetryAfter(p.retryAfter(m))
 }
 
-// retryAfter is the rest of the member's pause, and at least the shortest one.
+// retryAfter returns the rest of the member's backoff, and at least the shortest backoff.
 func (p *Limited) retryAfter(m *memberState) time.Duration {
-	return max(m.pausedUntil.Sub(p.cfg.Clock.Now()), p.cfg.MinPause)
+	return max(m.backoffUntil.Sub(p.cfg.Clock.Now()), p.cfg.MinBackoff)
 }
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -11,27 +11,27 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// Defaults of Config.
+// Default values of Config fields.
 const (
 	DefaultMaxOpening   = 2
 	DefaultOpenTimeout  = time.Second
 	DefaultOpenJitter   = 5 * time.Millisecond
 	DefaultProbeTimeout = 100 * time.Millisecond
-	DefaultCloseHold    = 300 * time.Millisecond
+	DefaultCloseTimeout = 300 * time.Millisecond
 	DefaultMaxWait      = 10 * time.Second
-	DefaultMinPause     = 50 * time.Millisecond
-	DefaultMaxPause     = 5 * time.Second
+	DefaultMinBackoff   = 50 * time.Millisecond
+	DefaultMaxBackoff   = 5 * time.Second
 )
 
-// Config is what a Limited is made of. Group, Clock, Rand and Open are required.
+// Config configures a Limited. Group, Clock, Rand and Open are required.
 type Config struct {
 	Group string
 	Clock clock.Clock
-	// Rand is used under the pool's lock only, so it needs no lock of its own
-	// but must not be shared.
+	// Rand is called only while the pool's lock is held, so it needs no lock of its own,
+	// but it must not be shared with other code.
 	Rand *rand.Rand
-	// Open returns an authenticated connection to the member at address, for a
-	// workspace. A refusal by the member wraps wire.ErrRefused.
+	// Open returns an authenticated connection to the member at address, for a workspace.
+	// If the member refuses the connection, the error wraps wire.ErrRefused.
 	Open func(ctx context.Context, address, workspace string) (wire.Conn, error)
 	// Probe makes one round trip on the connection. When it is nil, a suspect
 	// connection is closed without a probe.
@@ -39,37 +39,37 @@
 	// Check returns an error when the member has closed the connection. It must
 	// not block. It may be nil.
 	Check func(c wire.Conn) error
-	// Close closes a connection and returns nil once the member has closed its
-	// end. When it is nil, the connection is closed and goes on counting for
-	// CloseHold, because nothing tells when the member lets it go.
+	// Close closes a connection and returns nil once the member has closed its end. When it
+	// is nil, the connection is closed and keeps counting for CloseTimeout, because there
+	// is no confirmation from the member.
 	Close   func(ctx context.Context, c wire.Conn) error
 	Logger  hclog.Logger
 	Metrics *Metrics
-	// Limit is how many connections the pool may hold at first.
+	// Limit is the initial limit on the pool's connections.
 	Limit int
-	// MaxOpening bounds the openings that run at once.
+	// MaxOpening bounds the number of concurrent openings.
 	MaxOpening int
-	// OpenTimeout bounds one opening.
+	// OpenTimeout bounds one opening, including its jitter.
 	OpenTimeout time.Duration
-	// OpenJitter is the longest delay before an opening that starts while
-	// another one runs.
+	// OpenJitter is the upper bound of the random delay before an opening that starts while
+	// another one is in progress.
 	OpenJitter time.Duration
 	// ProbeTimeout bounds the probe of a suspect connection.
 	ProbeTimeout time.Duration
-	// CloseHold is how long a connection counts after its closing began when
-	// the member does not confirm it.
-	CloseHold time.Duration
-	// MaxWait bounds Acquire where the context's deadline does not.
+	// CloseTimeout is how long a connection counts after its closing began if the member
+	// does not confirm it.
+	CloseTimeout time.Duration
+	// MaxWait bounds Acquire when the context has no earlier deadline.
 	MaxWait time.Duration
-	// TrimInterval is how often idle connections that were not needed are closed;
-	// zero keeps them.
+	// TrimInterval is the interval at which idle connections that were not needed are
+	// closed; zero disables trimming.
 	TrimInterval time.Duration
-	// MinPause and MaxPause bound how long opening to a member is held back
-	// after a failure.
-	MinPause, MaxPause time.Duration
+	// MinBackoff and MaxBackoff bound the backoff between openings to a member after a
+	// failure.
+	MinBackoff, MaxBackoff time.Duration
 }
 
-// withDefaults returns a copy with every unset option filled in.
+// withDefaults returns a copy in which unset options have their default values.
 func (c Config) withDefaults() Config {
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
@@ -83,14 +83,14 @@
 	setDefault(&c.OpenTimeout, DefaultOpenTimeout)
 	setDefault(&c.OpenJitter, DefaultOpenJitter)
 	setDefault(&c.ProbeTimeout, DefaultProbeTimeout)
-	setDefault(&c.CloseHold, DefaultCloseHold)
+	setDefault(&c.CloseTimeout, DefaultCloseTimeout)
 	setDefault(&c.MaxWait, DefaultMaxWait)
-	setDefault(&c.MinPause, DefaultMinPause)
-	setDefault(&c.MaxPause, DefaultMaxPause)
+	setDefault(&c.MinBackoff, DefaultMinBackoff)
+	setDefault(&c.MaxBackoff, DefaultMaxBackoff)
 	return c
 }
 
-// setDefault fills in an unset duration.
+// setDefault sets an unset duration to value.
 func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
--- a/internal/pool/dispatch.go
+++ b/internal/pool/dispatch.go
@@ -6,93 +6,99 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// dispatch serves the waiters in order as far as the tables allow. It runs
-// under the lock after every change of them.
+// dispatch grants idle connections to the waiters in order, and starts openings and
+// closings for the others as far as the limits allow. It runs with p.mu held, after every
+// change of the pool's state.
 //
-// A waiter whose member has no idle connection is covered by an opening that
-// runs, or by a closing that makes room for one. Each covers one waiter, so
-// that ten waiters cause at most ten openings and one waiter only one.
+// A waiter whose member has no idle connection is assigned to an opening in progress, or to
+// a closing that frees capacity for one. Each is assigned to one waiter, so that ten
+// waiters cause at most ten openings and one waiter only one.
 func (p *Limited) dispatch() {
 	defer func() { p.gauges.set(p.stats()) }()
-	if p.waiting.Len() == 0 {
+	if p.waiters.Len() == 0 {
 		return
 	}
-	p.waiting.TakeWhere(p.waiting.Len(), func(w *waiter) bool {
-		e := p.member(w.address).takeIdle(w.workspace)
-		if e != nil {
-			p.hand(w, e)
+	p.waiters.TakeWhere(p.waiters.Len(), func(w *waiter) bool {
+		pc := p.member(w.address).popIdle(w.workspace)
+		if pc != nil {
+			p.grantConn(w, pc)
 		}
-		return e != nil
+		return pc != nil
 	})
-	// Room is made only now, when no idle connection has a waiter of its workspace.
-	c := coverage{openings: make(map[*lane]int), replacing: make(map[*memberState]int)}
+	// Idle connections are closed for other waiters only after every waiter that can use
+	// one of them has been served.
+	assigned := assignments{openings: make(map[*workspaceCounts]int), replacing: make(map[*memberState]int)}
 	now := p.cfg.Clock.Now()
-	p.waiting.TakeWhere(p.waiting.Len(), func(w *waiter) bool {
-		p.cover(w, &c, now)
+	p.waiters.TakeWhere(p.waiters.Len(), func(w *waiter) bool {
+		p.assignWork(w, &assigned, now)
 		return false
 	})
 }
 
-// coverage is what the waiters seen so far in one dispatch wait for.
-type coverage struct {
-	openings map[*lane]int
-	rooms    int
-	// replacing counts, by member, those that wait for room which a closing makes there.
+// assignments counts the openings and closings that are assigned to waiters in one run of
+// dispatch.
+type assignments struct {
+	openings map[*workspaceCounts]int
+	closings int
+	// replacing counts, by member, the waiters assigned to a closing that frees capacity at
+	// that member.
 	replacing map[*memberState]int
 }
 
-// cover sees to it that a waiter waits for something that will end.
-func (p *Limited) cover(w *waiter, c *coverage, now time.Time) {
+// assignWork assigns w to an opening or closing in progress, or starts one for it.
+// Otherwise w waits for an event that dispatches again.
+func (p *Limited) assignWork(w *waiter, assigned *assignments, now time.Time) {
 	m := p.member(w.address)
-	l := m.lane(w.workspace)
+	counts := m.countsFor(w.workspace)
 	switch {
-	case c.openings[l] < l.opening:
-		c.openings[l]++
+	case assigned.openings[counts] < counts.opening:
+		assigned.openings[counts]++
 	case p.opening >= p.cfg.MaxOpening || !m.mayOpen(now):
-		// The end of an opening or of the pause dispatches again.
-	case p.memberFull(m, 0):
-		p.replaceAt(m, c)
+		// The end of an opening or of the backoff dispatches again.
+	case p.memberAtLimit(m, 0):
+		p.replaceOldestIdle(m, assigned)
 	case p.total() < p.limit:
 		p.startOpen(m, w.workspace)
-		c.openings[l]++
-	case c.rooms < p.limit-p.total()+p.closing:
-		c.rooms++
-	case p.makeRoom():
-		c.rooms++
+		assigned.openings[counts]++
+	case assigned.closings < p.limit-p.total()+p.closing:
+		assigned.closings++
+	case p.evictIdle():
+		assigned.closings++
 	}
 }
 
-// replaceAt closes the idle connection to a full member that was used longest ago, for a
-// waiter of another workspace. Where none is idle, the end of a use dispatches again.
-func (p *Limited) replaceAt(m *memberState, c *coverage) {
-	if c.replacing[m] < m.replacing {
-		c.replacing[m]++
+// replaceOldestIdle closes the least recently used idle connection of a full member, for a
+// waiter of another workspace. If none is idle, the next release of a connection dispatches
+// again.
+func (p *Limited) replaceOldestIdle(m *memberState, assigned *assignments) {
+	if assigned.replacing[m] < m.replacing {
+		assigned.replacing[m]++
 		return
 	}
 	if len(m.idle) == 0 {
 		return
 	}
-	c.replacing[m]++
+	assigned.replacing[m]++
 	m.replacing++
 	p.idle--
-	e := m.takeOldest()
-	e.replaced = true
-	p.startClose(e, closedReplaced)
+	pc := m.popOldestIdle()
+	pc.replaced = true
+	p.startClose(pc, closedForWorkspace)
 }
 
-// hand gives an idle connection to a waiter.
-func (p *Limited) hand(w *waiter, e *entry) {
+// grantConn hands an idle connection to a waiter.
+func (p *Limited) grantConn(w *waiter, pc *pooledConn) {
 	p.idle--
 	p.inUse++
-	e.member.inUse++
-	e.member.lane(e.workspace).inUse++
-	e.state = stateInUse
-	w.granted <- grant{entry: e}
+	pc.member.inUse++
+	pc.member.countsFor(pc.workspace).inUse++
+	pc.state = stateInUse
+	w.granted <- grant{conn: pc}
 }
 
-// makeRoom closes the idle connection used longest ago of the member that has
-// the most of them. It reports whether there was one.
-func (p *Limited) makeRoom() bool {
+// evictIdle closes the least recently used idle connection of the member that has the most
+// idle ones. It reports whether there was one.
+func (p *Limited) evictIdle() bool {
 	var most *memberState
 	for _, o := range p.members {
 		if len(o.idle) == 0 {
@@ -107,13 +113,13 @@
 		return false
 	}
 	p.idle--
-	p.startClose(most.takeOldest(), closedMakeRoom)
+	p.startClose(most.popOldestIdle(), closedForMember)
 	return true
 }
 
-// shrink closes idle connections until the rest fits the limit, taking in turn
-// from the member that has the most.
-func (p *Limited) shrink() {
+// closeIdleOverLimit closes idle connections until the limit is met or none is idle. Each
+// is taken from the member that then has the most.
+func (p *Limited) closeIdleOverLimit() {
 	for p.total()-p.closing > p.limit && p.idle > 0 {
 		var most *memberState
 		for _, m := range p.members {
@@ -122,22 +128,22 @@
 			}
 		}
 		p.idle--
-		p.startClose(most.takeOldest(), closedLimit)
+		p.startClose(most.popOldestIdle(), closedLimit)
 	}
 }
 
-// closeIdle closes all idle connections of a member.
+// closeIdle closes all idle connections of a member, for any workspace.
 func (p *Limited) closeIdle(m *memberState, reason string) {
 	for len(m.idle) > 0 {
 		p.idle--
-		p.startClose(m.takeOldest(), reason)
+		p.startClose(m.popOldestIdle(), reason)
 	}
 }
 
-// refuseWaiters ends the wait of the waiters for a member that are to be refused.
+// refuseWaiters fails the waiters for the member that match refuse with err.
 func (p *Limited) refuseWaiters(m *memberState, refuse func(*waiter) bool, err *result.Error) {
 	ended := func(w *waiter) bool { return w.address == m.address && refuse(w) }
-	for _, w := range p.waiting.TakeWhere(p.waiting.Len(), ended) {
+	for _, w := range p.waiters.TakeWhere(p.waiters.Len(), ended) {
 		w.granted <- grant{err: err}
 	}
 }
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -15,12 +15,12 @@
 )
 
 // after sleeps in virtual time.
-func after(d time.Duration) {
+func sleep(d time.Duration) {
 	_ = clock.Sleep(context.Background(), clock.System{}, d)
 }
 
 // fill opens n connections and returns them.
-func fill(t *testing.T, p *Limited, address string, n int) []wire.Conn {
+func acquireN(t *testing.T, p *Limited, address string, n int) []wire.Conn {
 	t.Helper()
 	var held []wire.Conn
 	for range n {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestIdleConnectionMakesRoomForAnotherMember(t *testing.T) {
+func TestIdleConnectionIsEvictedForAnotherMember(t *testing.T) {
 	// The share is full of idle connections to the old primary when the new one
 	// takes over. One of them is closed, and the new one is opened only after
 	// the member let the old one go, so the members never hold more than the
@@ -46,16 +46,16 @@
 		members := newFakeMembers()
 		p := members.newPool(2)
 		defer closePool(t, p)
-		releaseAll(p, fill(t, p, firstMember, 2))
+		releaseAll(p, acquireN(t, p, firstMember, 2))
 		began := time.Now()
 		c := acquire(t, p, secondMember)
 		is.Equal(time.Since(began), roundTrip+openLatency)
-		is.Equal(members.highest, 2)
+		is.Equal(members.maxTotal, 2)
 		p.Release(c)
 	})
 }
 
-func TestUnconfirmedCloseGoesOnCounting(t *testing.T) {
+func TestUnconfirmedCloseCountsUntilTimeout(t *testing.T) {
 	// A close is not confirmed by the member, which may still hold the
 	// connection. Its place is used again only after the hold.
 	synctest.Test(t, func(t *testing.T) {
@@ -67,7 +67,7 @@
 		members.unconfirmed = true
 		began := time.Now()
 		c := acquire(t, p, secondMember)
-		is.Equal(time.Since(began), DefaultCloseHold+openLatency)
+		is.Equal(time.Since(began), DefaultCloseTimeout+openLatency)
 		p.Release(c)
 	})
 }
@@ -106,19 +106,19 @@
 		members := newFakeMembers()
 		p := members.newPool(2)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 2)
+		held := acquireN(t, p, firstMember, 2)
 		p.Release(held[0])
 		p.SetLeaving([]string{firstMember})
 		is.Equal(p.Stats().Idle, 0)
 		_, err := p.Acquire(t.Context(), firstMember, "")
 		is.Equal(code(err), result.UpstreamUnreachable)
 		p.Release(held[1])
-		after(roundTrip)
+		sleep(roundTrip)
 		is.Equal(members.count(), 0)
 	})
 }
 
-func TestLowerLimitSettlesWhenTheMemberLetGo(t *testing.T) {
+func TestSettleWaitsForConfirmedCloses(t *testing.T) {
 	// Half of a share is to be lent. Idle connections are closed first, one in
 	// use when it is released; Settle returns only when the members hold no more
 	// than the new limit, so the lender cannot tell too early.
@@ -127,7 +127,7 @@
 		members := newFakeMembers()
 		p := members.newPool(4)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 4)
+		held := acquireN(t, p, firstMember, 4)
 		p.Release(held[0])
 		p.SetLimit(2)
 		settled := make(chan int, 1)
@@ -135,7 +135,7 @@
 			is.NoErr(p.Settle(context.Background()))
 			settled <- members.count()
 		}()
-		after(time.Second)
+		sleep(time.Second)
 		is.Equal(len(settled), 0)
 		p.Release(held[1])
 		is.Equal(<-settled, 2)
@@ -154,7 +154,7 @@
 		c := acquire(t, p, firstMember)
 		p.Release(c)
 		p.Release(c)
-		held := fill(t, p, firstMember, 2)
+		held := acquireN(t, p, firstMember, 2)
 		is.True(held[0] != held[1])
 		releaseAll(p, held)
 	})
--- a/internal/pool/fake_test.go
+++ b/internal/pool/fake_test.go
@@ -13,7 +13,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 const (
 	openLatency  = 10 * time.Millisecond
@@ -26,37 +26,37 @@
 type fakeMembers struct {
 	mu sync.Mutex
 	// held counts by member, sum over all; highest is the highest sum seen.
-	held    map[string]int
-	sum     int
-	highest int
+	held     map[string]int
+	total    int
+	maxTotal int
 	// openings counts the attempts, concurrent and peak how many ran at once.
-	openings   int
-	concurrent int
-	peak       int
-	attempts   []time.Time
+	openings      int
+	concurrent    int
+	maxConcurrent int
+	attempts      []time.Time
 	// full members refuse; down ones are out of reach.
 	full map[string]bool
 	down map[string]bool
 	// silent connections answer no probe; gone ones were closed by the member.
-	silent map[wire.Conn]bool
-	gone   map[wire.Conn]bool
+	silent         map[wire.Conn]bool
+	closedByMember map[wire.Conn]bool
 	// unconfirmed makes closings go unanswered.
 	unconfirmed bool
 }
 
 func newFakeMembers() *fakeMembers {
 	return &fakeMembers{
-		held:   make(map[string]int),
-		full:   make(map[string]bool),
-		down:   make(map[string]bool),
-		silent: make(map[wire.Conn]bool),
-		gone:   make(map[wire.Conn]bool),
+		held:           make(map[string]int),
+		full:           make(map[string]bool),
+		down:           make(map[string]bool),
+		silent:         make(map[wire.Conn]bool),
+		closedByMember: make(map[wire.Conn]bool),
 	}
 }
 
 func (f *fakeMembers) open(ctx context.Context, address, _ string) (wire.Conn, error) {
-	f.begin()
-	defer f.end()
+	f.beginOpening()
+	defer f.endOpening()
 	if err := clock.Sleep(ctx, clock.System{}, openLatency); err != nil {
 		return nil, err
 	}
@@ -66,25 +66,25 @@
 		return nil, wire.ErrFull
 	}
 	if f.down[address] {
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	f.held[address]++
-	f.sum++
-	f.highest = max(f.highest, f.sum)
-	near, _ := net.Pipe()
-	return upstream.NewConn(address, time.Now(), near, nil), nil
+	f.total++
+	f.maxTotal = max(f.maxTotal, f.total)
+	client, _ := net.Pipe()
+	return upstream.NewConn(address, time.Now(), client, nil), nil
 }
 
-func (f *fakeMembers) begin() {
+func (f *fakeMembers) beginOpening() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.openings++
 	f.attempts = append(f.attempts, time.Now())
 	f.concurrent++
-	f.peak = max(f.peak, f.concurrent)
+	f.maxConcurrent = max(f.maxConcurrent, f.concurrent)
 }
 
-func (f *fakeMembers) end() {
+func (f *fakeMembers) endOpening() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.concurrent--
@@ -96,7 +96,7 @@
 	_ = clock.Sleep(ctx, clock.System{}, roundTrip/2)
 	f.mu.Lock()
 	f.held[c.Address()]--
-	f.sum--
+	f.total--
 	unconfirmed := f.unconfirmed
 	f.mu.Unlock()
 	if unconfirmed {
@@ -112,7 +112,7 @@
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return errSilent
+		return errNoAnswer
 	}
 	return clock.Sleep(ctx, clock.System{}, roundTrip)
 }
@@ -120,7 +120,7 @@
 func (f *fakeMembers) check(c wire.Conn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gone[c] {
+	if f.closedByMember[c] {
 		return net.ErrClosed
 	}
 	return nil
@@ -130,7 +130,7 @@
 func (f *fakeMembers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sum
+	return f.total
 }
 
 // newPool returns a pool over the members.
--- a/internal/pool/gauges.go
+++ b/internal/pool/gauges.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// gauges shows the Stats of one pool.
+// gauges exports the Stats of one pool.
 type gauges struct {
 	limit, idle, inUse, opening, probing, closing, waiting prometheus.Gauge
 }
 
-// gauges returns the gauges of a group, resolved once, because they are set on
-// each Acquire and Release.
+// gauges returns the gauges of a group. The label lookup is done once, because the gauges
+// are set on each Acquire and Release.
 func (m *Metrics) gauges(group string) gauges {
 	with := func(state string) prometheus.Gauge {
 		return m.connections.WithLabelValues(group, state)
--- a/internal/pool/limited.go
+++ b/internal/pool/limited.go
@@ -15,57 +15,57 @@
 type Limited struct {
 	cfg Config
 	log hclog.Logger
-	// background ends when the pool is closed for good; it bounds what runs in
-	// the pool's own goroutines.
+	// background is the context of the pool's own goroutines. It is canceled when Close
+	// ends.
 	background context.Context
 	stop       context.CancelFunc
 	gauges     gauges
 
 	mu    sync.Mutex
 	limit int
-	// memberLimit bounds the connections to each member; zero means no bound.
+	// memberLimit bounds the connections to each member; zero means no limit.
 	memberLimit int
-	entries     map[wire.Conn]*entry
+	conns       map[wire.Conn]*pooledConn
 	members     map[string]*memberState
-	waiting     waitlist.List[*waiter]
+	waiters     waitlist.List[*waiter]
 	arrivals    uint64
 	inUse       int
 	opening     int
 	probing     int
-	// closing counts closings whose end the member has not confirmed yet and
-	// failed openings that the member may still see.
+	// closing counts closings that the member has not confirmed yet, and failed openings
+	// that the member may still count.
 	closing int
 	idle    int
 	closed  bool
-	// changed is notified whenever a connection stops counting.
-	changed *waitlist.Signal
+	// countsChanged is notified when a connection stops counting and when an opening ends.
+	countsChanged *waitlist.Signal
 }
 
 var _ Pool = (*Limited)(nil)
 
-// New returns a Limited that holds no connection yet.
+// New returns a Limited without connections.
 func New(cfg Config) *Limited {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Limited{
-		cfg:        cfg,
-		log:        cfg.Logger.Named("pool"),
-		background: ctx,
-		stop:       stop,
-		gauges:     cfg.Metrics.gauges(cfg.Group),
-		limit:      cfg.Limit,
-		entries:    make(map[wire.Conn]*entry),
-		members:    make(map[string]*memberState),
-		changed:    waitlist.NewSignal(),
-		waiting:    waitlist.New((*waiter).before),
+		cfg:           cfg,
+		log:           cfg.Logger.Named("pool"),
+		background:    ctx,
+		stop:          stop,
+		gauges:        cfg.Metrics.gauges(cfg.Group),
+		limit:         cfg.Limit,
+		conns:         make(map[wire.Conn]*pooledConn),
+		members:       make(map[string]*memberState),
+		countsChanged: waitlist.NewSignal(),
+		waiters:       waitlist.New((*waiter).before),
 	}
 	if cfg.TrimInterval > 0 {
-		go p.trim(cfg.TrimInterval)
+		go p.trimPeriodically(cfg.TrimInterval)
 	}
 	return p
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (p *Limited) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,66 +80,66 @@
 		Opening: p.opening,
 		Probing: p.probing,
 		Closing: p.closing,
-		Waiting: p.waiting.Len(),
+		Waiting: p.waiters.Len(),
 	}
 }
 
 func (p *Limited) total() int { return p.stats().Total() }
 
-// member returns the state kept for an address.
+// member returns the state of the member at address, and creates it if there is none.
 func (p *Limited) member(address string) *memberState {
 	m, ok := p.members[address]
 	if !ok {
-		m = &memberState{address: address, lanes: make(map[string]*lane)}
+		m = &memberState{address: address, workspaces: make(map[string]*workspaceCounts)}
 		p.members[address] = m
 	}
 	return m
 }
 
-// suspectWindow is how much later than the silent connection another one may
-// have been opened and still be taken for one of its age: a pool that fills up
-// opens its connections within such a time.
+// suspectWindow is how much later than a silent connection another one may have been opened
+// and still count as being of the same age: a pool that fills up opens its connections
+// within such a time.
 const suspectWindow = time.Minute
 
-// Suspect implements Pool. Idle connections of that age are probed now, side by
-// side: otherwise each request that meets the next silent one pays a statement
-// timeout. Those in use are probed on Release. Newer ones are left alone, because
-// a member that is only slow must not lose all its connections to late probes.
+// Suspect implements Pool. Idle connections of that age are probed now and concurrently:
+// otherwise each request that gets the next silent one costs a statement timeout. Those in
+// use are probed on Release. Newer ones are not probed, because a member that is only slow
+// must not lose all its connections to probes that time out.
 func (p *Limited) Suspect(address string, opened time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspect(p.member(address), opened.Add(suspectWindow))
+	p.markSuspects(p.member(address), opened.Add(suspectWindow))
 	p.dispatch()
 }
 
-// suspect has all connections to m that are no younger than newest probed
-// before their next use. It runs under the lock.
-func (p *Limited) suspect(m *memberState, newest time.Time) {
-	for _, e := range p.entries {
-		if e.member == m && !e.conn.Opened().After(newest) {
-			e.suspect = true
+// markSuspects marks all connections to m that were opened no later than newestOpened, so
+// that they are probed before their next use. It runs with p.mu held.
+func (p *Limited) markSuspects(m *memberState, newestOpened time.Time) {
+	for _, pc := range p.conns {
+		if pc.member == m && !pc.conn.Opened().After(newestOpened) {
+			pc.suspect = true
 		}
 	}
 	p.probeSuspects(m)
 }
 
-// ProbeIdle implements Pool. What loses track of connections rarely loses those
-// to one member only. Were the others left alone, requests would find the
-// silence out member by member, each at the price of a statement timeout and of
-// a slot held for so long.
+// ProbeIdle implements Pool. A network device that drops connection state rarely does so
+// for one member only. If the connections to other members were not probed, requests would
+// detect the silent ones member by member, each at the cost of a statement timeout and of a
+// slot that is held for as long.
 func (p *Limited) ProbeIdle(since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		for _, e := range m.idle {
-			e.suspect = e.suspect || e.heardAt.Before(since)
+		for _, pc := range m.idle {
+			pc.suspect = pc.suspect || pc.idleSince.Before(since)
 		}
 		p.probeSuspects(m)
 	}
 	p.dispatch()
 }
 
-// probeSuspects begins the probes of a member's idle connections in doubt.
+// probeSuspects starts probes of the member's idle suspect connections.
 func (p *Limited) probeSuspects(m *memberState) {
 	for n := 0; n < len(m.idle); {
 		if !m.idle[n].suspect {
@@ -147,12 +147,12 @@
 			continue
 		}
 		p.idle--
-		p.startProbe(m.takeAt(n))
+		p.startProbe(m.removeIdleAt(n))
 	}
 }
 
-// SetLeaving replaces the set of members that get no new work. Their idle
-// connections are closed now, the others when they are released.
+// SetLeaving replaces the set of members that get no new work. Their idle connections are
+// closed now, those in use when they are released.
 func (p *Limited) SetLeaving(addresses []string) {
 	leaving := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
@@ -169,61 +169,61 @@
 			continue
 		}
 		p.closeIdle(m, closedLeaving)
-		p.refuseWaiters(m, everyWaiter, p.unreachable(m))
+		p.refuseWaiters(m, everyWaiter, p.unreachableError(m))
 	}
 	p.dispatch()
 }
 
-// SetLimit changes the limit. Idle connections past it are closed at once,
-// those in use when they are released; Settle tells when that is done.
+// SetLimit changes the limit. Idle connections in excess are closed at once, those in use
+// when they are released; Settle waits for that.
 func (p *Limited) SetLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = max(n, 0)
-	p.shrink()
+	p.closeIdleOverLimit()
 	p.dispatch()
 }
 
-// SetMemberLimit changes the limit of each member. Idle connections past it are
-// closed at once, those in use when they are released.
+// SetMemberLimit changes the limit of each member; zero means no limit. Idle connections in
+// excess are closed at once, those in use when they are released.
 func (p *Limited) SetMemberLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.memberLimit = n
 	for _, m := range p.members {
-		for p.memberFull(m, 1) && len(m.idle) > 0 {
+		for p.memberAtLimit(m, 1) && len(m.idle) > 0 {
 			p.idle--
-			p.startClose(m.takeOldest(), closedLimit)
+			p.startClose(m.popOldestIdle(), closedLimit)
 		}
 	}
 	p.dispatch()
 }
 
-// memberFull reports whether a member has its limit of connections, or more than
-// that by over.
-func (p *Limited) memberFull(m *memberState, over int) bool {
-	return p.memberLimit > 0 && m.counted()+m.replacing >= p.memberLimit+over
+// memberAtLimit reports whether the member's connections exceed its limit by at least
+// excess; with an excess of 0, whether it has reached its limit.
+func (p *Limited) memberAtLimit(m *memberState, excess int) bool {
+	return p.memberLimit > 0 && m.total()+m.replacing >= p.memberLimit+excess
 }
 
-// Settle waits until no more connections count than the limit allows.
+// Settle waits until the number of counted connections is within the limit.
 func (p *Limited) Settle(ctx context.Context) error {
-	return p.changed.Wait(ctx, &p.mu, func() bool { return p.total() <= p.limit })
+	return p.countsChanged.Wait(ctx, &p.mu, func() bool { return p.total() <= p.limit })
 }
 
-// Close refuses all that wait, closes idle connections, and waits until those
-// in use were released and closed. When ctx ends first, it returns its error
-// and the rest is closed as it is released.
+// Close fails all waiters, closes idle connections, and waits until those in use were
+// released and closed. When ctx ends first, it returns the error of ctx, and connections in
+// use are still closed on release.
 func (p *Limited) Close(ctx context.Context) error {
 	p.mu.Lock()
 	p.closed = true
-	for _, w := range p.waiting.TakeWhere(p.waiting.Len(), everyWaiter) {
-		w.granted <- grant{err: p.draining()}
+	for _, w := range p.waiters.TakeWhere(p.waiters.Len(), everyWaiter) {
+		w.granted <- grant{err: p.drainingError()}
 	}
 	for _, m := range p.members {
 		p.closeIdle(m, closedShutdown)
 	}
 	p.mu.Unlock()
-	err := p.changed.Wait(ctx, &p.mu, func() bool { return p.total() == 0 })
+	err := p.countsChanged.Wait(ctx, &p.mu, func() bool { return p.total() == 0 })
 	p.stop()
 	return err
 }
--- a/internal/pool/limited_test.go
+++ b/internal/pool/limited_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestFullShareIsRefusedAtTheDeadline(t *testing.T) {
+func TestAcquireFailsAtDeadlineWhenAllAreInUse(t *testing.T) {
 	// All connections of the share are in use and none is released. The caller
 	// gets "too many connections" at its own deadline and not later.
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/pool/machine_test.go
+++ b/internal/pool/machine_test.go
@@ -14,18 +14,18 @@
 )
 
 // machine drives a pool with random steps and holds what it must never do.
-type machine struct {
+type stateMachine struct {
 	members *fakeMembers
 	pool    *Limited
 	held    []wire.Conn
 	// settled is the highest sum allowed: limits that were lowered count until
 	// Settle returned.
-	allowed int
-	got     chan wire.Conn
-	pending int
+	maxTotal int
+	acquired chan wire.Conn
+	pending  int
 }
 
-func (m *machine) acquire(t *rapid.T) {
+func (m *stateMachine) acquire(t *rapid.T) {
 	address := m.address(t)
 	workspace := rapid.SampledFrom([]string{"", "north", "south"}).Draw(t, "workspace")
 	timeout := time.Duration(rapid.IntRange(1, 400).Draw(t, "timeout")) * time.Millisecond
@@ -34,15 +34,15 @@
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		c, _ := m.pool.Acquire(ctx, address, workspace)
-		m.got <- c
+		m.acquired <- c
 	}()
 }
 
-func (m *machine) address(t *rapid.T) string {
+func (m *stateMachine) address(t *rapid.T) string {
 	return rapid.SampledFrom([]string{firstMember, secondMember}).Draw(t, "address")
 }
 
-func (m *machine) release(t *rapid.T) {
+func (m *stateMachine) release(t *rapid.T) {
 	if len(m.held) == 0 {
 		t.Skip("nothing held")
 	}
@@ -60,11 +60,11 @@
 	}
 }
 
-func (m *machine) pass(t *rapid.T) {
-	after(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond)
+func (m *stateMachine) advanceTime(t *rapid.T) {
+	sleep(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *machine) fault(t *rapid.T) {
+func (m *stateMachine) toggleFault(t *rapid.T) {
 	address := m.address(t)
 	m.members.mu.Lock()
 	defer m.members.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (m *machine) silence(t *rapid.T) {
+func (m *stateMachine) silenceHeld(t *rapid.T) {
 	if len(m.held) == 0 {
 		t.Skip("nothing held")
 	}
@@ -89,7 +89,7 @@
 	m.pool.Suspect(c.Address(), c.Opened())
 }
 
-func (m *machine) leave(t *rapid.T) {
+func (m *stateMachine) setLeaving(t *rapid.T) {
 	var leaving []string
 	if rapid.Bool().Draw(t, "leaving") {
 		leaving = []string{m.address(t)}
@@ -97,18 +97,18 @@
 	m.pool.SetLeaving(leaving)
 }
 
-func (m *machine) setLimit(t *rapid.T) {
+func (m *stateMachine) setLimit(t *rapid.T) {
 	n := rapid.IntRange(0, 6).Draw(t, "limit")
-	m.allowed = max(m.allowed, n)
+	m.maxTotal = max(m.maxTotal, n)
 	m.pool.SetLimit(n)
 }
 
 // check collects what was acquired and compares the pool with the members.
-func (m *machine) check(t *rapid.T) {
+func (m *stateMachine) check(t *rapid.T) {
 	synctest.Wait()
-	for len(m.got) > 0 {
+	for len(m.acquired) > 0 {
 		m.pending--
-		if c := <-m.got; c != nil {
+		if c := <-m.acquired; c != nil {
 			if slices.Contains(m.held, c) {
 				t.Fatalf("one connection was handed out twice")
 			}
@@ -120,13 +120,13 @@
 	}
 	s := m.pool.Stats()
 	if s.Total() <= s.Limit {
-		m.allowed = s.Limit
+		m.maxTotal = s.Limit
 	}
 	if sum := m.members.count(); sum > s.Total() {
 		t.Fatalf("members hold %d, the pool counts %+v", sum, s)
 	}
-	if s.Total() > m.allowed {
-		t.Fatalf("counted %+v, allowed %d", s, m.allowed)
+	if s.Total() > m.maxTotal {
+		t.Fatalf("counted %+v, allowed %d", s, m.maxTotal)
 	}
 	if s.InUse != len(m.held) {
 		t.Fatalf("in use %d, held %d", s.InUse, len(m.held))
@@ -134,8 +134,8 @@
 }
 
 // finish releases all and closes the pool, which must end with nothing held.
-func (m *machine) finish(t *rapid.T) {
-	after(time.Second)
+func (m *stateMachine) finish(t *rapid.T) {
+	sleep(time.Second)
 	m.check(t)
 	if m.pending != 0 {
 		t.Fatalf("%d callers wait past their deadline", m.pending)
@@ -169,15 +169,15 @@
 func checkPool(t *testing.T) {
 	rapid.Check(bubble{t}, func(t *rapid.T) {
 		members := newFakeMembers()
-		m := &machine{members: members, pool: members.newPool(4), allowed: 4, got: make(chan wire.Conn, 1000)}
-		defer m.abandon()
+		m := &stateMachine{members: members, pool: members.newPool(4), maxTotal: 4, acquired: make(chan wire.Conn, 1000)}
+		defer m.stopPool()
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": m.acquire,
 			"release": m.release,
-			"pass":    m.pass,
-			"fault":   m.fault,
-			"silence": m.silence,
-			"leave":   m.leave,
+			"pass":    m.advanceTime,
+			"fault":   m.toggleFault,
+			"silence": m.silenceHeld,
+			"leave":   m.setLeaving,
 			"limit":   m.setLimit,
 			"":        m.check,
 		})
@@ -189,9 +189,9 @@
 type bubble struct{ testing.TB }
 
 // abandon ends the pool's goroutines, also after a failure.
-func (m *machine) abandon() {
+func (m *stateMachine) stopPool() {
 	m.pool.stop()
-	after(time.Minute)
+	sleep(time.Minute)
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -6,95 +6,100 @@
 	"time"
 )
 
-// memberState is what the pool keeps of one member.
+// memberState is the pool's state for one member.
 type memberState struct {
 	address string
 	leaving bool
-	// idle is ordered by last use, the latest at the end.
-	idle    []*entry
+	// idle is ordered by last use, the most recent at the end.
+	idle    []*pooledConn
 	inUse   int
 	opening int
 	probing int
-	// replacing counts closings that make room at the member for another workspace.
+	// replacing counts closings in progress that free capacity at the member for another
+	// workspace.
 	replacing int
-	// lanes holds the same counts by workspace.
-	lanes map[string]*lane
-	// pause is the present length of the pause between failed openings; zero
-	// after one that went well.
-	pause       time.Duration
-	pausedUntil time.Time
-	// refused says that the last failure was the member's own "too many
-	// connections" and not a member out of reach.
-	refused bool
+	// workspaces holds the same counts by workspace.
+	workspaces map[string]*workspaceCounts
+	// backoff is the backoff after the last failed opening before jitter; zero after one
+	// that succeeded.
+	backoff      time.Duration
+	backoffUntil time.Time
+	// reportedFull reports that the last opening failed because the member returned "too
+	// many connections", and not because it could not be reached.
+	reportedFull bool
 }
 
-// counted is how many connections to the member count.
-func (m *memberState) counted() int { return len(m.idle) + m.inUse + m.opening + m.probing }
+// total returns the number of connections to the member that count against the limits,
+// without those that are closing.
+func (m *memberState) total() int { return len(m.idle) + m.inUse + m.opening + m.probing }
 
-// takeIdle removes and returns the workspace's connection used last; nil if there is none.
-func (m *memberState) takeIdle(workspace string) *entry {
-	if l := m.lanes[workspace]; l == nil || l.idle == 0 {
+// popIdle removes and returns the workspace's most recently used idle connection; nil if
+// there is none.
+func (m *memberState) popIdle(workspace string) *pooledConn {
+	if counts := m.workspaces[workspace]; counts == nil || counts.idle == 0 {
 		return nil
 	}
 	for n := len(m.idle) - 1; n >= 0; n-- {
 		if m.idle[n].workspace == workspace {
-			return m.takeAt(n)
+			return m.removeIdleAt(n)
 		}
 	}
 	return nil
 }
 
-// takeOldest removes and returns the connection used longest ago.
-func (m *memberState) takeOldest() *entry { return m.takeAt(0) }
+// popOldestIdle removes and returns the least recently used idle connection.
+func (m *memberState) popOldestIdle() *pooledConn { return m.removeIdleAt(0) }
 
-// takeOldestOf is takeOldest among those of a workspace that has one.
-func (m *memberState) takeOldestOf(workspace string) *entry {
-	return m.takeAt(slices.IndexFunc(m.idle, func(e *entry) bool { return e.workspace == workspace }))
+// popOldestIdleOf removes and returns the workspace's least recently used idle connection.
+// There must be one.
+func (m *memberState) popOldestIdleOf(workspace string) *pooledConn {
+	return m.removeIdleAt(slices.IndexFunc(m.idle, func(pc *pooledConn) bool { return pc.workspace == workspace }))
 }
 
-// takeAt removes and returns the idle connection at a place in their order.
-func (m *memberState) takeAt(n int) *entry {
-	e := m.idle[n]
+// removeIdleAt removes and returns the idle connection at index n.
+func (m *memberState) removeIdleAt(n int) *pooledConn {
+	pc := m.idle[n]
 	m.idle = slices.Delete(m.idle, n, n+1)
-	l := m.lane(e.workspace)
-	l.idle--
-	l.leastIdle = min(l.leastIdle, l.idle)
-	return e
+	counts := m.countsFor(pc.workspace)
+	counts.idle--
+	counts.minIdle = min(counts.minIdle, counts.idle)
+	return pc
 }
 
-// addIdle puts a connection behind those used before.
-func (m *memberState) addIdle(e *entry) {
-	m.idle = append(m.idle, e)
-	m.lane(e.workspace).idle++
+// addIdle adds a connection as the most recently used one.
+func (m *memberState) addIdle(pc *pooledConn) {
+	m.idle = append(m.idle, pc)
+	m.countsFor(pc.workspace).idle++
 }
 
 // mayOpen reports whether an opening may start now.
 func (m *memberState) mayOpen(now time.Time) bool {
-	if m.leaving || now.Before(m.pausedUntil) {
+	if m.leaving || now.Before(m.backoffUntil) {
 		return false
 	}
-	// After a failure one opening at a time tries the member: were all allowed,
-	// each end of a pause would send a burst to a member that is full or just back.
-	return m.pause == 0 || m.opening == 0
+	// After a failure only one opening at a time is tried: otherwise each end of a backoff
+	// would send a burst to a member that is full or has just restarted.
+	return m.backoff == 0 || m.opening == 0
 }
 
-// refusesOpenings reports whether the member has answered two openings or more in a row that
-// it takes no more, by the pause that followed the first.
-func (m *memberState) refusesOpenings(shortest time.Duration) bool {
-	return m.refused && m.pause > shortest
+// repeatedlyFull reports whether the member has refused at least two openings in a row as
+// full. This is derived from the backoff, which exceeds the shortest one only after a
+// second failure.
+func (m *memberState) repeatedlyFull(minBackoff time.Duration) bool {
+	return m.reportedFull && m.backoff > minBackoff
 }
 
-// holdBack begins a pause after a failed opening, twice as long as the one
-// before and jittered between a half and the whole of it.
-func (m *memberState) holdBack(now time.Time, r *rand.Rand, shortest, longest time.Duration) {
-	m.pause = min(max(2*m.pause, shortest), longest)
-	half := m.pause / 2
-	m.pausedUntil = now.Add(half + time.Duration(r.Int64N(int64(half)+1)))
+// extendBackoff starts a backoff after a failed opening: exponential, and jittered between
+// half of it and the whole.
+func (m *memberState) extendBackoff(now time.Time, r *rand.Rand, minBackoff, maxBackoff time.Duration) {
+	m.backoff = min(max(2*m.backoff, minBackoff), maxBackoff)
+	half := m.backoff / 2
+	m.backoffUntil = now.Add(half + time.Duration(r.Int64N(int64(half)+1)))
 }
 
-// recovered ends the holding back after an opening that went well.
-func (m *memberState) recovered() {
-	m.pause = 0
-	m.pausedUntil = time.Time{}
-	m.refused = false
+// resetBackoff ends the backoff after an opening that succeeded.
+func (m *memberState) resetBackoff() {
+	m.backoff = 0
+	m.backoffUntil = time.Time{}
+	m.reportedFull = false
 }
--- a/internal/pool/memberlimit_test.go
+++ b/internal/pool/memberlimit_test.go
@@ -16,7 +16,7 @@
 // One member hangs, and all that it may have of connections are in use. Statements
 // for the other member still get theirs: the limit is one of each member, and no
 // member's connections are taken from another's.
-func TestFullMemberHoldsUpNoOther(t *testing.T) {
+func TestFullMemberDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(100)
@@ -46,26 +46,26 @@
 		p := members.newPool(100)
 		defer closePool(t, p)
 		p.SetMemberLimit(4)
-		var all []wire.Conn
+		var conns []wire.Conn
 		for range 4 {
-			all = append(all, acquire(t, p, firstMember))
+			conns = append(conns, acquire(t, p, firstMember))
 		}
-		p.Release(all[0])
-		p.Release(all[1])
+		p.Release(conns[0])
+		p.Release(conns[1])
 		p.SetMemberLimit(1)
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
 		is.Equal(members.count(), 2)
-		p.Release(all[2])
+		p.Release(conns[2])
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
 		is.Equal(members.count(), 1)
-		p.Release(all[3])
+		p.Release(conns[3])
 	})
 }
 
 // A burst opens six connections, after which one at a time is enough. The idle ones
 // are closed within two intervals, and none is kept to spare, so that the member has
 // room when this instance loses power and its successor comes.
-func TestConnectionsOfABurstAreTrimmed(t *testing.T) {
+func TestTrimClosesConnectionsOfABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -73,11 +73,11 @@
 		cfg.TrimInterval = time.Second
 		p := New(cfg)
 		defer closePool(t, p)
-		var all []wire.Conn
+		var conns []wire.Conn
 		for range 6 {
-			all = append(all, acquire(t, p, firstMember))
+			conns = append(conns, acquire(t, p, firstMember))
 		}
-		for _, c := range all {
+		for _, c := range conns {
 			p.Release(c)
 		}
 		for range 25 {
--- a/internal/pool/opening_test.go
+++ b/internal/pool/opening_test.go
@@ -13,7 +13,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-func TestTooManyConnectionsIsBackPressure(t *testing.T) {
+func TestFullMemberIsRetriedWithBackoff(t *testing.T) {
 	// The member refuses one more connection with its own limit. Callers go on
 	// with the connections there are; openings are tried one at a time, with
 	// growing pauses, and never at once.
@@ -27,19 +27,19 @@
 		members.attempts = nil
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		var all sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			callers.Go(func() {
 				_, err := p.Acquire(ctx, firstMember, "")
 				is.Equal(code(err), result.TooManyConnections)
 			})
 		}
-		all.Wait()
+		callers.Wait()
 		is.True(len(members.attempts) <= 12)
 		gaps := pausesBetween(members.attempts[DefaultMaxOpening:])
 		is.True(len(gaps) >= 3)
 		for _, gap := range gaps {
-			is.True(gap >= DefaultMinPause/2)
+			is.True(gap >= DefaultMinBackoff/2)
 		}
 		is.True(gaps[len(gaps)-1] > 4*gaps[0])
 		members.full[firstMember] = false
@@ -56,7 +56,7 @@
 	return gaps
 }
 
-func TestUnreachableMemberIsRefusedAtOnceDuringThePause(t *testing.T) {
+func TestAcquireFailsFastDuringBackoff(t *testing.T) {
 	// No connection to the member opens. The first caller learns it from the
 	// attempt, those that follow at once, with a retry-after, until the pause
 	// is over.
@@ -73,14 +73,14 @@
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.UpstreamUnreachable)
 		is.Equal(time.Since(began), time.Duration(0))
-		is.True(e.RetryAfter >= DefaultMinPause/2)
+		is.True(e.RetryAfter >= DefaultMinBackoff/2)
 		members.down[firstMember] = false
-		after(e.RetryAfter)
+		sleep(e.RetryAfter)
 		p.Release(acquire(t, p, firstMember))
 	})
 }
 
-func TestReconnectionAfterFailoverIsNoStorm(t *testing.T) {
+func TestReconnectionAfterFailoverIsBounded(t *testing.T) {
 	// Four homes lose all connections to the old primary at one instant, and
 	// the callers of each ask for the new primary at that instant. Each home
 	// opens a bounded number at a time, spread by jitter, and all are served
@@ -95,20 +95,20 @@
 			pools = append(pools, p)
 		}
 		began := time.Now()
-		var all sync.WaitGroup
+		var callers sync.WaitGroup
 		for _, p := range pools {
 			for range 10 {
-				all.Go(func() {
+				callers.Go(func() {
 					c, err := p.Acquire(context.Background(), secondMember, "")
 					is.NoErr(err)
-					after(time.Second)
+					sleep(time.Second)
 					p.Release(c)
 				})
 			}
 		}
-		all.Wait()
-		t.Logf("40 connections, at most %d at once, last use ended after %v", members.peak, time.Since(began))
-		is.True(members.peak <= 4*DefaultMaxOpening)
+		callers.Wait()
+		t.Logf("40 connections, at most %d at once, last use ended after %v", members.maxConcurrent, time.Since(began))
+		is.True(members.maxConcurrent <= 4*DefaultMaxOpening)
 		is.True(time.Since(began) < 1200*time.Millisecond)
 		is.Equal(members.openings, 40)
 	})
@@ -118,7 +118,7 @@
 // one's first openings are refused. Statements are told so at once from the second
 // refusal on, and can go elsewhere, instead of waiting for their deadlines; when the
 // member has room again, it is found out within half a second.
-func TestMemberThatStaysFullIsPassedByAtOnce(t *testing.T) {
+func TestAcquireFailsFastWhileMemberIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -130,20 +130,20 @@
 		began := time.Now()
 		_, err := p.Acquire(ctx, firstMember, "")
 		is.Equal(code(err), result.TooManyConnections)
-		is.True(time.Since(began) < 4*DefaultMinPause)
+		is.True(time.Since(began) < 4*DefaultMinBackoff)
 		is.True(p.Full(firstMember))
 		is.True(!p.Full(secondMember))
 		for range 100 {
 			began = time.Now()
 			_, err := p.Acquire(ctx, firstMember, "")
 			is.Equal(code(err), result.TooManyConnections)
-			is.True(time.Since(began) <= maxFullPause)
+			is.True(time.Since(began) <= maxFullBackoff)
 			_ = clock.Sleep(t.Context(), clock.System{}, 100*time.Millisecond)
 		}
 		members.mu.Lock()
 		members.full[firstMember] = false
 		members.mu.Unlock()
-		free := time.Now()
+		freedAt := time.Now()
 		for {
 			c, err := p.Acquire(t.Context(), firstMember, "")
 			if err == nil {
@@ -152,6 +152,6 @@
 			}
 			_ = clock.Sleep(t.Context(), clock.System{}, 10*time.Millisecond)
 		}
-		is.True(time.Since(free) < 500*time.Millisecond)
+		is.True(time.Since(freedAt) < 500*time.Millisecond)
 	})
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,13 +1,14 @@
-// Package pool keeps an instance's connections to the members of a group
-// within the instance's share of the group's total.
+// Package pool manages an instance's connections to the members of a group within the
+// instance's share of the group's connection limit.
 //
-// A connection counts from the moment its opening begins until the member is
-// known to have let it go. What opens, closes or probes a connection runs in
-// its own goroutine, at most one for each counted connection; all of them work
-// on the tables of one Limited.
+// A connection counts from the start of its opening until the member has confirmed its
+// closing or can be assumed to have closed it. Opening, closing and probing a connection
+// each run in their own goroutine, at most one for each counted connection; all of them
+// update the state of one Limited.
 //
-// Lock order: Limited.mu is the only lock, it is a leaf, and it is never held
-// across I/O or across a call of a Config function.
+// Locking: Limited.mu is the only lock. No other lock is acquired while it is held, and it
+// is never held across I/O or across calls of the functions Open, Probe, Check and Close of
+// Config.
 package pool
 
 import (
@@ -19,24 +20,25 @@
 
 // Pool hands out connections of one group.
 type Pool interface {
-	// Acquire returns a clean connection to the member at address that was opened for
-	// the workspace. Errors are *result.Error with a code of the did-not-run family.
+	// Acquire returns a clean connection to the member at address that was opened for the
+	// workspace. Errors are *result.Error with a code of the did-not-run family.
 	Acquire(ctx context.Context, address, workspace string) (wire.Conn, error)
-	// Release takes back a connection. One that is not provably clean, or whose
-	// member is leaving, is closed.
+	// Release returns a connection to the pool. It is closed if it is not known to be clean
+	// or if its member is leaving.
 	Release(c wire.Conn)
-	// Suspect tells that a connection to address opened at opened went silent:
-	// all of that age are probed before they are used again.
+	// Suspect reports that a connection to address, opened at opened, stopped responding:
+	// all connections of the same age are probed before they are used again.
 	Suspect(address string, opened time.Time)
-	// ProbeIdle probes every idle connection, to whatever member, that was not
-	// used since a moment. It is for signs that something between this instance
-	// and the members has lost track of connections.
+	// ProbeIdle probes every connection, to any member, that has been idle since before
+	// since. It is called when there are signs that a network device between this instance
+	// and the members has dropped connection state.
 	ProbeIdle(since time.Time)
-	// Full reports whether statements for the member at address are refused because
-	// it takes no connection and there is none.
+	// Full reports whether statements for the member at address are refused because it
+	// accepts no connections and the pool has none to it.
 	Full(address string) bool
-	// Idle reports whether a connection of the workspace to the member at address is idle.
+	// Idle reports whether there is an idle connection of the workspace to the member at
+	// address.
 	Idle(address, workspace string) bool
-	// FullFor reports the same for statements of one workspace.
+	// FullFor reports the same as Full for statements of one workspace.
 	FullFor(address, workspace string) bool
 }
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -2,58 +2,59 @@
 
 import "github.com/topazrock/topazrock/internal/wire"
 
-// Release implements Pool. A connection that is not in use is left alone: a
-// second Release would otherwise hand one connection to two transactions. A
-// second Release after the connection was handed out again cannot be told from
-// its new user's, so callers release once.
+// Release implements Pool. Releasing a connection that is not in use has no effect:
+// otherwise a second Release would hand one connection to two transactions. A second
+// Release after the connection was handed out again cannot be distinguished from that of
+// its new user, so callers must release once.
 func (p *Limited) Release(c wire.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e, ok := p.entries[c]
-	if !ok || e.state != stateInUse {
+	pc, ok := p.conns[c]
+	if !ok || pc.state != stateInUse {
 		p.log.Error("Released a connection that is not in use.", "group", p.cfg.Group, "member", c.Address())
 		return
 	}
-	p.takeBack(e)
+	p.returnConn(pc)
 	p.dispatch()
 }
 
-// takeBack moves a connection in use to where it belongs now.
-func (p *Limited) takeBack(e *entry) {
-	p.leaveUse(e)
-	p.settle(e)
+// returnConn ends the use of a connection and assigns its next state.
+func (p *Limited) returnConn(pc *pooledConn) {
+	p.removeInUse(pc)
+	p.assignNextState(pc)
 }
 
-// leaveUse takes e out of the connections in use; the caller gives it its next
-// state before the lock is released.
-func (p *Limited) leaveUse(e *entry) {
+// removeInUse removes the connection from the counts of those in use. It must be followed
+// by the assignment of the next state before the lock is released.
+func (p *Limited) removeInUse(pc *pooledConn) {
 	p.inUse--
-	e.member.inUse--
-	e.member.lane(e.workspace).inUse--
+	pc.member.inUse--
+	pc.member.countsFor(pc.workspace).inUse--
 }
 
-// settle gives a connection that no caller holds its next state.
-func (p *Limited) settle(e *entry) {
+// assignNextState assigns the next state of a connection that is not in use and not in any
+// count.
+func (p *Limited) assignNextState(pc *pooledConn) {
 	switch {
 	case p.closed:
-		p.startClose(e, closedShutdown)
-	case !e.conn.Clean():
-		// What a transaction left behind, or an answer still on the wire, would
-		// reach the next one.
-		p.startClose(e, closedDirty)
-	case e.member.leaving:
-		p.startClose(e, closedLeaving)
+		p.startClose(pc, closedShutdown)
+	case !pc.conn.Clean():
+		// Session state left by a transaction, or a response still on the wire, would reach
+		// the next user of the connection.
+		p.startClose(pc, closedNotClean)
+	case pc.member.leaving:
+		p.startClose(pc, closedLeaving)
 	case p.total()-p.closing >= p.limit:
-		// The limit was lowered; e itself is not in the counts here.
-		p.startClose(e, closedLimit)
-	case p.memberFull(e.member, 0):
-		p.startClose(e, closedLimit)
-	case e.suspect:
-		p.startProbe(e)
+		// The limit was lowered; the connection itself is not counted here.
+		p.startClose(pc, closedLimit)
+	case p.memberAtLimit(pc.member, 0):
+		p.startClose(pc, closedLimit)
+	case pc.suspect:
+		p.startProbe(pc)
 	default:
-		e.state = stateIdle
-		e.heardAt = p.cfg.Clock.Now()
-		e.member.addIdle(e)
+		pc.state = stateIdle
+		pc.idleSince = p.cfg.Clock.Now()
+		pc.member.addIdle(pc)
 		p.idle++
 	}
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -1,6 +1,6 @@
 package pool
 
-// Stats counts the connections of a pool at one moment.
+// Stats holds the counts of a pool's connections and waiters at one moment.
 type Stats struct {
 	Limit   int
 	Idle    int
@@ -12,7 +12,7 @@
 	Waiting int
 }
 
-// Total is the number that the limit bounds.
+// Total returns the number of connections that the limit bounds.
 func (s Stats) Total() int {
 	return s.Idle + s.InUse + s.Opening + s.Probing + s.Closing
 }
--- a/internal/pool/suspect_test.go
+++ b/internal/pool/suspect_test.go
@@ -21,7 +21,7 @@
 		members := newFakeMembers()
 		p := members.newPool(5)
 		defer closePool(t, p)
-		old := fill(t, p, firstMember, 5)
+		old := acquireN(t, p, firstMember, 5)
 		for _, c := range old {
 			members.silent[c] = true
 		}
@@ -34,7 +34,7 @@
 		is.True(!slices.Contains(old, c))
 		is.True(time.Since(began) <= DefaultProbeTimeout+roundTrip+openLatency)
 		p.Release(c)
-		after(DefaultProbeTimeout + DefaultCloseHold)
+		sleep(DefaultProbeTimeout + DefaultCloseTimeout)
 		is.Equal(p.Stats().Idle, 1)
 	})
 }
@@ -49,17 +49,17 @@
 		members := newFakeMembers()
 		p := members.newPool(4)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 3)
+		held := acquireN(t, p, firstMember, 3)
 		for _, c := range held {
 			members.silent[c] = true
 		}
 		releaseAll(p, held[:2])
 		members.down[firstMember] = true
-		busy := fill(t, p, firstMember, 2)
+		inUse := acquireN(t, p, firstMember, 2)
 		_, err := p.Acquire(t.Context(), firstMember, "")
 		is.Equal(code(err), result.UpstreamUnreachable)
-		releaseAll(p, busy)
-		after(DefaultProbeTimeout + roundTrip)
+		releaseAll(p, inUse)
+		sleep(DefaultProbeTimeout + roundTrip)
 		is.Equal(p.Stats().Idle, 0)
 		is.Equal(p.Stats().InUse, 1)
 		p.Release(held[2])
@@ -74,14 +74,14 @@
 		members := newFakeMembers()
 		p := members.newPool(3)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 3)
+		held := acquireN(t, p, firstMember, 3)
 		members.silent[held[2]] = true
 		releaseAll(p, held[:1])
 		p.Suspect(firstMember, held[2].Opened())
 		is.Equal(p.Stats().Probing, 1)
 		releaseAll(p, held[1:])
 		is.Equal(p.Stats().Probing, 3)
-		after(DefaultProbeTimeout + roundTrip)
+		sleep(DefaultProbeTimeout + roundTrip)
 		is.Equal(p.Stats().Idle, 2)
 		is.Equal(members.openings, 3)
 	})
@@ -98,7 +98,7 @@
 		defer closePool(t, p)
 		first := acquire(t, p, firstMember)
 		p.Release(first)
-		members.gone[first] = true
+		members.closedByMember[first] = true
 		second := acquire(t, p, firstMember)
 		is.True(second != first)
 		p.Release(second)
--- a/internal/pool/trim.go
+++ b/internal/pool/trim.go
@@ -6,31 +6,32 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// trim closes, at an interval, the idle connections that were not needed since the
-// last time. A burst opens connections that are then idle for good; members count
-// them, and count them on for seconds when this instance loses power, so that its
-// successor finds no room.
-func (p *Limited) trim(interval time.Duration) {
+// trimPeriodically closes idle connections that were not needed since the last run. A burst
+// opens connections that then stay idle. Members count them, and continue to do so for
+// seconds after this instance loses power, so that the instance that takes over would find
+// no free connections.
+func (p *Limited) trimPeriodically(interval time.Duration) {
 	for clock.Sleep(p.background, p.cfg.Clock, interval) == nil {
 		p.mu.Lock()
 		for _, m := range p.members {
 			p.trimMember(m)
-			m.dropEmptyLanes()
+			m.removeEmptyWorkspaces()
 		}
 		p.mu.Unlock()
 	}
 }
 
-// trimMember closes as many idle connections of each workspace as were idle all the time, and
-// leaves one connection at least. A spare one as well, in each of seven instances, was a third
-// of what a member takes: none was free for the first seconds after all had lost power.
+// trimMember closes, for each workspace, as many idle connections as were idle during the
+// whole interval, but keeps at least one connection. Keeping one spare connection more in
+// each of seven instances used a third of a member's connection limit, and none was free in
+// the first seconds after all instances had lost power.
 func (p *Limited) trimMember(m *memberState) {
-	for workspace, l := range m.lanes {
-		surplus := min(l.leastIdle, l.idle, l.counted()-1)
+	for workspace, counts := range m.workspaces {
+		surplus := min(counts.minIdle, counts.idle, counts.total()-1)
 		for range surplus {
 			p.idle--
-			p.startClose(m.takeOldestOf(workspace), closedSurplus)
+			p.startClose(m.popOldestIdleOf(workspace), closedSurplus)
 		}
-		l.leastIdle = l.idle
+		counts.minIdle = counts.idle
 	}
 }
--- a/internal/pool/waiter.go
+++ b/internal/pool/waiter.go
@@ -6,25 +6,24 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// grant is what ends a wait: a connection or an error.
+// grant ends a wait with a connection or an error.
 type grant struct {
-	entry *entry
-	err   *result.Error
+	conn *pooledConn
+	err  *result.Error
 }
 
-// waiter is one Acquire that waits.
+// waiter is a pending call of Acquire.
 type waiter struct {
 	address string
-	// workspace is the one that the connection is to be for.
+	// workspace is the one that needs the connection.
 	workspace string
 	deadline  time.Time
 	arrival   uint64
-	// granted receives exactly one grant when the waiter leaves the queue by
-	// the pool's doing.
+	// granted receives exactly one grant when the pool removes the waiter from the queue.
 	granted chan grant
 }
 
-// everyWaiter matches all.
+// everyWaiter matches all waiters.
 func everyWaiter(*waiter) bool { return true }
 
 // before orders waiters by deadline, then by arrival.
--- a/internal/pool/workspaces_test.go
+++ b/internal/pool/workspaces_test.go
@@ -12,9 +12,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// inPool runs f in virtual time with a pool whose part of each member is bounded; zero bounds
+// withPool runs f in virtual time with a pool whose part of each member is bounded; zero bounds
 // nothing.
-func inPool(t *testing.T, perMember int, f func(t *testing.T, is *is.I, members *fakeMembers, p *Limited)) {
+func withPool(t *testing.T, perMember int, f func(t *testing.T, is *is.I, members *fakeMembers, p *Limited)) {
 	synctest.Test(t, func(t *testing.T) {
 		members := newFakeMembers()
 		p := members.newPool(100)
@@ -36,7 +36,7 @@
 
 // Guards against a connection that serves another workspace than the one it was opened for.
 func TestConnectionServesItsWorkspaceAlone(t *testing.T) {
-	inPool(t, 0, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
+	withPool(t, 0, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		north := acquireFor(t, p, "north")
 		p.Release(north)
 		south := acquireFor(t, p, "south")
@@ -51,8 +51,8 @@
 
 // Guards against a workspace that waits for ever at a member whose whole part is idle in the
 // hands of others: the connection idle longest makes room, and no more than the part is held.
-func TestIdleLongestMakesRoomForAnotherWorkspace(t *testing.T) {
-	inPool(t, 3, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
+func TestLeastRecentlyUsedIsEvictedForAnotherWorkspace(t *testing.T) {
+	withPool(t, 3, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		for _, workspace := range []string{"a", "b", "c"} {
 			p.Release(acquireFor(t, p, workspace))
 			_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
@@ -65,13 +65,13 @@
 		is.Equal(members.openings, 4)
 		p.Release(acquireFor(t, p, "b"))
 		is.Equal(members.openings, 5)
-		is.True(members.highest <= 3)
+		is.True(members.maxTotal <= 3)
 	})
 }
 
 // Guards against room that is made from a workspace whose own statement waits for it.
 func TestConnectionWithAWaiterMakesNoRoom(t *testing.T) {
-	inPool(t, 1, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
+	withPool(t, 1, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		held := acquireFor(t, p, "a")
 		got := make(chan string, 2)
 		wait := func(workspace string) {
@@ -95,7 +95,7 @@
 
 // Guards against a trim that closes the one connection of a workspace that comes back every
 // few seconds.
-func TestTrimLeavesEachWorkspaceAConnection(t *testing.T) {
+func TestTrimKeepsOneConnectionPerWorkspace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -118,7 +118,7 @@
 // Guards against callers of many workspaces who starve each other of a member's part: each is
 // served within a few openings.
 func TestManyWorkspacesTakeTurns(t *testing.T) {
-	inPool(t, 6, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
+	withPool(t, 6, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		done := make(chan error)
 		for n := range 75 {
 			go func() {
@@ -133,6 +133,6 @@
 		for range 75 {
 			is.NoErr(<-done)
 		}
-		is.True(members.highest <= 6)
+		is.True(members.maxTotal <= 6)
 	})
 }
--- a/internal/upstream/cancel.go
+++ b/internal/upstream/cancel.go
@@ -7,14 +7,14 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// CancelKey names a backend process to its member.
+// CancelKey identifies a backend process in a cancel request to its member.
 type CancelKey struct {
 	ProcessID uint32
 	SecretKey []byte
 }
 
-// Cancel asks the member on a new connection to stop what c is running. It
-// does not wait for the effect; the answer arrives on c.
+// Cancel asks the member, on a new connection, to cancel what c is running. It does not
+// wait for the effect; the response arrives on c.
 func (c *Conn) Cancel(ctx context.Context, d netio.Dialer) error {
 	conn, err := d.Dial(ctx, c.address)
 	if err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,8 +1,8 @@
-// Package upstream speaks the PostgreSQL wire protocol to one member.
+// Package upstream implements wire.Conn for the PostgreSQL wire protocol.
 //
-// A connection serves one unit or transaction at a time. It is clean when the
-// last ReadyForQuery said idle, every expected answer has been read, and
-// nothing that ran can have left session state behind.
+// A connection serves one unit or transaction at a time. It is clean when the last
+// ReadyForQuery reported idle, every expected response has been read, and nothing that ran
+// can have left session state on it.
 package upstream
 
 import (
@@ -15,8 +15,8 @@
 
 var _ wire.Conn = (*Conn)(nil)
 
-// maxPrepared bounds the prepared statements of one connection. Past it the
-// connection is replaced, so that ad hoc texts cannot fill a member's memory.
+// maxPrepared bounds the prepared statements of one connection. A connection with more of
+// them is not reused, so that ad hoc statements cannot fill the member's memory.
 const maxPrepared = 256
 
 // Conn implements wire.Conn.
@@ -25,19 +25,19 @@
 	opened   time.Time
 	net      net.Conn
 	frontend *pgproto3.Frontend
-	// cancelKey names this connection's backend in a cancel request.
+	// cancelKey identifies this connection's backend in a cancel request.
 	cancelKey CancelKey
-	// prepared holds the names of statements that exist on the connection.
+	// prepared holds the names of the prepared statements that exist on the connection.
 	prepared map[string]struct{}
-	// values are the session values that the connection carries, by name.
-	values map[string]string
-	// takesParameters says that the member may report changed parameters: it was
-	// asked to change some.
-	takesParameters bool
-	// pending counts ReadyForQuery messages that were asked for and not read.
-	pending int
-	// dirty says that the connection must not be used again.
-	dirty bool
+	// sessionValues are the session values set on the connection, by name.
+	sessionValues map[string]string
+	// expectsParameterChanges reports that ParameterStatus messages are expected, because
+	// the unit changes session values.
+	expectsParameterChanges bool
+	// pendingReady counts the requested ReadyForQuery messages that have not been read yet.
+	pendingReady int
+	// unusable reports that the connection must not be used again.
+	unusable bool
 }
 
 // Address returns the member's address.
@@ -46,30 +46,30 @@
 // Opened returns when the connection was opened.
 func (c *Conn) Opened() time.Time { return c.opened }
 
-// Clean reports whether another unit may use the connection. A late answer that
-// is still on the wire would reach the next unit as its own, so a connection
-// with answers outstanding is never clean.
-func (c *Conn) Clean() bool { return !c.dirty && c.pending == 0 }
+// Clean reports whether another unit may use the connection. A late response that is still
+// on the wire would reach the next unit as its own, so a connection with responses
+// outstanding is never clean.
+func (c *Conn) Clean() bool { return !c.unusable && c.pendingReady == 0 }
 
-// Spoil marks the connection as not to be used again.
-func (c *Conn) Spoil() { c.dirty = true }
+// Spoil marks the connection as unusable for further units.
+func (c *Conn) Spoil() { c.unusable = true }
 
 // Close closes the network connection at once.
 func (c *Conn) Close() error { return c.net.Close() }
 
-// SetDeadline bounds every read and write until it is set again.
+// SetDeadline sets the deadline of all reads and writes until the next call.
 func (c *Conn) SetDeadline(t time.Time) error { return c.net.SetDeadline(t) }
 
-// HasPrepared reports whether a statement of the name exists on the connection.
+// HasPrepared reports whether a prepared statement of that name exists on the connection.
 func (c *Conn) HasPrepared(name string) bool {
 	_, ok := c.prepared[name]
 	return ok
 }
 
-// MarkPrepared records that a statement of the name exists on the connection.
+// MarkPrepared records that a prepared statement of that name exists on the connection.
 func (c *Conn) MarkPrepared(name string) {
 	c.prepared[name] = struct{}{}
 	if len(c.prepared) > maxPrepared {
-		c.dirty = true
+		c.unusable = true
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -9,46 +9,47 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// errCopyIn says that a statement asked for the caller's copy data.
+// errCopyIn is returned when a statement asks for copy data from the caller.
 var errCopyIn = errors.New("COPY FROM STDIN is not supported")
 
-// exchange sends pipelined parts on one connection and reads their answers.
+// exchange sends pipelined parts on one connection and reads the responses.
 type exchange struct {
-	conn   *Conn
-	out    *wire.Outcome
-	answer answer
-	// prepared holds the statements that the prepare part defines.
-	prepared []string
-	// prepareFailure and commitFailure are errors of those parts.
+	conn     *Conn
+	outcome  *wire.Outcome
+	response response
+	// preparedNames holds the names of the statements that the prepare part defines.
+	preparedNames []string
+	// prepareFailure is the error of the prepare part, commitFailure that of BEGIN or
+	// COMMIT.
 	prepareFailure *pgproto3.ErrorResponse
 	commitFailure  *pgproto3.ErrorResponse
 }
 
 // Run implements wire.Conn.
 func (c *Conn) Run(w *wire.Exchange) error {
-	x := &exchange{conn: c, out: &w.Outcome}
-	if carried, err := x.carry(w.Unit); err != nil || !carried {
+	x := &exchange{conn: c, outcome: &w.Outcome}
+	if applied, err := x.applyValues(w.Unit); err != nil || !applied {
 		return err
 	}
-	c.takesParameters = w.Unit.Sets
-	x.answer = answer{shape: w.Unit.Shape, sets: w.Unit.Sets, bound: w.AnswerBuffer, partial: w.Partial}
+	c.expectsParameterChanges = w.Unit.Sets
+	x.response = response{remainingSteps: w.Unit.Shape, setsValues: w.Unit.Sets, flushThreshold: w.AnswerBuffer, sendPartial: w.Partial}
 	parts := make([]part, 0, len(w.Steps)+1)
 	if prepare, names, ok := preparePart(c, w.Unit); ok {
-		x.prepared = names
+		x.preparedNames = names
 		parts = append(parts, prepare)
 	}
 	for _, s := range w.Steps {
-		parts = append(parts, partOf(s, w.Unit))
+		parts = append(parts, encodeStep(s, w.Unit))
 	}
-	err := x.run(parts)
-	c.settle(w.Unit, &x.answer)
-	x.out.Messages, x.out.Streamed, x.out.Completed = x.answer.messages, x.answer.streamed, x.answer.completed
-	x.out.Failure = failureOf(x.answer.failure)
+	err := x.runParts(parts)
+	c.recordValues(w.Unit, &x.response)
+	x.outcome.Messages, x.outcome.Streamed, x.outcome.Completed = x.response.messages, x.response.streamed, x.response.completed
+	x.outcome.Failure = failureOf(x.response.failure)
 	return err
 }
 
-// run sends the parts in one write and reads every answer.
-func (x *exchange) run(parts []part) error {
+// runParts sends the parts in one write and reads every response.
+func (x *exchange) runParts(parts []part) error {
 	size := 0
 	for _, p := range parts {
 		size += len(p.bytes)
@@ -61,107 +62,107 @@
 		return err
 	}
 	for _, p := range parts {
-		if err := x.read(p.kind); err != nil {
+		if err := x.readPart(p.kind); err != nil {
 			x.conn.Spoil()
 			return err
 		}
 	}
-	x.finish()
+	x.applyResults()
 	return nil
 }
 
-// finish settles what follows from all parts together.
-func (x *exchange) finish() {
+// applyResults updates the response and the connection once all parts have been answered.
+func (x *exchange) applyResults() {
 	if x.prepareFailure != nil {
-		// The unit's own error only says that the statement is missing.
-		x.answer.fail(x.prepareFailure)
+		// The unit's own error only reports that the statement does not exist.
+		x.response.replaceWithError(x.prepareFailure)
 		x.conn.Spoil()
 	} else {
-		for _, name := range x.prepared {
+		for _, name := range x.preparedNames {
 			x.conn.MarkPrepared(name)
 		}
 	}
 	if x.commitFailure != nil {
-		x.answer.fail(x.commitFailure)
+		x.response.replaceWithError(x.commitFailure)
 	}
-	if x.answer.unclean {
+	if x.response.leavesState {
 		x.conn.Spoil()
 	}
 }
 
-// read reads the answer of one part, through its ReadyForQuery.
-func (x *exchange) read(kind wire.StepKind) error {
+// readPart reads the response to one part, up to and including its ReadyForQuery.
+func (x *exchange) readPart(kind wire.StepKind) error {
 	var row [][]byte
 	for {
 		m, err := x.conn.Receive()
 		if err != nil {
 			return err
 		}
-		if err := x.take(kind, m, &row); err != nil {
+		if err := x.handleMessage(kind, m, &row); err != nil {
 			return err
 		}
 		ready, ok := m.(*pgproto3.ReadyForQuery)
 		if !ok {
 			continue
 		}
-		x.conclude(kind, ready, row)
+		x.finishPart(kind, ready, row)
 		return nil
 	}
 }
 
-func (x *exchange) conclude(kind wire.StepKind, ready *pgproto3.ReadyForQuery, row [][]byte) {
+func (x *exchange) finishPart(kind wire.StepKind, ready *pgproto3.ReadyForQuery, row [][]byte) {
 	if kind == wire.StepReport {
-		x.out.Report = parseReport(row)
+		x.outcome.Report = parseReport(row)
 		return
 	}
-	x.out.Final = wire.Status(ready.TxStatus)
+	x.outcome.Final = wire.Status(ready.TxStatus)
 	if kind == wire.StepFindKey && len(row) == 1 {
-		x.out.KeyOutcome = wire.KeyOutcome(row[0])
+		x.outcome.KeyOutcome = wire.KeyOutcome(row[0])
 	}
 }
 
-func (x *exchange) take(kind wire.StepKind, m pgproto3.BackendMessage, row *[][]byte) error {
+func (x *exchange) handleMessage(kind wire.StepKind, m pgproto3.BackendMessage, row *[][]byte) error {
 	if _, ok := m.(*pgproto3.CopyInResponse); ok {
-		// Copy data does not fit into a unit. Closing the connection makes the
-		// member drop the copy; waiting for its answer would hold it for ever.
+		// Copy data does not fit into a unit. Closing the connection makes the member abort
+		// the copy; waiting for the response would block forever.
 		return errCopyIn
 	}
 	if kind == wire.StepUnit {
-		return x.answer.add(m)
+		return x.response.addMessage(m)
 	}
 	switch m := m.(type) {
 	case *pgproto3.ErrorResponse:
-		x.fail(kind, m)
+		x.recordError(kind, m)
 	case *pgproto3.DataRow:
 		*row = cloneRow(m.Values)
 	case *pgproto3.CommandComplete:
 		if kind == wire.StepCommit && string(m.CommandTag) == "COMMIT" {
-			x.out.Committed = true
+			x.outcome.Committed = true
 		}
 	}
 	return nil
 }
 
-func (x *exchange) fail(kind wire.StepKind, m *pgproto3.ErrorResponse) {
+func (x *exchange) recordError(kind wire.StepKind, m *pgproto3.ErrorResponse) {
 	e := *m
 	switch kind {
 	case partValues:
-		x.answer.fail(&e)
+		x.response.replaceWithError(&e)
 	case partPrepare:
 		x.prepareFailure = &e
 	case wire.StepStoreKey, wire.StepFindKey:
-		x.out.KeyFailure = failureOf(&e)
+		x.outcome.KeyFailure = failureOf(&e)
 	case wire.StepBegin, wire.StepCommit:
 		x.commitFailure = &e
 	}
 }
 
-// SQLSTATEs that the core has to know.
+// SQLSTATEs that are mapped to a wire.FailureKind.
 const (
-	// uniqueViolation is that of an insert whose key exists.
-	uniqueViolation = "23505"
-	// readOnlyTransaction is that of a member that takes no writes.
-	readOnlyTransaction = "25006"
+	// uniqueViolationCode is returned for an insert whose key exists.
+	uniqueViolationCode = "23505"
+	// readOnlyTransactionCode is returned by a member that accepts no writes.
+	readOnlyTransactionCode = "25006"
 )
 
 func failureOf(e *pgproto3.ErrorResponse) *wire.Failure {
@@ -170,9 +171,9 @@
 	}
 	f := &wire.Failure{Code: e.Code, Message: e.Message}
 	switch e.Code {
-	case uniqueViolation:
+	case uniqueViolationCode:
 		f.Kind = wire.FailureKeyExists
-	case readOnlyTransaction:
+	case readOnlyTransactionCode:
 		f.Kind = wire.FailureReadOnly
 	}
 	return f
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -15,8 +15,8 @@
 	encodedTerminate = mustEncode(&pgproto3.Terminate{})
 )
 
-// Check implements wire.Conn. It looks at the socket without a round trip, and
-// says nothing about a connection that has gone silent.
+// Check implements wire.Conn. It checks the socket without a round trip and cannot detect a
+// peer that has stopped responding.
 func (c *Conn) Check() error { return netio.CheckIdle(c.net) }
 
 // Probe implements wire.Conn.
@@ -30,7 +30,7 @@
 	if err := c.Send(encodedSync, 1); err != nil {
 		return err
 	}
-	for c.pending > 0 {
+	for c.pendingReady > 0 {
 		if _, err := c.Receive(); err != nil {
 			return err
 		}
@@ -38,12 +38,12 @@
 	return nil
 }
 
-// Shutdown implements wire.Conn: it returns nil once the member has closed its
-// end. The member counts the connection until then, so it must not be counted
-// as gone when close was merely called.
+// Shutdown implements wire.Conn: it returns nil once the member has closed its end. The
+// member counts the connection until then, so a call of Close alone must not stop the
+// counting.
 func (c *Conn) Shutdown(ctx context.Context) error {
 	defer c.Close()
-	c.dirty = true
+	c.unusable = true
 	if d, ok := ctx.Deadline(); ok {
 		if err := c.SetDeadline(d); err != nil {
 			return err
@@ -52,9 +52,9 @@
 	if _, err := c.net.Write(encodedTerminate); err != nil {
 		return err
 	}
-	var rest [512]byte
+	var discarded [512]byte
 	for {
-		_, err := c.net.Read(rest[:])
+		_, err := c.net.Read(discarded[:])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/upstream/new.go
+++ b/internal/upstream/new.go
@@ -7,15 +7,15 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// NewConn wraps an authenticated network connection to the member at address.
+// NewConn returns a Conn for an authenticated network connection to the member at address.
 // frontend reads from and writes to conn.
 func NewConn(address string, opened time.Time, conn net.Conn, frontend *pgproto3.Frontend) *Conn {
 	return &Conn{
-		address:  address,
-		opened:   opened,
-		net:      conn,
-		frontend: frontend,
-		prepared: make(map[string]struct{}),
-		values:   make(map[string]string),
+		address:       address,
+		opened:        opened,
+		net:           conn,
+		frontend:      frontend,
+		prepared:      make(map[string]struct{}),
+		sessionValues: make(map[string]string),
 	}
 }
--- a/internal/upstream/opener.go
+++ b/internal/upstream/opener.go
@@ -16,22 +16,22 @@
 type Opener struct {
 	Dialer netio.Dialer
 	Clock  clock.Clock
-	// User, Password and Database are sent to the member at start-up.
+	// User, Password and Database are sent to the member in the startup handshake.
 	User, Password, Database string
-	// ApplicationName tells the member's operators who holds the connection.
+	// ApplicationName identifies the owner of the connection to the member's operators.
 	ApplicationName string
 }
 
-// Open connects and authenticates. The error wraps wire.ErrRefused when the
-// member itself refused.
+// Open connects and authenticates. The error wraps wire.ErrRefused if the member itself
+// refused the connection.
 func (o *Opener) Open(ctx context.Context, address string) (wire.Conn, error) {
-	config, err := o.config(address)
+	config, err := o.connConfig(address)
 	if err != nil {
 		return nil, err
 	}
 	pg, err := pgconn.ConnectConfig(ctx, config)
 	if err != nil {
-		return nil, refusal(err)
+		return nil, wrapRefusal(err)
 	}
 	h, err := pg.Hijack()
 	if err != nil {
@@ -42,13 +42,13 @@
 	return c, nil
 }
 
-func (o *Opener) config(address string) (*pgconn.Config, error) {
+func (o *Opener) connConfig(address string) (*pgconn.Config, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
-	text := fmt.Sprintf("host=%s port=%s sslmode=disable", host, port)
-	config, err := pgconn.ParseConfig(text)
+	dsn := fmt.Sprintf("host=%s port=%s sslmode=disable", host, port)
+	config, err := pgconn.ParseConfig(dsn)
 	if err != nil {
 		return nil, err
 	}
@@ -66,16 +66,18 @@
 	return config, nil
 }
 
-// tooManyConnections is the SQLSTATE of a member's refusal of one more connection.
-const tooManyConnections = "53300"
+// tooManyConnectionsCode is the SQLSTATE of a member that refuses a connection because it
+// is at its limit.
+const tooManyConnectionsCode = "53300"
 
-// refusal marks an error that is the member's own answer.
-func refusal(err error) error {
+// wrapRefusal wraps an error that the member itself returned in wire.ErrRefused or
+// wire.ErrFull.
+func wrapRefusal(err error) error {
 	var answer *pgconn.PgError
 	if !errors.As(err, &answer) {
 		return err
 	}
-	if answer.Code == tooManyConnections {
+	if answer.Code == tooManyConnectionsCode {
 		return fmt.Errorf("%w: %w", wire.ErrFull, err)
 	}
 	return fmt.Errorf("%w: %w", wire.ErrRefused, err)
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -10,15 +10,15 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// Kinds of parts that are no steps of the core's.
+// Kinds of parts that correspond to no wire.Step.
 const (
-	// partPrepare defines statements.
+	// partPrepare defines prepared statements.
 	partPrepare wire.StepKind = -1
-	// partValues brings session values onto the connection.
+	// partValues sets session values.
 	partValues wire.StepKind = -2
 )
 
-// part is a piece of an exchange that is answered by exactly one ReadyForQuery.
+// part is a piece of an exchange that gets exactly one ReadyForQuery.
 type part struct {
 	kind  wire.StepKind
 	bytes []byte
@@ -28,15 +28,15 @@
 	return part{kind: kind, bytes: mustEncode(&pgproto3.Query{String: sql})}
 }
 
-// partOf encodes one step.
-func partOf(s wire.Step, u *execution.Unit) part {
+// encodeStep encodes one step.
+func encodeStep(s wire.Step, u *execution.Unit) part {
 	switch s.Kind {
 	case wire.StepBegin:
 		return queryPart(s.Kind, "BEGIN")
 	case wire.StepStoreKey:
-		return queryPart(s.Kind, storeKey(s.Key, s.Outcome))
+		return queryPart(s.Kind, storeKeySQL(s.Key, s.Outcome))
 	case wire.StepFindKey:
-		return queryPart(s.Kind, findKey(s.Key))
+		return queryPart(s.Kind, findKeySQL(s.Key))
 	case wire.StepCommit:
 		return queryPart(s.Kind, "COMMIT")
 	case wire.StepRollback:
@@ -48,20 +48,20 @@
 	}
 }
 
-func storeKey(key string, outcome wire.KeyOutcome) string {
+func storeKeySQL(key string, outcome wire.KeyOutcome) string {
 	return fmt.Sprintf("INSERT INTO topazrock_request_keys (key, outcome) VALUES (%s, '%s')", quote(key), outcome)
 }
 
-func findKey(key string) string {
+func findKeySQL(key string) string {
 	return fmt.Sprintf("SELECT outcome FROM topazrock_request_keys WHERE key = %s", quote(key))
 }
 
-// quote returns an SQL literal. Backslashes are refused with the tag, so that
-// doubling quotes is enough.
+// quote returns an SQL literal. Request keys that contain backslashes were rejected before,
+// so doubling the quotes is enough.
 func quote(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
-// preparePart defines the statements that the connection lacks. The second
-// value is false when it lacks none.
+// preparePart returns the part that defines the statements missing on the connection, and
+// their names. The last value is false when none is missing.
 func preparePart(c *Conn, u *execution.Unit) (part, []string, bool) {
 	var bytes []byte
 	var names []string
@@ -84,7 +84,7 @@
 	return part{kind: partPrepare, bytes: bytes}, names, true
 }
 
-// mustEncode encodes a message whose size was bounded before.
+// mustEncode encodes a message whose size was validated before.
 func mustEncode(m pgproto3.FrontendMessage) []byte {
 	b, err := m.Encode(nil)
 	if err != nil {
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -2,31 +2,31 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// Send writes encoded messages that ask for a number of ReadyForQuery answers.
-// After an error the connection is spoiled: part of the bytes may have left.
+// Send writes encoded messages that request the given number of ReadyForQuery messages.
+// After an error the connection is unusable: part of the bytes may have been sent.
 func (c *Conn) Send(messages []byte, answers int) error {
-	c.pending += answers
+	c.pendingReady += answers
 	if _, err := c.net.Write(messages); err != nil {
-		c.dirty = true
+		c.unusable = true
 		return err
 	}
 	return nil
 }
 
-// Receive reads one message. It is valid until the next call. After an error
-// the connection is spoiled.
+// Receive reads one message, which is valid until the next call. After an error the
+// connection is unusable.
 func (c *Conn) Receive() (pgproto3.BackendMessage, error) {
 	m, err := c.frontend.Receive()
 	if err != nil {
-		c.dirty = true
+		c.unusable = true
 		return nil, err
 	}
 	switch m.(type) {
 	case *pgproto3.ReadyForQuery:
-		c.pending--
+		c.pendingReady--
 	case *pgproto3.ParameterStatus:
-		// A changed parameter is session state; the next unit would inherit it.
-		c.dirty = c.dirty || !c.takesParameters
+		// A changed parameter is session state that the next unit would inherit.
+		c.unusable = c.unusable || !c.expectsParameterChanges
 	}
 	return m, nil
 }
--- a/internal/upstream/values.go
+++ b/internal/upstream/values.go
@@ -8,44 +8,44 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// carry makes the connection carry exactly the unit's session values. It takes a
-// round trip of its own when they differ: behind a value that the member refuses
-// the unit would run without it. False means that the member refused one; the
-// refusal is then the unit's answer, and nothing of the unit was sent.
-func (x *exchange) carry(u *execution.Unit) (bool, error) {
-	// Work of the instance's own has no ID and runs under any values.
+// applyValues sets exactly the unit's session values on the connection. If they differ,
+// this takes a separate round trip: pipelined after a value that the member rejects, the
+// unit would run without it. It returns false if the member rejected a value; that error is
+// then the unit's response, and nothing of the unit was sent.
+func (x *exchange) applyValues(u *execution.Unit) (bool, error) {
+	// Work that the instance starts itself has no ID and does not depend on session values.
 	if u.ID == "" {
 		return true, nil
 	}
-	text := x.conn.valuesText(u.Values)
-	if text == "" {
+	sql := x.conn.setStatements(u.Values)
+	if sql == "" {
 		return true, nil
 	}
-	x.conn.takesParameters = true
-	if err := x.run([]part{queryPart(partValues, text)}); err != nil {
+	x.conn.expectsParameterChanges = true
+	if err := x.runParts([]part{queryPart(partValues, sql)}); err != nil {
 		return false, err
 	}
-	if x.answer.failure != nil {
+	if x.response.failure != nil {
 		x.conn.Spoil()
-		x.out.Messages, x.out.Failure = x.answer.messages, failureOf(x.answer.failure)
+		x.outcome.Messages, x.outcome.Failure = x.response.messages, failureOf(x.response.failure)
 		return false, nil
 	}
-	x.conn.holdValues(u.Values)
+	x.conn.setSessionValues(u.Values)
 	return true, nil
 }
 
-// valuesText returns the statements that bring the connection from the values that
-// it carries to others; empty when nothing differs.
-func (c *Conn) valuesText(values []execution.Value) string {
+// setStatements returns the SET and RESET statements that change the connection's session
+// values to the given ones; empty when nothing differs.
+func (c *Conn) setStatements(values []execution.Value) string {
 	var statements []string
 	wanted := make(map[string]struct{}, len(values))
 	for _, v := range values {
 		wanted[v.Name] = struct{}{}
-		if held, ok := c.values[v.Name]; !ok || held != v.Value {
+		if current, ok := c.sessionValues[v.Name]; !ok || current != v.Value {
 			statements = append(statements, "SET "+v.Name+" = "+v.Value)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.values)) {
+	for _, name := range slices.Sorted(maps.Keys(c.sessionValues)) {
 		if _, ok := wanted[name]; !ok {
 			statements = append(statements, "RESET "+name)
 		}
@@ -53,22 +53,22 @@
 	return strings.Join(statements, "; ")
 }
 
-func (c *Conn) holdValues(values []execution.Value) {
-	clear(c.values)
+func (c *Conn) setSessionValues(values []execution.Value) {
+	clear(c.sessionValues)
 	for _, v := range values {
-		c.values[v.Name] = v.Value
+		c.sessionValues[v.Name] = v.Value
 	}
 }
 
-// settle notes the values that the connection carries after a unit that set some.
-// After a failure it is not known how far the unit came.
-func (c *Conn) settle(u *execution.Unit, a *answer) {
+// recordValues records the session values after a unit that sets some. After a failure it
+// is unknown which of its statements took effect.
+func (c *Conn) recordValues(u *execution.Unit, r *response) {
 	if !u.Sets {
 		return
 	}
-	if a.failure != nil {
+	if r.failure != nil {
 		c.Spoil()
 		return
 	}
-	c.holdValues(u.NextValues)
+	c.setSessionValues(u.NextValues)
 }
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -1,9 +1,9 @@
-// Package wire is the seam between the core, which decides what runs where, and
-// the protocols that members speak.
+// Package wire defines the interface between the core, which decides what runs where, and
+// the protocols of the members.
 //
-// The core hands an Exchange to a Conn: the steps that belong together, in
-// order. The Conn sends them in one write, reads every answer, and fills in the
-// outcome. What the bytes look like is known to the Conn alone.
+// The core passes an Exchange to a Conn: the steps that belong together, in order. The Conn
+// sends them in one write, reads every response, and fills in the outcome. Only the Conn
+// knows their encoding.
 package wire
 
 import (
@@ -16,13 +16,13 @@
 )
 
 var (
-	// ErrRefused says that the member answered an opening and refused it, so
-	// that it holds no connection.
+	// ErrRefused reports that the member refused to open a connection, so that it holds
+	// none.
 	ErrRefused = errors.New("member refused the connection")
-	// ErrFull says that the member takes no more connections for now.
+	// ErrFull reports that the member currently accepts no more connections.
 	ErrFull = fmt.Errorf("%w: it takes no more", ErrRefused)
-	// ErrNotSupported says that the member's protocol has no such step. Nothing
-	// was sent.
+	// ErrNotSupported reports that the member's protocol has no such step. Nothing was
+	// sent.
 	ErrNotSupported = errors.New("the member's protocol has no such step")
 )
 
@@ -33,26 +33,26 @@
 	Address() string
 	// Opened returns when the connection was opened.
 	Opened() time.Time
-	// Clean reports whether another unit may use the connection. A late answer
-	// that is still on the wire would reach the next unit as its own, so a
-	// connection with answers outstanding is never clean.
+	// Clean reports whether another unit may use the connection. A late response that is
+	// still on the wire would reach the next unit as its own, so a connection with
+	// responses outstanding is never clean.
 	Clean() bool
-	// Spoil marks the connection as not to be used again.
+	// Spoil marks the connection as unusable for further units.
 	Spoil()
-	// SetDeadline bounds every read and write until it is set again.
+	// SetDeadline sets the deadline of all reads and writes until the next call.
 	SetDeadline(t time.Time) error
-	// Run sends the exchange's steps and reads their answers. An error means
-	// that the connection is spoiled and that what was sent may have run, unless
-	// it wraps ErrNotSupported.
+	// Run sends the exchange's steps and reads the responses. After an error the connection
+	// is unusable, and what was sent may have run, unless the error wraps ErrNotSupported.
 	Run(x *Exchange) error
-	// Cancel asks the member, on a connection of its own, to stop what is running.
+	// Cancel asks the member, on a separate connection, to cancel what is running.
 	Cancel(ctx context.Context, d netio.Dialer) error
 	// Check returns an error when the member has closed an idle connection or
 	// sent something on it. It makes no round trip.
 	Check() error
 	// Probe makes one round trip on an idle connection.
 	Probe(ctx context.Context) error
-	// Shutdown ends the connection and returns nil once the member has let it go.
+	// Shutdown closes the connection and returns nil once the member has confirmed it by
+	// closing its end.
 	Shutdown(ctx context.Context) error
 	// Close closes the network connection at once.
 	Close() error
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -6,54 +6,54 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Exchange is one conversation about a unit. The statements and session values
-// that the unit needs are brought onto the connection in front of the steps.
+// Exchange is one request to a member for a unit, and its outcome. Prepared statements and
+// session values that the unit needs are sent before the steps.
 type Exchange struct {
 	Unit  *execution.Unit
 	Steps []Step
-	// Required is the position that the member's log must hold, where the
-	// member can check it: a read at one that lacks it fails as FailureBehind.
-	// Zero demands nothing.
+	// Required is the minimum position of the member's log, for protocols in which the
+	// member checks it: a read fails with FailureBehind if the log is not that far. Zero
+	// means no requirement.
 	Required logpos.Mark
-	// AnswerBuffer is how many bytes of the unit's answer are held before the
-	// first go to Partial.
+	// AnswerBuffer is how many bytes of the unit's response are buffered before they are
+	// passed to Partial.
 	AnswerBuffer int
 	Partial      func([]byte) error
 
 	Outcome
 }
 
-// Outcome is what an Exchange came to.
+// Outcome is the result of an Exchange.
 type Outcome struct {
-	// Messages are the encoded answers to the unit for the caller.
+	// Messages are the encoded responses to the unit for the caller.
 	Messages []byte
-	// Streamed says that a piece of the answer has gone to Partial.
+	// Streamed reports that a piece of the response was passed to Partial.
 	Streamed bool
-	// Completed counts the unit's statements that ended well.
+	// Completed counts the unit's statements that succeeded.
 	Completed int
-	// Failure is the error that ended the unit; nil if it went well.
+	// Failure is the error that ended the unit; nil if it succeeded.
 	Failure *Failure
 	// KeyFailure is the error of a key step.
 	KeyFailure *Failure
-	// KeyOutcome is the row that a FindKey step returned; empty for none.
+	// KeyOutcome is the outcome that a FindKey step read; empty if there is no row.
 	KeyOutcome KeyOutcome
-	// Committed says that the exchange committed something that may have written:
-	// the Commit step did, or the unit itself where the protocol tells.
+	// Committed reports that the exchange committed something that may have written: by its
+	// Commit step, or by the unit itself if the protocol reports that.
 	Committed bool
-	// Report is the member's report behind the unit; nil when it was not asked
-	// for or did not come.
+	// Report is the member's status after the unit; nil when it was not requested or not
+	// received.
 	Report *member.Status
-	// Final is the transaction status after the last step but the report.
+	// Final is the transaction status after the last step other than StepReport.
 	Final Status
-	// Log is the end of the member's log as its answer to the unit told it;
-	// zero where the protocol does not tell.
+	// Log is the end of the member's log as reported in its response to the unit; zero if
+	// the protocol does not report it.
 	Log logpos.Mark
 }
 
 // Status is the transaction status of a connection.
 type Status byte
 
-// Statuses of a connection.
+// Transaction statuses.
 const (
 	// Idle: no transaction is open.
 	Idle Status = 'I'
@@ -63,23 +63,23 @@
 	InFailed Status = 'E'
 )
 
-// FailureKind is what the core has to know of a member's error.
+// FailureKind classifies a member's error by how the core handles it.
 type FailureKind int
 
 // Kinds of failure.
 const (
-	// FailureOther: the statement failed. The caller gets the error as it is.
+	// FailureOther: the statement failed. The caller gets the member's error unchanged.
 	FailureOther FailureKind = iota
-	// FailureReadOnly: the member does not lead and took nothing.
+	// FailureReadOnly: the member is not the primary and wrote nothing.
 	FailureReadOnly
-	// FailureKeyExists: the key's row is there already.
+	// FailureKeyExists: a row for the request key exists already.
 	FailureKeyExists
-	// FailureBehind: the member's log lacks the required position. Nothing ran.
+	// FailureBehind: the member's log has not reached the required position. Nothing ran.
 	FailureBehind
-	// FailureBusy: the member has no room for the statement. Nothing ran.
+	// FailureBusy: the member has no capacity for the statement. Nothing ran.
 	FailureBusy
-	// FailureRan: the statement ran and failed at this member; the same read
-	// may go well at another one.
+	// FailureRan: the statement ran and failed at this member; the same read may succeed at
+	// another one.
 	FailureRan
 )
 
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -1,27 +1,27 @@
 package wire
 
-// StepKind tells what one step of an exchange is for.
+// StepKind is the purpose of one step of an exchange.
 type StepKind int
 
 // Kinds of steps.
 const (
-	// StepBegin opens a transaction of the product's own.
+	// StepBegin starts a transaction that topazrock itself manages.
 	StepBegin StepKind = iota
-	// StepStoreKey stores the row of a request key with an outcome.
+	// StepStoreKey inserts the row of a request key with its outcome.
 	StepStoreKey
-	// StepFindKey looks a key's row up.
+	// StepFindKey reads the row of a request key.
 	StepFindKey
-	// StepUnit is the unit itself.
+	// StepUnit runs the unit itself.
 	StepUnit
-	// StepCommit commits the product's own transaction.
+	// StepCommit commits the transaction of StepBegin.
 	StepCommit
 	// StepRollback rolls back the transaction that is open on the connection.
 	StepRollback
-	// StepReport asks for the member's report.
+	// StepReport requests the member's status.
 	StepReport
 )
 
-// KeyOutcome is what a key's row says of its request.
+// KeyOutcome is the outcome of a request as stored with its request key.
 type KeyOutcome string
 
 // Outcomes of a request key.
@@ -30,10 +30,10 @@
 	KeyBlocked KeyOutcome = "blocked"
 )
 
-// Step is one part of an exchange that the member answers as a whole.
+// Step is one part of an exchange that gets one complete response from the member.
 type Step struct {
 	Kind StepKind
-	// Key is the request key of a key step, and Outcome what to store with it.
+	// Key is the request key of a key step, and Outcome the value that StepStoreKey stores.
 	Key     string
 	Outcome KeyOutcome
 }
