--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -82,8 +82,9 @@
 	return nil
 }
 
-// checkServable returns an error when w cannot be served before its deadline: no connection
-// of the workspace exists, and the member's backoff prevents opening one in time.
+// checkServable returns an error when w must fail at once: no connection of the workspace
+// exists, and the member is in backoff because it could not be reached, or because it is
+// full and will not be tried again before w's deadline or has refused repeatedly.
 func (p *Limited) checkServable(m *memberState, w *waiter) *result.Error {
 	if counts := m.workspaces[w.workspace]; counts != nil && counts.total() > 0 {
 		return nil
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -19,7 +19,7 @@
 	_ = clock.Sleep(context.Background(), clock.System{}, d)
 }
 
-// fill opens n connections and returns them.
+// acquireN acquires n connections and returns them.
 func acquireN(t *testing.T, p *Limited, address string, n int) []wire.Conn {
 	t.Helper()
 	var held []wire.Conn
@@ -29,7 +29,7 @@
 	return held
 }
 
-// releaseAll gives connections back.
+// releaseAll releases connections.
 func releaseAll(p *Limited, held []wire.Conn) {
 	for _, c := range held {
 		p.Release(c)
@@ -37,10 +37,9 @@
 }
 
 func TestIdleConnectionIsEvictedForAnotherMember(t *testing.T) {
-	// The share is full of idle connections to the old primary when the new one
-	// takes over. One of them is closed, and the new one is opened only after
-	// the member let the old one go, so the members never hold more than the
-	// share allows.
+	// The share is used up by idle connections to the old primary when a new one takes
+	// over. One of them is closed, and the new connection is opened only after the member
+	// has confirmed that, so that the members never hold more than the share.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -56,8 +55,8 @@
 }
 
 func TestUnconfirmedCloseCountsUntilTimeout(t *testing.T) {
-	// A close is not confirmed by the member, which may still hold the
-	// connection. Its place is used again only after the hold.
+	// The member does not confirm a close and may still hold the connection. It must count
+	// until the close timeout has passed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -73,8 +72,8 @@
 }
 
 func TestWaitersAreServedInOrderOfDeadline(t *testing.T) {
-	// The share is in use and two callers wait; the one that came second has the
-	// nearer deadline and is served first.
+	// The share is in use and two requests wait; the later one has the earlier deadline and
+	// is served first.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(1)
@@ -99,8 +98,8 @@
 }
 
 func TestLeavingMemberGetsNoNewWork(t *testing.T) {
-	// A member is listed as leaving. Its idle connections are closed at once,
-	// those in use end their work first, waiters and newcomers are refused.
+	// A member is listed as leaving. Its idle connections are closed at once, those in use
+	// after their work, and new requests are refused.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -119,9 +118,9 @@
 }
 
 func TestSettleWaitsForConfirmedCloses(t *testing.T) {
-	// Half of a share is to be lent. Idle connections are closed first, one in
-	// use when it is released; Settle returns only when the members hold no more
-	// than the new limit, so the lender cannot tell too early.
+	// Half of a share is to be lent to another instance. Idle connections are closed first,
+	// those in use when they are released; Settle must return only when the members hold no
+	// more than the new limit, or the share would be lent too early.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -145,8 +144,8 @@
 }
 
 func TestSecondReleaseDoesNotShareAConnection(t *testing.T) {
-	// A connection is released twice by mistake. It must not be handed to two
-	// transactions: their statements would mix on it.
+	// A connection is released twice by mistake. It must not be handed to two transactions:
+	// their statements would mix on it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(3)
@@ -161,7 +160,7 @@
 }
 
 func TestCloseRefusesWaitersAndWaitsForUse(t *testing.T) {
-	// The instance stops. A waiter is told at once; a connection in use ends its
+	// The instance stops. A waiter is refused at once; a connection in use finishes its
 	// work, and Close returns after it was closed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/pool/fake_test.go
+++ b/internal/pool/fake_test.go
@@ -22,31 +22,34 @@
 	secondMember = "10.0.0.2:5432"
 )
 
-// fakeMembers counts the connections that members hold, as the members see it.
+// fakeMembers simulates members and counts the connections that they hold.
 type fakeMembers struct {
 	mu sync.Mutex
-	// held counts by member, sum over all; highest is the highest sum seen.
-	held     map[string]int
-	total    int
-	maxTotal int
-	// openings counts the attempts, concurrent and peak how many ran at once.
+	// connections counts the connections by member, total those of all members; maxTotal is
+	// the highest total seen.
+	connections map[string]int
+	total       int
+	maxTotal    int
+	// openings counts the attempts to open, concurrent those in progress, and maxConcurrent
+	// is the highest number in progress at once.
 	openings      int
 	concurrent    int
 	maxConcurrent int
 	attempts      []time.Time
-	// full members refuse; down ones are out of reach.
+	// full members refuse connections; down ones cannot be reached.
 	full map[string]bool
 	down map[string]bool
-	// silent connections answer no probe; gone ones were closed by the member.
+	// silent connections do not answer probes; the member has closed those in
+	// closedByMember.
 	silent         map[wire.Conn]bool
 	closedByMember map[wire.Conn]bool
-	// unconfirmed makes closings go unanswered.
+	// unconfirmed disables the confirmation of closes.
 	unconfirmed bool
 }
 
 func newFakeMembers() *fakeMembers {
 	return &fakeMembers{
-		held:           make(map[string]int),
+		connections:    make(map[string]int),
 		full:           make(map[string]bool),
 		down:           make(map[string]bool),
 		silent:         make(map[wire.Conn]bool),
@@ -68,7 +71,7 @@
 	if f.down[address] {
 		return nil, errNoAnswer
 	}
-	f.held[address]++
+	f.connections[address]++
 	f.total++
 	f.maxTotal = max(f.maxTotal, f.total)
 	client, _ := net.Pipe()
@@ -90,12 +93,13 @@
 	f.concurrent--
 }
 
-// close lets the member notice after half a round trip and confirm after one.
+// close simulates a member that sees the end of a connection after half a round trip; the
+// confirmation arrives after a whole one.
 func (f *fakeMembers) close(ctx context.Context, c wire.Conn) error {
 	_ = c.Close()
 	_ = clock.Sleep(ctx, clock.System{}, roundTrip/2)
 	f.mu.Lock()
-	f.held[c.Address()]--
+	f.connections[c.Address()]--
 	f.total--
 	unconfirmed := f.unconfirmed
 	f.mu.Unlock()
@@ -126,14 +130,14 @@
 	return nil
 }
 
-// count returns the connections the members hold now.
+// count returns the number of connections that the members hold now.
 func (f *fakeMembers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.total
 }
 
-// newPool returns a pool over the members.
+// newPool returns a pool of connections to the simulated members.
 func (f *fakeMembers) newPool(limit int) *Limited {
 	return New(f.config(limit))
 }
--- a/internal/pool/limited_test.go
+++ b/internal/pool/limited_test.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// acquire returns a connection or ends the test.
+// acquire returns a connection or fails the test.
 func acquire(t *testing.T, p *Limited, address string) wire.Conn {
 	t.Helper()
 	c, err := p.Acquire(t.Context(), address, "")
@@ -22,7 +22,7 @@
 	return c
 }
 
-// code returns the result code of an error.
+// code returns the result code of an error, or 0 if it has none.
 func code(err error) result.Code {
 	if e, ok := result.As(err); ok {
 		return e.Code
@@ -30,7 +30,7 @@
 	return 0
 }
 
-// closePool ends what the pool still runs, so that the bubble can end.
+// closePool closes the pool so that its goroutines end before the synctest bubble does.
 func closePool(t *testing.T, p *Limited) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -55,9 +55,9 @@
 }
 
 func TestConnectionThatIsNotCleanIsClosed(t *testing.T) {
-	// A transaction left state on its connection, or an answer is still on the
-	// wire. The next caller would meet it as its own, so it must get another
-	// connection.
+	// A transaction left session state on its connection, or a response is still on the
+	// wire. The next request must get another connection, or it would inherit the state or
+	// read that response as its own.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(3)
@@ -72,8 +72,8 @@
 }
 
 func TestAcquireFailsAtDeadlineWhenAllAreInUse(t *testing.T) {
-	// All connections of the share are in use and none is released. The caller
-	// gets "too many connections" at its own deadline and not later.
+	// All connections of the share are in use and none is released. The request fails with
+	// "too many connections" exactly at its deadline.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(1)
--- a/internal/pool/main_test.go
+++ b/internal/pool/main_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// batches is how often a state machine is run with another seed. rapid ends a
-// run after a day of virtual time, so one run has a bounded number of checks.
+// batches is how often each state machine test is run, each time with another seed. rapid
+// ends a run after a day, which is virtual time here, so one run has a bounded number of
+// checks.
 var batches = flag.Int("batches", 4, "runs of each state machine, each with its own seed")
 
 // TestMain parses the flags before the tests use them.
@@ -17,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// seedBatch fixes the seed, so that every run gives the same verdict.
+// seedBatch sets a fixed seed for each batch, so that the result is reproducible.
 func seedBatch(batch int) {
 	_ = flag.Set("rapid.seed", strconv.Itoa((batch+1)*1_000_000))
 }
--- a/internal/pool/memberlimit_test.go
+++ b/internal/pool/memberlimit_test.go
@@ -13,9 +13,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// One member hangs, and all that it may have of connections are in use. Statements
-// for the other member still get theirs: the limit is one of each member, and no
-// member's connections are taken from another's.
+// A member hangs while all connections that it may have are in use. Requests for another
+// member must still get theirs: the limit applies to each member on its own.
 func TestFullMemberDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -36,9 +35,9 @@
 	})
 }
 
-// More instances share a member, so that each may hold fewer connections. Idle ones
-// past the new limit are closed at once, and one in use when it comes back: the
-// member resets whoever holds more than its part.
+// More instances share a member, so each may hold fewer connections. Idle ones in excess
+// are closed at once, those in use on release: the member resets connections of instances
+// that hold more than their part.
 func TestLowerMemberLimitClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,9 +61,9 @@
 	})
 }
 
-// A burst opens six connections, after which one at a time is enough. The idle ones
-// are closed within two intervals, and none is kept to spare, so that the member has
-// room when this instance loses power and its successor comes.
+// A burst opens six connections, after which one at a time is enough. The surplus must be
+// closed within two intervals, with no spare kept, so that the member has free connections
+// when this instance loses power and another takes over.
 func TestTrimClosesConnectionsOfABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/pool/metrics.go
+++ b/internal/pool/metrics.go
@@ -9,7 +9,7 @@
 	closedProbeFailed  = "silent"
 	closedByMember     = "closed_by_member"
 	closedLimit        = "limit_lowered"
-	closedSurplus      = "not_needed"
+	closedNotNeeded    = "not_needed"
 	closedForMember    = "room_for_other_member"
 	closedForWorkspace = "room_for_other_workspace"
 	closedShutdown     = "shutdown"
--- a/internal/pool/opening_test.go
+++ b/internal/pool/opening_test.go
@@ -14,9 +14,8 @@
 )
 
 func TestFullMemberIsRetriedWithBackoff(t *testing.T) {
-	// The member refuses one more connection with its own limit. Callers go on
-	// with the connections there are; openings are tried one at a time, with
-	// growing pauses, and never at once.
+	// The member refuses further connections because of its own limit. Requests use the
+	// existing connections; openings are tried one at a time with growing backoff.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -36,7 +35,7 @@
 		}
 		callers.Wait()
 		is.True(len(members.attempts) <= 12)
-		gaps := pausesBetween(members.attempts[DefaultMaxOpening:])
+		gaps := intervalsBetween(members.attempts[DefaultMaxOpening:])
 		is.True(len(gaps) >= 3)
 		for _, gap := range gaps {
 			is.True(gap >= DefaultMinBackoff/2)
@@ -47,8 +46,8 @@
 	})
 }
 
-// pausesBetween returns the times between attempts.
-func pausesBetween(attempts []time.Time) []time.Duration {
+// intervalsBetween returns the intervals between attempts.
+func intervalsBetween(attempts []time.Time) []time.Duration {
 	var gaps []time.Duration
 	for i := 1; i < len(attempts); i++ {
 		gaps = append(gaps, attempts[i].Sub(attempts[i-1]))
@@ -57,9 +56,8 @@
 }
 
 func TestAcquireFailsFastDuringBackoff(t *testing.T) {
-	// No connection to the member opens. The first caller learns it from the
-	// attempt, those that follow at once, with a retry-after, until the pause
-	// is over.
+	// No connection to the member can be opened. The first request fails with the attempt;
+	// those that follow fail at once, with a retry-after, until the backoff has passed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -81,10 +79,10 @@
 }
 
 func TestReconnectionAfterFailoverIsBounded(t *testing.T) {
-	// Four homes lose all connections to the old primary at one instant, and
-	// the callers of each ask for the new primary at that instant. Each home
-	// opens a bounded number at a time, spread by jitter, and all are served
-	// well within a second.
+	// Four pools lose all connections to the old primary at the same time, and requests for
+	// the new primary arrive at each in the same moment. Each pool opens a bounded number
+	// of connections at a time, spread by jitter, and all requests are served well within a
+	// second.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -114,10 +112,10 @@
 	})
 }
 
-// All instances lost power, and the members still count their connections, so that this
-// one's first openings are refused. Statements are told so at once from the second
-// refusal on, and can go elsewhere, instead of waiting for their deadlines; when the
-// member has room again, it is found out within half a second.
+// All instances lost power, and the members still count their connections, so the first
+// openings are refused. From the second refusal on, requests must fail at once, so that
+// they can go to another member instead of waiting for their deadline; when the member
+// accepts connections again, this is detected within half a second.
 func TestAcquireFailsFastWhileMemberIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/pool/machine_test.go
+++ b/internal/pool/statemachine_test.go
@@ -13,23 +13,23 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// machine drives a pool with random steps and holds what it must never do.
+// stateMachine applies random operations to a pool and checks its invariants.
 type stateMachine struct {
 	members *fakeMembers
 	pool    *Limited
 	held    []wire.Conn
-	// settled is the highest sum allowed: limits that were lowered count until
-	// Settle returned.
+	// maxTotal is the highest number of connections that may count now. After the limit was
+	// lowered, the previous limit applies until the pool has closed the excess.
 	maxTotal int
 	acquired chan wire.Conn
-	pending  int
+	waiting  int
 }
 
 func (m *stateMachine) acquire(t *rapid.T) {
 	address := m.address(t)
 	workspace := rapid.SampledFrom([]string{"", "north", "south"}).Draw(t, "workspace")
 	timeout := time.Duration(rapid.IntRange(1, 400).Draw(t, "timeout")) * time.Millisecond
-	m.pending++
+	m.waiting++
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
@@ -53,9 +53,9 @@
 		c.Spoil()
 	}
 	m.pool.Release(c)
-	// With waiters the connection may be in use again, and a second Release
-	// would be that of its new user.
-	if m.pending == 0 && rapid.Bool().Draw(t, "twice") {
+	// If there are waiters, the connection may be in use again, and a second Release would
+	// be that of its new user.
+	if m.waiting == 0 && rapid.Bool().Draw(t, "twice") {
 		m.pool.Release(c)
 	}
 }
@@ -103,11 +103,12 @@
 	m.pool.SetLimit(n)
 }
 
-// check collects what was acquired and compares the pool with the members.
+// check collects the acquired connections and compares the pool's counts with those of the
+// members.
 func (m *stateMachine) check(t *rapid.T) {
 	synctest.Wait()
 	for len(m.acquired) > 0 {
-		m.pending--
+		m.waiting--
 		if c := <-m.acquired; c != nil {
 			if slices.Contains(m.held, c) {
 				t.Fatalf("one connection was handed out twice")
@@ -133,12 +134,13 @@
 	}
 }
 
-// finish releases all and closes the pool, which must end with nothing held.
+// finish releases all connections and closes the pool; no member may hold a connection
+// afterwards.
 func (m *stateMachine) finish(t *rapid.T) {
 	sleep(time.Second)
 	m.check(t)
-	if m.pending != 0 {
-		t.Fatalf("%d callers wait past their deadline", m.pending)
+	if m.waiting != 0 {
+		t.Fatalf("%d callers wait past their deadline", m.waiting)
 	}
 	for _, c := range m.held {
 		m.pool.Release(c)
@@ -154,10 +156,10 @@
 }
 
 func TestPoolNeverPassesItsLimit(t *testing.T) {
-	// Random callers, faults of members, limits and leaving members. At no
-	// moment do the members hold more connections than the pool counts, nor the
-	// pool count more than its limit (the last one before a lowering that has
-	// not settled); no connection is ever in two hands.
+	// Random requests, member faults, limit changes and leaving members. At no time may the
+	// members hold more connections than the pool counts, or the pool count more than its
+	// limit (the previous one until the excess is closed), or one connection be handed out
+	// twice.
 	for batch := range *batches {
 		t.Run(strconv.Itoa(batch), func(t *testing.T) {
 			seedBatch(batch)
@@ -185,10 +187,10 @@
 	})
 }
 
-// bubble hides the methods of a test that must not be called in a bubble.
+// bubble hides the methods of testing.T that must not be called in a synctest bubble.
 type bubble struct{ testing.TB }
 
-// abandon ends the pool's goroutines, also after a failure.
+// stopPool ends the pool's goroutines, also after a failure.
 func (m *stateMachine) stopPool() {
 	m.pool.stop()
 	sleep(time.Minute)
--- a/internal/pool/suspect_test.go
+++ b/internal/pool/suspect_test.go
@@ -12,10 +12,10 @@
 )
 
 func TestSilentConnectionIsProbedBeforeUse(t *testing.T) {
-	// Something between the two ends lost track of all connections older than a
-	// moment; new ones work. One caller meets the silence. All idle ones of that
-	// age are probed side by side and closed, and the next caller waits for one
-	// new connection and not for a statement timeout on each old one.
+	// A network device has dropped the state of all connections older than a certain time;
+	// new ones work. After one request has detected it, all idle connections of that age
+	// are probed concurrently and closed, so that the next request waits for one new
+	// connection and not for a statement timeout on each old one.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -40,10 +40,10 @@
 }
 
 func TestFailedOpeningMakesOldConnectionsSuspect(t *testing.T) {
-	// A member's machine is gone without a word: its idle connections are silent
-	// and new ones fail. The first failed opening has the idle ones probed and
-	// closed, so that no statement is sent on one and their places are free for
-	// the new primary.
+	// A member's machine fails without closing its connections: idle ones do not respond
+	// and new ones cannot be opened. The first failed opening causes the idle ones to be
+	// probed and closed, so that no statement is sent on them and the new primary can use
+	// their part of the limit.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -67,8 +67,8 @@
 }
 
 func TestSuspectConnectionThatAnswersIsKept(t *testing.T) {
-	// One connection went silent, others of its age did not. Those that answer
-	// the probe are used again; one in use is probed when it is released.
+	// One connection stopped responding, others of the same age did not. Those that answer
+	// the probe are reused; one in use is probed on release.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -88,9 +88,9 @@
 }
 
 func TestConnectionClosedByMemberIsNotHandedOut(t *testing.T) {
-	// The member restarted and closed its end of an idle connection. A
-	// statement sent on it would be answered "outcome unknown" although it never
-	// ran; the caller gets a new connection in its place.
+	// The member restarted and closed its end of an idle connection. A statement sent on it
+	// would end as "outcome unknown" although it never ran; the request must get a new
+	// connection instead.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
--- a/internal/pool/trim.go
+++ b/internal/pool/trim.go
@@ -30,7 +30,7 @@
 		surplus := min(counts.minIdle, counts.idle, counts.total()-1)
 		for range surplus {
 			p.idle--
-			p.startClose(m.popOldestIdleOf(workspace), closedSurplus)
+			p.startClose(m.popOldestIdleOf(workspace), closedNotNeeded)
 		}
 		counts.minIdle = counts.idle
 	}
--- a/internal/pool/workspaces_test.go
+++ b/internal/pool/workspaces_test.go
@@ -12,8 +12,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// withPool runs f in virtual time with a pool whose part of each member is bounded; zero bounds
-// nothing.
+// withPool runs f in virtual time with a pool that may hold perMember connections to each
+// member; zero means no limit.
 func withPool(t *testing.T, perMember int, f func(t *testing.T, is *is.I, members *fakeMembers, p *Limited)) {
 	synctest.Test(t, func(t *testing.T) {
 		members := newFakeMembers()
@@ -24,7 +24,7 @@
 	})
 }
 
-// acquireFor takes a connection of a workspace.
+// acquireFor acquires a connection of a workspace or fails the test.
 func acquireFor(t *testing.T, p *Limited, workspace string) wire.Conn {
 	t.Helper()
 	c, err := p.Acquire(t.Context(), firstMember, workspace)
@@ -34,7 +34,7 @@
 	return c
 }
 
-// Guards against a connection that serves another workspace than the one it was opened for.
+// A connection must not serve another workspace than the one that it was opened for.
 func TestConnectionServesItsWorkspaceAlone(t *testing.T) {
 	withPool(t, 0, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		north := acquireFor(t, p, "north")
@@ -49,8 +49,8 @@
 	})
 }
 
-// Guards against a workspace that waits for ever at a member whose whole part is idle in the
-// hands of others: the connection idle longest makes room, and no more than the part is held.
+// A workspace must not wait forever at a member where all connections are idle ones of
+// other workspaces: the least recently used one is closed, and the limit is never exceeded.
 func TestLeastRecentlyUsedIsEvictedForAnotherWorkspace(t *testing.T) {
 	withPool(t, 3, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		for _, workspace := range []string{"a", "b", "c"} {
@@ -69,7 +69,8 @@
 	})
 }
 
-// Guards against room that is made from a workspace whose own statement waits for it.
+// An idle connection must not be closed for another workspace while a request of its own
+// workspace waits for it.
 func TestConnectionWithAWaiterMakesNoRoom(t *testing.T) {
 	withPool(t, 1, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
 		held := acquireFor(t, p, "a")
@@ -93,8 +94,8 @@
 	})
 }
 
-// Guards against a trim that closes the one connection of a workspace that comes back every
-// few seconds.
+// Trimming must not close the only connection of a workspace that is used every few
+// seconds.
 func TestTrimKeepsOneConnectionPerWorkspace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -115,7 +116,7 @@
 	})
 }
 
-// Guards against callers of many workspaces who starve each other of a member's part: each is
+// Requests of many workspaces must not starve each other at a member's limit: each is
 // served within a few openings.
 func TestManyWorkspacesTakeTurns(t *testing.T) {
 	withPool(t, 6, func(t *testing.T, is *is.I, members *fakeMembers, p *Limited) {
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -20,7 +20,7 @@
 	// none.
 	ErrRefused = errors.New("member refused the connection")
 	// ErrFull reports that the member currently accepts no more connections.
-	ErrFull = fmt.Errorf("%w: it takes no more", ErrRefused)
+	ErrFull = fmt.Errorf("%w: too many connections", ErrRefused)
 	// ErrNotSupported reports that the member's protocol has no such step. Nothing was
 	// sent.
 	ErrNotSupported = errors.New("the member's protocol has no such step")
