--- a/internal/pool/opening_test.go
+++ b/internal/pool/opening_test.go
@@ -13,10 +13,9 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-func TestTooManyConnectionsIsBackPressure(t *testing.T) {
-	// The member refuses one more connection with its own limit. Callers go on
-	// with the connections there are; openings are tried one at a time, with
-	// growing pauses, and never at once.
+func TestFullMemberIsRetriedWithBackoff(t *testing.T) {
+	// The member refuses further connections because of its own limit. Requests use the
+	// existing connections; openings are tried one at a time with growing backoff.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -27,19 +26,19 @@
 		members.attempts = nil
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		var all sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			callers.Go(func() {
 				_, err := p.Acquire(ctx, firstMember, "")
 				is.Equal(code(err), result.TooManyConnections)
 			})
 		}
-		all.Wait()
+		callers.Wait()
 		is.True(len(members.attempts) <= 12)
-		gaps := pausesBetween(members.attempts[DefaultMaxOpening:])
+		gaps := intervalsBetween(members.attempts[DefaultMaxOpening:])
 		is.True(len(gaps) >= 3)
 		for _, gap := range gaps {
-			is.True(gap >= DefaultMinPause/2)
+			is.True(gap >= DefaultMinBackoff/2)
 		}
 		is.True(gaps[len(gaps)-1] > 4*gaps[0])
 		members.full[firstMember] = false
@@ -47,8 +46,8 @@
 	})
 }
 
-// pausesBetween returns the times between attempts.
-func pausesBetween(attempts []time.Time) []time.Duration {
+// intervalsBetween returns the intervals between attempts.
+func intervalsBetween(attempts []time.Time) []time.Duration {
 	var gaps []time.Duration
 	for i := 1; i < len(attempts); i++ {
 		gaps = append(gaps, attempts[i].Sub(attempts[i-1]))
@@ -56,10 +55,9 @@
 	return gaps
 }
 
-func TestUnreachableMemberIsRefusedAtOnceDuringThePause(t *testing.T) {
-	// No connection to the member opens. The first caller learns it from the
-	// attempt, those that follow at once, with a retry-after, until the pause
-	// is over.
+func TestAcquireFailsFastDuringBackoff(t *testing.T) {
+	// No connection to the member can be opened. The first request fails with the attempt;
+	// those that follow fail at once, with a retry-after, until the backoff has passed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -73,18 +71,18 @@
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.UpstreamUnreachable)
 		is.Equal(time.Since(began), time.Duration(0))
-		is.True(e.RetryAfter >= DefaultMinPause/2)
+		is.True(e.RetryAfter >= DefaultMinBackoff/2)
 		members.down[firstMember] = false
-		after(e.RetryAfter)
+		sleep(e.RetryAfter)
 		p.Release(acquire(t, p, firstMember))
 	})
 }
 
-func TestReconnectionAfterFailoverIsNoStorm(t *testing.T) {
-	// Four homes lose all connections to the old primary at one instant, and
-	// the callers of each ask for the new primary at that instant. Each home
-	// opens a bounded number at a time, spread by jitter, and all are served
-	// well within a second.
+func TestReconnectionAfterFailoverIsBounded(t *testing.T) {
+	// Four pools lose all connections to the old primary at the same time, and requests for
+	// the new primary arrive at each in the same moment. Each pool opens a bounded number
+	// of connections at a time, spread by jitter, and all requests are served well within a
+	// second.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -95,30 +93,30 @@
 			pools = append(pools, p)
 		}
 		began := time.Now()
-		var all sync.WaitGroup
+		var callers sync.WaitGroup
 		for _, p := range pools {
 			for range 10 {
-				all.Go(func() {
+				callers.Go(func() {
 					c, err := p.Acquire(context.Background(), secondMember, "")
 					is.NoErr(err)
-					after(time.Second)
+					sleep(time.Second)
 					p.Release(c)
 				})
 			}
 		}
-		all.Wait()
-		t.Logf("40 connections, at most %d at once, last use ended after %v", members.peak, time.Since(began))
-		is.True(members.peak <= 4*DefaultMaxOpening)
+		callers.Wait()
+		t.Logf("40 connections, at most %d at once, last use ended after %v", members.maxConcurrent, time.Since(began))
+		is.True(members.maxConcurrent <= 4*DefaultMaxOpening)
 		is.True(time.Since(began) < 1200*time.Millisecond)
 		is.Equal(members.openings, 40)
 	})
 }
 
-// All instances lost power, and the members still count their connections, so that this
-// one's first openings are refused. Statements are told so at once from the second
-// refusal on, and can go elsewhere, instead of waiting for their deadlines; when the
-// member has room again, it is found out within half a second.
-func TestMemberThatStaysFullIsPassedByAtOnce(t *testing.T) {
+// All instances lost power, and the members still count their connections, so the first
+// openings are refused. From the second refusal on, requests must fail at once, so that
+// they can go to another member instead of waiting for their deadline; when the member
+// accepts connections again, this is detected within half a second.
+func TestAcquireFailsFastWhileMemberIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -130,20 +128,20 @@
 		began := time.Now()
 		_, err := p.Acquire(ctx, firstMember, "")
 		is.Equal(code(err), result.TooManyConnections)
-		is.True(time.Since(began) < 4*DefaultMinPause)
+		is.True(time.Since(began) < 4*DefaultMinBackoff)
 		is.True(p.Full(firstMember))
 		is.True(!p.Full(secondMember))
 		for range 100 {
 			began = time.Now()
 			_, err := p.Acquire(ctx, firstMember, "")
 			is.Equal(code(err), result.TooManyConnections)
-			is.True(time.Since(began) <= maxFullPause)
+			is.True(time.Since(began) <= maxFullBackoff)
 			_ = clock.Sleep(t.Context(), clock.System{}, 100*time.Millisecond)
 		}
 		members.mu.Lock()
 		members.full[firstMember] = false
 		members.mu.Unlock()
-		free := time.Now()
+		freedAt := time.Now()
 		for {
 			c, err := p.Acquire(t.Context(), firstMember, "")
 			if err == nil {
@@ -152,6 +150,6 @@
 			}
 			_ = clock.Sleep(t.Context(), clock.System{}, 10*time.Millisecond)
 		}
-		is.True(time.Since(free) < 500*time.Millisecond)
+		is.True(time.Since(freedAt) < 500*time.Millisecond)
 	})
 }
