--- a/internal/config/adopt.go
+++ b/internal/config/adopt.go
@@ -8,41 +8,41 @@
 
 // adopt puts a version in force if it is higher than the one in force and
 // passes its checks, and spreads it in that case.
-func (s *Store) adopt(name string, e Envelope, from Source) Arrival {
-	arrival := s.take(name, e)
-	s.metrics.arrivals.WithLabelValues(string(from), string(arrival)).Inc()
-	switch arrival {
+func (s *Store) adoptVersion(name string, e Envelope, from Source) AdoptResult {
+	result := s.installVersion(name, e)
+	s.metrics.arrivals.WithLabelValues(string(from), string(result)).Inc()
+	switch result {
 	case Adopted:
 		s.log.Info("Document in force.", "service", name, "version", e.Version, "by", e.By, "from", from)
-		s.spread(name)
+		s.queuePush(name)
 	case Lower:
 		s.log.Warn("Lower version ignored.", "service", name, "version", e.Version, "from", from)
 	case Diverged:
 		s.log.Error("Two changes carry the same version. The one in force stays.",
 			"service", name, "version", e.Version, "ignored", e.ID, "from", from)
 	}
-	return arrival
+	return result
 }
 
-func (s *Store) take(name string, e Envelope) Arrival {
-	if arrival, done := s.judge(name, e.Change); done {
-		return arrival
+func (s *Store) installVersion(name string, e Envelope) AdoptResult {
+	if result, done := s.classifyChange(name, e.Change); done {
+		return result
 	}
 	service, err := parse(name, e.Text)
 	if err != nil {
-		s.refuse(name, e.Change, err)
+		s.rejectVersion(name, e.Change, err)
 		return Invalid
 	}
-	s.adoption.Lock()
-	defer s.adoption.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	// Another version may have come in force while this one was parsed.
-	if arrival, done := s.judge(name, e.Change); done {
-		return arrival
+	if result, done := s.classifyChange(name, e.Change); done {
+		return result
 	}
 	a := Applied{Name: name, Envelope: e, Service: service}
 	s.mu.Lock()
-	s.table.put(a)
-	delete(s.refused, name)
+	s.table.putDocument(a)
+	delete(s.rejected, name)
 	s.mu.Unlock()
 	s.metrics.version.WithLabelValues(name).Set(float64(e.Version))
 	for _, f := range s.subscribers {
@@ -53,7 +53,7 @@
 
 // judge compares an arriving change with what is in force. done is false when
 // the change is higher and its text is worth checking.
-func (s *Store) judge(name string, c Change) (arrival Arrival, done bool) {
+func (s *Store) classifyChange(name string, c Change) (result AdoptResult, done bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	current := s.table.documents[name].Change
@@ -64,7 +64,7 @@
 		return Diverged, true
 	case c.Version == current.Version:
 		return Known, true
-	case s.refused[name] == c:
+	case s.rejected[name] == c:
 		return Invalid, true
 	default:
 		return Adopted, false
@@ -85,10 +85,10 @@
 
 // refuse remembers a version that did not pass its checks. What is in force
 // stays: a faulty text must not take a service down.
-func (s *Store) refuse(name string, c Change, err error) {
+func (s *Store) rejectVersion(name string, c Change, err error) {
 	s.mu.Lock()
-	if s.refused[name].Version <= c.Version {
-		s.refused[name] = c
+	if s.rejected[name].Version <= c.Version {
+		s.rejected[name] = c
 	}
 	s.mu.Unlock()
 	s.log.Error("Document kept out.", "service", name, "version", c.Version, "error", err)
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// applyBound is how long an operator waits for a lost answer to be settled.
-	applyBound = 8 * time.Second
-	// applyPause is the time between two attempts to settle.
-	applyPause = 200 * time.Millisecond
-	// applyAttempts bounds the attempts of a change that keeps meeting other
+	// applyTimeout is how long an operator waits for a lost answer to be settled.
+	applyTimeout = 8 * time.Second
+	// applyRetryInterval is the time between two attempts to settle.
+	applyRetryInterval = 200 * time.Millisecond
+	// maxApplyAttempts bounds the attempts of a change that keeps meeting other
 	// updates of the object.
-	applyAttempts = 64
+	maxApplyAttempts = 64
 )
 
 // attempt is one change on its way to the platform.
-type attempt struct {
+type applyAttempt struct {
 	name      string
 	text      string
 	change    Change
 	ifVersion int64
-	// lost says that an update was sent on object version sentOn and its answer
+	// lost says that an update was sent on object version sentAtVersion and its answer
 	// did not come, so that it may still take effect.
-	lost   bool
-	sentOn int64
+	inDoubt       bool
+	sentAtVersion int64
 }
 
 // Check parses a document as Apply would and stores nothing. Its error is a
@@ -65,14 +65,14 @@
 	if err := s.Check(name, text); err != nil {
 		return Outcome{}, err
 	}
-	if !s.peersTried() {
+	if !s.triedPeer() {
 		// The platform may have lost versions that peers still hold.
-		s.repairOnce(ctx)
+		s.repairWithRandomPeer(ctx)
 	}
-	a := &attempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
-	bounded, cancel := context.WithTimeout(ctx, applyBound)
+	a := &applyAttempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
+	bounded, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	outcome := s.run(bounded, a)
+	outcome := s.applyUntilResolved(bounded, a)
 	outcome.ChangeID = a.change.ID
 	s.metrics.applies.WithLabelValues(string(outcome.State)).Inc()
 	s.log.Info("Change.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
@@ -88,68 +88,68 @@
 
 // run tries until the outcome is proved, or until ctx ends or the attempts are
 // spent.
-func (s *Store) run(ctx context.Context, a *attempt) Outcome {
+func (s *Store) applyUntilResolved(ctx context.Context, a *applyAttempt) Outcome {
 	var err error
-	for range applyAttempts {
+	for range maxApplyAttempts {
 		var outcome Outcome
 		var done bool
-		if outcome, done, err = s.try(ctx, a); done {
+		if outcome, done, err = s.applyOnce(ctx, a); done {
 			return outcome
 		}
-		if clock.Sleep(ctx, s.options.Clock, s.jittered(applyPause)) != nil {
+		if clock.Sleep(ctx, s.options.Clock, s.jittered(applyRetryInterval)) != nil {
 			break
 		}
 	}
-	if !a.lost {
+	if !a.inDoubt {
 		return Outcome{State: NoEffect, Detail: fmt.Sprint(err)}
 	}
-	s.settleLater(a)
+	s.queuePending(a)
 	return Outcome{State: Settling, Detail: fmt.Sprint(err)}
 }
 
 // try reads the document and, where the outcome is still open, sends the
 // update once. done is false when it must be tried again.
-func (s *Store) try(ctx context.Context, a *attempt) (o Outcome, done bool, err error) {
+func (s *Store) applyOnce(ctx context.Context, a *applyAttempt) (o Outcome, done bool, err error) {
 	b, err := s.readBase(ctx, a.name)
 	if err != nil {
-		return Outcome{State: NoEffect, Detail: err.Error()}, !a.lost, err
+		return Outcome{State: NoEffect, Detail: err.Error()}, !a.inDoubt, err
 	}
-	if outcome, settled := s.verdict(a, b); settled {
+	if outcome, settled := s.resolveOutcome(a, b); settled {
 		return outcome, true, nil
 	}
 	// The object has moved on without the change: an update sent on its older
 	// version can no longer take effect.
-	if a.lost && b.object != a.sentOn {
-		a.lost = false
+	if a.inDoubt && b.objectVersion != a.sentAtVersion {
+		a.inDoubt = false
 	}
-	next := b.next(a.change, a.text)
-	err = s.putEnvelope(ctx, a.name, next, b.object)
+	next := b.withChange(a.change, a.text)
+	err = s.putEnvelope(ctx, a.name, next, b.objectVersion)
 	switch {
 	case err == nil:
-		s.adopt(a.name, next, FromApply)
+		s.adoptVersion(a.name, next, FromApply)
 		return Outcome{State: Accepted, Version: next.Version, By: next.By}, true, nil
 	case errors.Is(err, platform.ErrConflict):
 		return Outcome{}, false, err
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, errValueTooLarge):
-		return Outcome{State: NoEffect, Detail: err.Error()}, !a.lost, err
+		return Outcome{State: NoEffect, Detail: err.Error()}, !a.inDoubt, err
 	default:
-		a.lost, a.sentOn = true, b.object
+		a.inDoubt, a.sentAtVersion = true, b.objectVersion
 		return Outcome{}, false, err
 	}
 }
 
 // verdict tells what became of a change from the document as it stands. It is
 // not settled while the version that the change was made from still stands.
-func (s *Store) verdict(a *attempt, b base) (Outcome, bool) {
+func (s *Store) resolveOutcome(a *applyAttempt, b baseDocument) (Outcome, bool) {
 	if b.Version == a.ifVersion {
 		return Outcome{}, false
 	}
-	maker, known := b.find(a.change.Version)
+	stored, known := b.findChange(a.change.Version)
 	switch {
-	case known && maker.ID == a.change.ID:
-		s.adopt(a.name, b.Envelope, FromPlatform)
-		return Outcome{State: Accepted, Version: maker.Version, By: maker.By}, true
-	case known || !a.lost:
+	case known && stored.ID == a.change.ID:
+		s.adoptVersion(a.name, b.Envelope, FromPlatform)
+		return Outcome{State: Accepted, Version: stored.Version, By: stored.By}, true
+	case known || !a.inDoubt:
 		return Outcome{State: NotAccepted, Version: b.Version, By: b.By}, true
 	default:
 		// The history does not reach back to the change's version.
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -17,12 +17,12 @@
 )
 
 // withOrders runs a test on three instances that have version 1 of orders.
-func withOrders(t *testing.T, test func(is *is.I, f *fleet)) {
+func withOrders(t *testing.T, test func(is *is.I, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.all("orders", 1, 2*time.Second)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.waitForVersion("orders", 1, 2*time.Second)
 		test(is.New(t), f)
 	})
 }
@@ -31,13 +31,13 @@
 // one moment. One is told that the change is accepted; each of the others is
 // told which version stands and by whom.
 func TestOperatorsRace(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
+	withOrders(t, func(is *is.I, f *testFleet) {
 		outcomes := make([]Outcome, 8)
 		var race sync.WaitGroup
 		for i := range outcomes {
 			race.Go(func() {
-				n := f.nodes[i%len(f.nodes)]
-				outcomes[i], _ = n.Apply(f.t.Context(), "orders", text("orders", 10+i), 1, string(rune('a'+i)))
+				n := f.instances[i%len(f.instances)]
+				outcomes[i], _ = n.Apply(f.t.Context(), "orders", documentText("orders", 10+i), 1, string(rune('a'+i)))
 			})
 		}
 		race.Wait()
@@ -54,8 +54,8 @@
 			is.Equal(o.By, string(rune('a'+winner)))
 			is.True(i == winner || o.State == NotAccepted)
 		}
-		f.all("orders", 2, time.Second)
-		a, _ := f.nodes[0].Current("orders")
+		f.waitForVersion("orders", 2, time.Second)
+		a, _ := f.instances[0].Current("orders")
 		is.Equal(a.Service.Groups[0].Slots, 10+winner)
 	})
 }
@@ -63,38 +63,38 @@
 // The platform takes a change and its answer is lost. The operator is told
 // that the change is accepted, because the stored document carries its ID.
 func TestLostAnswerOfAChangeThatTookEffect(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		f.nodes[0].gate.intercept(1, lostAfter)
-		is.Equal(f.apply(f.nodes[0], "orders", 3, 1).Version, int64(2))
-		f.all("orders", 2, time.Second)
+	withOrders(t, func(is *is.I, f *testFleet) {
+		f.instances[0].link.interceptPuts(1, loseAnswer)
+		is.Equal(f.mustApply(f.instances[0], "orders", 3, 1).Version, int64(2))
+		f.waitForVersion("orders", 2, time.Second)
 	})
 }
 
 // The answer of a change that took effect is lost, and before the instance
 // reads again, another operator has changed the document further. The first
 // change was accepted all the same, and the history says so.
-func TestLostAnswerOverwrittenMeanwhile(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		f.nodes[0].gate.intercept(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
+func TestLostAnswerThenOverwritten(t *testing.T) {
+	withOrders(t, func(is *is.I, f *testFleet) {
+		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
 			_, _ = forward()
-			f.apply(f.nodes[1], "orders", 9, 2)
+			f.mustApply(f.instances[1], "orders", 9, 2)
 			return platform.Object{}, platform.ErrOutcomeUnknown
 		})
-		o := f.apply(f.nodes[0], "orders", 3, 1)
+		o := f.mustApply(f.instances[0], "orders", 3, 1)
 		is.Equal(o.Version, int64(2))
-		f.all("orders", 3, time.Second)
+		f.waitForVersion("orders", 3, time.Second)
 	})
 }
 
 // A change is lost before it reaches the platform, and another operator's is
 // stored in its place. The first is told that it was not accepted.
-func TestLostChangeMeetsAnother(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		f.nodes[0].gate.intercept(1, func(func() (platform.Object, error)) (platform.Object, error) {
-			f.apply(f.nodes[1], "orders", 9, 1)
+func TestLostChangeIsSupersededByAnother(t *testing.T) {
+	withOrders(t, func(is *is.I, f *testFleet) {
+		f.instances[0].link.interceptPuts(1, func(func() (platform.Object, error)) (platform.Object, error) {
+			f.mustApply(f.instances[1], "orders", 9, 1)
 			return platform.Object{}, platform.ErrOutcomeUnknown
 		})
-		o, err := f.nodes[0].Apply(f.t.Context(), "orders", text("orders", 3), 1, "bia")
+		o, err := f.instances[0].Apply(f.t.Context(), "orders", documentText("orders", 3), 1, "bia")
 		is.NoErr(err)
 		is.Equal(o.State, NotAccepted)
 		is.Equal(o.Version, int64(2))
@@ -105,20 +105,20 @@
 // A change is lost on its way, twice. It is sent again under the same
 // condition and takes effect once.
 func TestLostChangeIsSentAgain(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		f.nodes[0].gate.intercept(2, lostBefore)
-		is.Equal(f.apply(f.nodes[0], "orders", 3, 1).Version, int64(2))
-		f.all("orders", 2, time.Second)
+	withOrders(t, func(is *is.I, f *testFleet) {
+		f.instances[0].link.interceptPuts(2, loseRequest)
+		is.Equal(f.mustApply(f.instances[0], "orders", 3, 1).Version, int64(2))
+		f.waitForVersion("orders", 2, time.Second)
 	})
 }
 
 // The platform cannot be reached. Nothing was sent, so the operator is told at
 // once that the change did not take effect.
 func TestApplyDuringOutage(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
+	withOrders(t, func(is *is.I, f *testFleet) {
 		f.platform.SetFaults(standin.Faults{Outage: true})
 		start := time.Now()
-		o, err := f.nodes[0].Apply(f.t.Context(), "orders", text("orders", 3), 1, "ana")
+		o, err := f.instances[0].Apply(f.t.Context(), "orders", documentText("orders", 3), 1, "ana")
 		is.NoErr(err)
 		is.Equal(o.State, NoEffect)
 		is.True(time.Since(start) < time.Second)
@@ -132,21 +132,21 @@
 // read again. The operator is told that the outcome is unknown and still
 // settling; after the outage the change is found to have taken effect.
 func TestSettlingEndsInAccepted(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		f.nodes[0].gate.intercept(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
+	withOrders(t, func(is *is.I, f *testFleet) {
+		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
 			defer f.platform.SetFaults(standin.Faults{Outage: true})
-			return lostAfter(forward)
+			return loseAnswer(forward)
 		})
-		o, err := f.nodes[0].Apply(f.t.Context(), "orders", text("orders", 3), 1, "ana")
+		o, err := f.instances[0].Apply(f.t.Context(), "orders", documentText("orders", 3), 1, "ana")
 		is.NoErr(err)
 		is.Equal(o.State, Settling)
 		time.Sleep(time.Minute)
-		_, known := f.nodes[0].Settled(o.ChangeID)
+		_, known := f.instances[0].Settled(o.ChangeID)
 		is.True(!known)
 		f.platform.SetFaults(standin.Faults{})
-		f.all("orders", 2, 10*time.Second)
-		time.Sleep(2 * settleBeat)
-		settled, known := f.nodes[0].Settled(o.ChangeID)
+		f.waitForVersion("orders", 2, 10*time.Second)
+		time.Sleep(2 * settleInterval)
+		settled, known := f.instances[0].Settled(o.ChangeID)
 		is.True(known)
 		is.Equal(settled.State, Accepted)
 		is.Equal(settled.Version, int64(2))
@@ -157,22 +157,22 @@
 // is settled as without effect, and from then on it must not take effect even
 // when the delayed update arrives at the platform at last.
 func TestSettledWithoutEffectStaysWithoutEffect(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		var arrive func() (platform.Object, error)
-		ctx, hangUp := context.WithCancel(f.t.Context())
-		f.nodes[0].gate.intercept(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
-			arrive = forward
-			hangUp()
+	withOrders(t, func(is *is.I, f *testFleet) {
+		var deliver func() (platform.Object, error)
+		ctx, cancelApply := context.WithCancel(f.t.Context())
+		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
+			deliver = forward
+			cancelApply()
 			return platform.Object{}, platform.ErrOutcomeUnknown
 		})
-		o, err := f.nodes[0].Apply(ctx, "orders", text("orders", 3), 1, "ana")
+		o, err := f.instances[0].Apply(ctx, "orders", documentText("orders", 3), 1, "ana")
 		is.NoErr(err)
 		is.Equal(o.State, Settling)
 		time.Sleep(10 * time.Second)
-		settled, known := f.nodes[0].Settled(o.ChangeID)
+		settled, known := f.instances[0].Settled(o.ChangeID)
 		is.True(known)
 		is.Equal(settled.State, NoEffect)
-		_, err = arrive()
+		_, err = deliver()
 		is.True(errors.Is(err, platform.ErrConflict))
 		time.Sleep(10 * time.Second)
 		is.Equal(f.versions("orders"), []int64{1, 1, 1})
@@ -182,52 +182,52 @@
 // The same happens to the first version of a document, where there is nothing
 // yet that could be stored once more.
 func TestSettledWithoutEffectBeforeTheFirstVersion(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		var arrive func() (platform.Object, error)
-		ctx, hangUp := context.WithCancel(f.t.Context())
-		f.nodes[0].gate.intercept(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
-			arrive = forward
-			hangUp()
+	withOrders(t, func(is *is.I, f *testFleet) {
+		var deliver func() (platform.Object, error)
+		ctx, cancelApply := context.WithCancel(f.t.Context())
+		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
+			deliver = forward
+			cancelApply()
 			return platform.Object{}, platform.ErrOutcomeUnknown
 		})
-		o, _ := f.nodes[0].Apply(ctx, "stock", text("stock", 3), 0, "ana")
+		o, _ := f.instances[0].Apply(ctx, "stock", documentText("stock", 3), 0, "ana")
 		is.Equal(o.State, Settling)
 		time.Sleep(10 * time.Second)
-		settled, _ := f.nodes[0].Settled(o.ChangeID)
+		settled, _ := f.instances[0].Settled(o.ChangeID)
 		is.Equal(settled.State, NoEffect)
-		_, err := arrive()
+		_, err := deliver()
 		is.True(errors.Is(err, platform.ErrConflict))
-		_, err = f.nodes[1].Newest(f.t.Context(), "stock")
+		_, err = f.instances[1].Newest(f.t.Context(), "stock")
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.NotFound)
-		is.Equal(f.apply(f.nodes[1], "stock", 4, 0).Version, int64(1))
-		f.all("stock", 1, time.Second)
+		is.Equal(f.mustApply(f.instances[1], "stock", 4, 0).Version, int64(1))
+		f.waitForVersion("stock", 1, time.Second)
 	})
 }
 
 func TestApplyRefusesWhatIsNotValid(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
-		for _, bad := range []string{"[service]\nname = orders\n", text("stock", 2), ""} {
-			_, err := f.nodes[0].Apply(f.t.Context(), "orders", bad, 1, "ana")
+	withOrders(t, func(is *is.I, f *testFleet) {
+		for _, bad := range []string{"[service]\nname = orders\n", documentText("stock", 2), ""} {
+			_, err := f.instances[0].Apply(f.t.Context(), "orders", bad, 1, "ana")
 			e, ok := result.As(err)
 			is.True(ok)
 			is.Equal(e.Code, result.DocumentInvalid)
 		}
-		_, err := f.nodes[0].Apply(f.t.Context(), "orders", "[service]\n", 1, "ana")
+		_, err := f.instances[0].Apply(f.t.Context(), "orders", "[service]\n", 1, "ana")
 		var problems inifile.Problems
 		is.True(errors.As(err, &problems))
-		_, err = f.nodes[0].Apply(f.t.Context(), "no/name", text("orders", 2), 1, "ana")
+		_, err = f.instances[0].Apply(f.t.Context(), "no/name", documentText("orders", 2), 1, "ana")
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.BadAdminRequest)
 	})
 }
 
 func TestHistory(t *testing.T) {
-	withOrders(t, func(is *is.I, f *fleet) {
+	withOrders(t, func(is *is.I, f *testFleet) {
 		for v := int64(1); v < maxHistory+10; v++ {
-			f.apply(f.nodes[int(v)%3], "orders", 2, v)
+			f.mustApply(f.instances[int(v)%3], "orders", 2, v)
 		}
-		changes, err := f.nodes[1].History(f.t.Context(), "orders")
+		changes, err := f.instances[1].History(f.t.Context(), "orders")
 		is.NoErr(err)
 		is.Equal(len(changes), maxHistory+1)
 		for i, c := range changes {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -22,7 +22,7 @@
 	self int
 }
 
-func fixedFleetOf(n int) *fixedFleet {
+func newFixedFleet(n int) *fixedFleet {
 	f := &fixedFleet{}
 	for i := range n {
 		f.live = append(f.live, platform.Instance{ID: fmt.Sprintf("e%05d", i),
@@ -39,8 +39,8 @@
 	return slices.Clone(f.live[:min(7*n, len(f.live))])
 }
 
-// benchText is the larger of the examples under another name.
-func benchText(b *testing.B, name string) string {
+// exampleText is the larger of the examples under another name.
+func exampleText(b *testing.B, name string) string {
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "base-ligacoes.ini"))
 	if err != nil {
 		b.Fatal(err)
@@ -56,25 +56,25 @@
 }
 
 // fill puts the first version of n documents in force without spreading them.
-func fill(b *testing.B, n int, stores ...*Store) {
+func fillStores(b *testing.B, n int, stores ...*Store) {
 	for i := range n {
 		name := fmt.Sprintf("service-%04d", i)
-		text := benchText(b, name)
+		text := exampleText(b, name)
 		for _, s := range stores {
-			if s.take(name, Envelope{Change: Change{Version: 1, ID: "a", By: "ana"}, Text: text}) != Adopted {
+			if s.installVersion(name, Envelope{Change: Change{Version: 1, ID: "a", By: "ana"}, Text: text}) != Adopted {
 				b.Fatal("not adopted")
 			}
 		}
 	}
 }
 
-func pairOf(net *network) (a, z *Store) {
-	one, two := fixedFleetOf(2), fixedFleetOf(2)
+func newStorePair(net *network) (first, second *Store) {
+	one, two := newFixedFleet(2), newFixedFleet(2)
 	two.self = 1
 	return benchStore(net, one), benchStore(net, two)
 }
 
-func sent(net *network) int {
+func totalBytes(net *network) int {
 	net.mu.Lock()
 	defer net.mu.Unlock()
 	total := 0
@@ -91,33 +91,33 @@
 	for _, documents := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("agree/documents=%d", documents), func(b *testing.B) {
 			net := newNetwork()
-			one, two := pairOf(net)
-			fill(b, documents, one, two)
-			before := sent(net)
+			one, two := newStorePair(net)
+			fillStores(b, documents, one, two)
+			before := totalBytes(net)
 			for b.Loop() {
-				if err := one.repairWith(context.Background(), two.options.Fleet.Self().PeerAddress); err != nil {
+				if err := one.repairWithPeer(context.Background(), two.options.Fleet.Self().PeerAddress); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(sent(net)-before)/float64(b.N), "bytes/beat")
+			b.ReportMetric(float64(totalBytes(net)-before)/float64(b.N), "bytes/beat")
 		})
 		b.Run(fmt.Sprintf("repair/documents=%d", documents), func(b *testing.B) {
 			net := newNetwork()
-			one, two := pairOf(net)
-			fill(b, documents, one, two)
-			text := benchText(b, "service-0042")
-			before, version := sent(net), int64(1)
+			one, two := newStorePair(net)
+			fillStores(b, documents, one, two)
+			text := exampleText(b, "service-0042")
+			before, version := totalBytes(net), int64(1)
 			for b.Loop() {
 				version++
-				two.take("service-0042", Envelope{Change: Change{Version: version, ID: "a", By: "ana"}, Text: text})
-				if err := one.repairWith(context.Background(), two.options.Fleet.Self().PeerAddress); err != nil {
+				two.installVersion("service-0042", Envelope{Change: Change{Version: version, ID: "a", By: "ana"}, Text: text})
+				if err := one.repairWithPeer(context.Background(), two.options.Fleet.Self().PeerAddress); err != nil {
 					b.Fatal(err)
 				}
 				if a, _ := one.Current("service-0042"); a.Version != version {
 					b.Fatal("not repaired")
 				}
 			}
-			b.ReportMetric(float64(sent(net)-before)/float64(b.N), "bytes/repair")
+			b.ReportMetric(float64(totalBytes(net)-before)/float64(b.N), "bytes/repair")
 		})
 	}
 }
@@ -129,21 +129,21 @@
 	for _, peers := range []int{8, 100, 1000, 7400} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
 			net := newNetwork()
-			s := benchStore(net, fixedFleetOf(peers))
-			for _, address := range s.contact.children("service-0000") {
+			s := benchStore(net, newFixedFleet(peers))
+			for _, address := range s.topology.childAddresses("service-0000") {
 				child := endpoint{net, address}
-				child.Handle(methodPush, discard)
+				child.Handle(methodPush, discardPush)
 			}
-			text, version := benchText(b, "service-0000"), int64(0)
-			before, children := sent(net), 0
+			text, version := exampleText(b, "service-0000"), int64(0)
+			before, children := totalBytes(net), 0
 			for b.Loop() {
 				version++
-				s.take("service-0000", Envelope{Change: Change{Version: version, ID: "a", By: "ana"}, Text: text})
+				s.installVersion("service-0000", Envelope{Change: Change{Version: version, ID: "a", By: "ana"}, Text: text})
 				s.pushToChildren(context.Background(), "service-0000")
-				children = len(s.contact.children("service-0000"))
+				children = len(s.topology.childAddresses("service-0000"))
 			}
 			b.ReportMetric(float64(children), "children")
-			b.ReportMetric(float64(sent(net)-before)/float64(b.N)/float64(max(children, 1)), "bytes/push")
+			b.ReportMetric(float64(totalBytes(net)-before)/float64(b.N)/float64(max(children, 1)), "bytes/push")
 		})
 	}
 }
@@ -153,21 +153,21 @@
 	for _, documents := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("documents=%d", documents), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				s := benchStore(newNetwork(), fixedFleetOf(1))
-				fill(b, documents, s)
-				b.ReportMetric(float64(heap()-before)/float64(documents), "bytes/document")
+				before := heapBytes()
+				s := benchStore(newNetwork(), newFixedFleet(1))
+				fillStores(b, documents, s)
+				b.ReportMetric(float64(heapBytes()-before)/float64(documents), "bytes/document")
 				runtime.KeepAlive(s)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-func discard(context.Context, string, json.RawMessage) (any, error) { return pushReply{}, nil }
+func discardPush(context.Context, string, json.RawMessage) (any, error) { return pushReply{}, nil }
--- a/internal/config/envelope.go
+++ b/internal/config/envelope.go
@@ -23,7 +23,7 @@
 }
 
 // next returns the envelope that follows e by a change.
-func (e Envelope) next(c Change, text string) Envelope {
+func (e Envelope) withChange(c Change, text string) Envelope {
 	n := Envelope{Change: c, Text: text}
 	if e.Version > 0 {
 		n.History = append(n.History, e.Change)
@@ -42,7 +42,7 @@
 }
 
 // find returns the change that made a version; false when it is not remembered.
-func (e Envelope) find(version int64) (Change, bool) {
+func (e Envelope) findChange(version int64) (Change, bool) {
 	all := e.changes()
 	i := slices.IndexFunc(all, func(c Change) bool { return c.Version == version })
 	if i < 0 {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,7 +7,7 @@
 	Self() platform.Instance
 	Live() []platform.Instance
 	// Pick returns n instances of each failure domain for a duty.
-	Pick(duty string, n int) []platform.Instance
+	Pick(key string, n int) []platform.Instance
 	// Subscribe calls f after each change of the view.
 	Subscribe(f func())
 }
--- a/internal/config/handlers.go
+++ b/internal/config/handlers.go
@@ -8,14 +8,14 @@
 )
 
 // register adds the store's handlers.
-func (s *Store) register() {
+func (s *Store) registerHandlers() {
 	r := s.options.Registry
 	r.Handle(methodPush, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
 		p, err := decodeParams[pushParams](raw)
 		if err != nil {
 			return nil, err
 		}
-		s.receive(p.Documents, FromPush)
+		s.adoptDocuments(p.Documents, FromPush)
 		return pushReply{}, nil
 	})
 	r.Handle(methodDigest, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
@@ -23,14 +23,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return s.answerDigest(p), nil
+		return s.handleDigest(p), nil
 	})
 	r.Handle(methodCompare, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
 		p, err := decodeParams[compareParams](raw)
 		if err != nil {
 			return nil, err
 		}
-		return s.answerCompare(p), nil
+		return s.handleCompare(p), nil
 	})
 	r.Handle(methodVersions, func(context.Context, string, json.RawMessage) (any, error) {
 		return s.Versions(), nil
@@ -46,28 +46,28 @@
 }
 
 // receive adopts documents that a peer sent.
-func (s *Store) receive(list []wireDocument, from Source) {
+func (s *Store) adoptDocuments(list []wireDocument, from Source) {
 	for _, d := range list {
 		if d.Envelope.Version > 0 {
-			s.adopt(d.Name, d.Envelope, from)
+			s.adoptVersion(d.Name, d.Envelope, from)
 		}
 	}
 }
 
-func (s *Store) answerDigest(p digestParams) digestReply {
+func (s *Store) handleDigest(p digestParams) digestReply {
 	s.mu.RLock()
-	own := s.table.sums
+	ours := s.table.sums
 	s.mu.RUnlock()
-	if own.root() == p.Root {
+	if ours.rootSum() == p.Root {
 		// A peer that has the same documents is as good as one that was asked.
-		s.noteContact(peerContact, s.checkInformed())
+		s.recordCallResult(remotePeer, s.requireDocuments())
 		return digestReply{}
 	}
-	return digestReply{Sums: own[:]}
+	return digestReply{Sums: ours[:]}
 }
 
-// answerCompare returns what the caller lacks in the parts it asks about.
-func (s *Store) answerCompare(p compareParams) compareReply {
+// handleCompare returns what the caller lacks in the parts it asks about.
+func (s *Store) handleCompare(p compareParams) compareReply {
 	asked := make(map[int]bool, len(p.Buckets))
 	for _, b := range p.Buckets {
 		asked[b] = true
@@ -81,9 +81,9 @@
 			names = append(names, name)
 		}
 	}
-	reply.Documents, reply.More = s.batch(names)
+	reply.Documents, reply.More = s.batchDocuments(names)
 	for name, version := range p.Versions {
-		if version > s.held(name) {
+		if version > s.knownVersion(name) {
 			reply.Wanted = append(reply.Wanted, name)
 		}
 	}
@@ -92,7 +92,7 @@
 
 // batch returns documents by name up to the bound of one message. The caller
 // holds mu.
-func (s *Store) batch(names []string) (list []wireDocument, more bool) {
+func (s *Store) batchDocuments(names []string) (list []wireDocument, more bool) {
 	size := 0
 	for _, name := range names {
 		a, ok := s.table.documents[name]
@@ -110,6 +110,6 @@
 // held returns the highest version that this instance needs no copy of: the
 // one in force, or a higher one that did not pass its checks here. The caller
 // holds mu.
-func (s *Store) held(name string) int64 {
-	return max(s.table.documents[name].Version, s.refused[name].Version)
+func (s *Store) knownVersion(name string) int64 {
+	return max(s.table.documents[name].Version, s.rejected[name].Version)
 }
--- a/internal/config/harness_test.go
+++ b/internal/config/harness_test.go
@@ -17,27 +17,27 @@
 const testVerifier = "SCRAM-SHA-256$4096:y0dInoy2hw+boGs4hM65eQ==$3SpBj+j6yTi73e/dAhqtXEWaTZOtGBZeNNnGI3sGNh8=:n+SNdInED24RgrJW/aqIICRzLDB52sPposD4v52R36w="
 
 // text returns a valid document whose slots tell versions apart.
-func text(name string, slots int) string {
+func documentText(name string, slots int) string {
 	return fmt.Sprintf("[service]\nname = %s\n[group %s-1]\nmembers = a/10.0.0.1:1, b/10.0.0.2:1, c/10.0.0.3:1\n"+
 		"connections = 1000\nslots = %d\n[user app]\nverifier = %s\n", name, name, slots, testVerifier)
 }
 
 // node is one instance of a test.
-type node struct {
+type testInstance struct {
 	*Store
 	id      string
-	gate    *gate
+	link    *platformLink
 	members *membership.Members
 	stop    func()
 }
 
 // fleet is the instances of a test with their platform and network.
-type fleet struct {
+type testFleet struct {
 	t         *testing.T
-	platform  *switchable
+	platform  *replaceablePlatform
 	net       *network
 	inventory platform.Inventory
-	nodes     []*node
+	instances []*testInstance
 	relays    int
 	seeds     []string
 }
@@ -45,25 +45,25 @@
 var testDomains = []string{"poa-a", "poa-b", "fln-c"}
 
 // newFleet starts n instances over three failure domains.
-func newFleet(t *testing.T, n int) *fleet { return newFleetWith(t, n, DefaultRelays) }
+func newFleet(t *testing.T, n int) *testFleet { return newFleetWithRelays(t, n, DefaultRelays) }
 
-func newFleetWith(t *testing.T, n, relays int) *fleet {
-	f := &fleet{t: t, platform: &switchable{Store: standin.NewStore()}, net: newNetwork(), relays: relays}
+func newFleetWithRelays(t *testing.T, n, relays int) *testFleet {
+	f := &testFleet{t: t, platform: &replaceablePlatform{Store: standin.NewStore()}, net: newNetwork(), relays: relays}
 	for i := range n {
 		f.inventory.Instances = append(f.inventory.Instances, platform.Instance{ID: fmt.Sprintf("e%d", i),
 			FailureDomain: testDomains[i%len(testDomains)], PeerAddress: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
 	f.platform.SetInventory(f.inventory)
 	for i := range n {
-		f.nodes = append(f.nodes, f.start(i))
+		f.instances = append(f.instances, f.startInstance(i))
 	}
 	return f
 }
 
 // start starts instance i anew: nothing is kept from an earlier start.
-func (f *fleet) start(i int) *node {
+func (f *testFleet) startInstance(i int) *testInstance {
 	self := f.inventory.Instances[i]
-	g := newGate(f.platform)
+	g := newPlatformLink(f.platform)
 	seed := uint64(time.Now().UnixNano())
 	m := membership.New(membership.Options{API: g, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 		Self: self, PerFailureDomain: 1})
@@ -75,34 +75,34 @@
 	var parts sync.WaitGroup
 	parts.Go(func() { _ = s.Run(ctx) })
 	parts.Go(func() { _ = m.Run(ctx) })
-	return &node{Store: s, id: self.ID, gate: g, members: m, stop: func() { cancel(); parts.Wait() }}
+	return &testInstance{Store: s, id: self.ID, link: g, members: m, stop: func() { cancel(); parts.Wait() }}
 }
 
-func (f *fleet) stop() {
-	for _, n := range f.nodes {
+func (f *testFleet) stopAll() {
+	for _, n := range f.instances {
 		n.stop()
 	}
 }
 
-// cutDomain cuts a failure domain from the platform and from all other
+// setDomainCut cuts a failure domain from the platform and from all other
 // instances, or heals it.
-func (f *fleet) cutDomain(domain string, cut bool) {
-	for i, n := range f.nodes {
+func (f *testFleet) setDomainCut(domain string, cut bool) {
+	for i, n := range f.instances {
 		if f.inventory.Instances[i].FailureDomain != domain {
 			continue
 		}
-		f.net.set(f.net.cut, f.inventory.Instances[i].PeerAddress, cut)
+		f.net.setFlag(f.net.cutAddresses, f.inventory.Instances[i].PeerAddress, cut)
 		if cut {
-			n.gate.cut()
+			n.link.disconnect()
 		} else {
-			n.gate.heal()
+			n.link.reconnect()
 		}
 	}
 }
 
-func (f *fleet) versions(name string) []int64 {
+func (f *testFleet) versions(name string) []int64 {
 	var list []int64
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		a, _ := n.Current(name)
 		list = append(list, a.Version)
 	}
@@ -111,11 +111,11 @@
 
 // all waits until every instance has a version in force, for at most d of
 // virtual time, and returns how long it took.
-func (f *fleet) all(name string, version int64, d time.Duration) time.Duration {
+func (f *testFleet) waitForVersion(name string, version int64, d time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for {
-		if got := f.versions(name); uniform(got, version) {
+		if got := f.versions(name); allEqual(got, version) {
 			return time.Since(start)
 		} else if time.Since(start) > d {
 			f.t.Fatalf("after %v the versions of %s are %v, not all %d", d, name, got, version)
@@ -124,7 +124,7 @@
 	}
 }
 
-func uniform(list []int64, want int64) bool {
+func allEqual(list []int64, want int64) bool {
 	for _, v := range list {
 		if v != want {
 			return false
@@ -134,9 +134,9 @@
 }
 
 // apply applies a change and fails the test when it is not accepted.
-func (f *fleet) apply(n *node, name string, slots int, ifVersion int64) Outcome {
+func (f *testFleet) mustApply(n *testInstance, name string, slots int, ifVersion int64) Outcome {
 	f.t.Helper()
-	o, err := n.Apply(f.t.Context(), name, text(name, slots), ifVersion, "ana")
+	o, err := n.Apply(f.t.Context(), name, documentText(name, slots), ifVersion, "ana")
 	if err != nil || o.State != Accepted {
 		f.t.Fatalf("apply: %+v, %v", o, err)
 	}
--- a/internal/config/network_test.go
+++ b/internal/config/network_test.go
@@ -10,11 +10,11 @@
 
 // network carries calls between the stores of a test.
 type network struct {
-	mu       sync.Mutex
-	handlers map[string]map[string]peer.Handler
-	cut      map[string]bool
+	mu           sync.Mutex
+	handlers     map[string]map[string]peer.Handler
+	cutAddresses map[string]bool
 	// lose drops calls of a method.
-	lose map[string]bool
+	droppedMethods map[string]bool
 	// onCall runs before the next call of a method.
 	onCall map[string]func()
 	calls  map[string]int
@@ -22,8 +22,8 @@
 }
 
 func newNetwork() *network {
-	return &network{handlers: map[string]map[string]peer.Handler{}, cut: map[string]bool{},
-		lose: map[string]bool{}, onCall: map[string]func(){}, calls: map[string]int{}, bytes: map[string]int{}}
+	return &network{handlers: map[string]map[string]peer.Handler{}, cutAddresses: map[string]bool{},
+		droppedMethods: map[string]bool{}, onCall: map[string]func(){}, calls: map[string]int{}, bytes: map[string]int{}}
 }
 
 // endpoint is one instance's side of the network.
@@ -55,7 +55,7 @@
 	}
 	e.net.mu.Lock()
 	h := e.net.handlers[address][method]
-	blocked := h == nil || e.net.cut[e.address] || e.net.cut[address] || e.net.lose[method]
+	blocked := h == nil || e.net.cutAddresses[e.address] || e.net.cutAddresses[address] || e.net.droppedMethods[method]
 	e.net.calls[method]++
 	e.net.bytes[method] += len(raw)
 	e.net.mu.Unlock()
@@ -76,14 +76,14 @@
 	return json.Unmarshal(raw, reply)
 }
 
-func (n *network) set(table map[string]bool, key string, value bool) {
+func (n *network) setFlag(table map[string]bool, key string, value bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	table[key] = value
 }
 
 // on runs f before the next call of a method.
-func (n *network) on(method string, f func()) {
+func (n *network) onNextCall(method string, f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onCall[method] = f
--- a/internal/config/spread_test.go
+++ b/internal/config/propagation_test.go
@@ -16,13 +16,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, n)
-			defer f.stop()
-			is.Equal(f.apply(f.nodes[0], "orders", 2, 0).Version, int64(1))
-			f.all("orders", 1, 2*time.Second)
-			is.Equal(f.apply(f.nodes[n-1], "orders", 3, 1).Version, int64(2))
-			f.all("orders", 2, time.Second)
-			time.Sleep(peersFirst)
-			for _, node := range f.nodes {
+			defer f.stopAll()
+			is.Equal(f.mustApply(f.instances[0], "orders", 2, 0).Version, int64(1))
+			f.waitForVersion("orders", 1, 2*time.Second)
+			is.Equal(f.mustApply(f.instances[n-1], "orders", 3, 1).Version, int64(2))
+			f.waitForVersion("orders", 2, time.Second)
+			time.Sleep(peerSyncTimeout)
+			for _, node := range f.instances {
 				a, g, ok := node.FindGroup("orders-1")
 				is.True(ok)
 				is.Equal(a.Version, int64(2))
@@ -40,18 +40,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 8)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.all("orders", 1, 2*time.Second)
-		f.cutDomain("fln-c", true)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.waitForVersion("orders", 1, 2*time.Second)
+		f.setDomainCut("fln-c", true)
 		// Watches that were waiting end now, and not after the change below.
 		synctest.Wait()
-		f.apply(f.nodes[0], "orders", 3, 1)
+		f.mustApply(f.instances[0], "orders", 3, 1)
 		time.Sleep(time.Minute)
 		is.Equal(f.versions("orders"), []int64{2, 2, 1, 2, 2, 1, 2, 2})
-		is.True(f.nodes[2].Ready())
-		f.cutDomain("fln-c", false)
-		f.all("orders", 2, 5*time.Second)
+		is.True(f.instances[2].Ready())
+		f.setDomainCut("fln-c", false)
+		f.waitForVersion("orders", 2, 5*time.Second)
 	})
 }
 
@@ -60,15 +60,15 @@
 func TestDomainWithoutPlatformLearnsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.all("orders", 1, 2*time.Second)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.waitForVersion("orders", 1, 2*time.Second)
 		for _, i := range []int{2, 5} {
-			f.nodes[i].gate.cut()
+			f.instances[i].link.disconnect()
 		}
 		synctest.Wait()
-		f.apply(f.nodes[0], "orders", 3, 1)
-		f.all("orders", 2, 10*time.Second)
+		f.mustApply(f.instances[0], "orders", 3, 1)
+		f.waitForVersion("orders", 2, 10*time.Second)
 	})
 }
 
@@ -79,17 +79,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 8)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.apply(f.nodes[0], "orders", 3, 1)
-		f.all("orders", 2, 2*time.Second)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.mustApply(f.instances[0], "orders", 3, 1)
+		f.waitForVersion("orders", 2, 2*time.Second)
 		f.platform.SetFaults(standin.Faults{Outage: true})
-		f.nodes[4].stop()
-		f.nodes[4] = f.start(4)
-		is.True(!f.nodes[4].Ready())
-		f.all("orders", 2, 10*time.Second)
+		f.instances[4].stop()
+		f.instances[4] = f.startInstance(4)
+		is.True(!f.instances[4].Ready())
+		f.waitForVersion("orders", 2, 10*time.Second)
 		time.Sleep(10 * time.Second)
-		is.True(f.nodes[4].Ready())
+		is.True(f.instances[4].Ready())
 	})
 }
 
@@ -101,12 +101,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, 3)
-			defer f.stop()
-			f.apply(f.nodes[0], "orders", 2, 0)
+			defer f.stopAll()
+			f.mustApply(f.instances[0], "orders", 2, 0)
 			f.platform.SetFaults(standin.Faults{Outage: true})
 			f.inventory.Instances = append(f.inventory.Instances, platform.Instance{ID: "new", FailureDomain: "poa-a", PeerAddress: "10.0.0.9:1"})
 			f.seeds = seeds
-			fresh := f.start(3)
+			fresh := f.startInstance(3)
 			defer fresh.stop()
 			time.Sleep(20 * time.Second)
 			is.Equal(fresh.Ready(), seeds != nil)
@@ -122,20 +122,20 @@
 func TestCompactedWatchListsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
-		defer f.stop()
-		n := f.nodes[0]
-		f.apply(n, "orders", 2, 0)
+		defer f.stopAll()
+		n := f.instances[0]
+		f.mustApply(n, "orders", 2, 0)
 		time.Sleep(time.Second)
-		n.gate.cut()
+		n.link.disconnect()
 		synctest.Wait()
-		other := newFleetOn(t, f)
-		defer other.stop()
-		other.apply(other.nodes[0], "orders", 3, 1)
-		other.apply(other.nodes[0], "stock", 3, 0)
+		other := newFleetSharingPlatform(t, f)
+		defer other.stopAll()
+		other.mustApply(other.instances[0], "orders", 3, 1)
+		other.mustApply(other.instances[0], "stock", 3, 0)
 		f.platform.Compact(platform.KindService)
-		n.gate.heal()
-		f.all("orders", 2, 5*time.Second)
-		f.all("stock", 1, time.Second)
+		n.link.reconnect()
+		f.waitForVersion("orders", 2, 5*time.Second)
+		f.waitForVersion("stock", 1, time.Second)
 	})
 }
 
@@ -146,14 +146,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 3)
-		defer f.stop()
+		defer f.stopAll()
 		for v := range int64(5) {
-			f.apply(f.nodes[0], "orders", 2+int(v), v)
+			f.mustApply(f.instances[0], "orders", 2+int(v), v)
 		}
-		f.all("orders", 5, 2*time.Second)
+		f.waitForVersion("orders", 5, 2*time.Second)
 		empty := standin.NewStore()
 		empty.SetInventory(f.inventory)
-		old := Envelope{Change: Change{Version: 2, ID: "old", By: "ana"}, Text: text("orders", 3)}
+		old := Envelope{Change: Change{Version: 2, ID: "old", By: "ana"}, Text: documentText("orders", 3)}
 		value, err := old.encode()
 		is.NoErr(err)
 		_, err = empty.Put(t.Context(), platform.KindService, "orders", value, 0)
@@ -163,14 +163,14 @@
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(f.versions("orders"), []int64{5, 5, 5})
 		}
-		b, err := f.nodes[0].readBase(t.Context(), "orders")
+		b, err := f.instances[0].readBase(t.Context(), "orders")
 		is.NoErr(err)
 		is.Equal(b.Version, int64(5))
-		f.nodes[1].stop()
-		f.nodes[1] = f.start(1)
-		f.all("orders", 5, 2*time.Second)
-		is.Equal(f.apply(f.nodes[1], "orders", 9, 5).Version, int64(6))
-		f.all("orders", 6, 2*time.Second)
+		f.instances[1].stop()
+		f.instances[1] = f.startInstance(1)
+		f.waitForVersion("orders", 5, 2*time.Second)
+		is.Equal(f.mustApply(f.instances[1], "orders", 9, 5).Version, int64(6))
+		f.waitForVersion("orders", 6, 2*time.Second)
 	})
 }
 
@@ -179,40 +179,40 @@
 func TestLostPushIsRepairedByDigest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleetWith(t, 24, 1)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.all("orders", 1, 10*time.Second)
-		f.net.set(f.net.lose, methodPush, true)
-		f.apply(f.nodes[0], "orders", 3, 1)
-		took := f.all("orders", 2, 20*time.Second)
+		f := newFleetWithRelays(t, 24, 1)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.waitForVersion("orders", 1, 10*time.Second)
+		f.net.setFlag(f.net.droppedMethods, methodPush, true)
+		f.mustApply(f.instances[0], "orders", 3, 1)
+		took := f.waitForVersion("orders", 2, 20*time.Second)
 		is.True(took > 50*time.Millisecond)
-		f.net.set(f.net.lose, methodPush, false)
-		f.apply(f.nodes[0], "orders", 4, 2)
-		f.all("orders", 3, 50*time.Millisecond)
+		f.net.setFlag(f.net.droppedMethods, methodPush, false)
+		f.mustApply(f.instances[0], "orders", 4, 2)
+		f.waitForVersion("orders", 3, 50*time.Millisecond)
 	})
 }
 
 // A peer sends a document that does not parse, one of another service's name,
 // and a lower version. None of them comes in force, each is counted, and the
 // service goes on with what it has.
-func TestBadDocumentFromPeerIsKeptOut(t *testing.T) {
+func TestBadDocumentFromPeerIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 3)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.apply(f.nodes[0], "orders", 3, 1)
-		f.all("orders", 2, 2*time.Second)
-		s := f.nodes[1].Store
-		is.Equal(s.adopt("orders", Envelope{Change: Change{Version: 3, ID: "x"}, Text: "[service"}, FromPush), Invalid)
-		is.Equal(s.adopt("orders", Envelope{Change: Change{Version: 3, ID: "y"}, Text: text("stock", 1)}, FromPush), Invalid)
-		is.Equal(s.adopt("orders", Envelope{Change: Change{Version: 1, ID: "z"}, Text: text("orders", 1)}, FromPush), Lower)
-		is.Equal(s.adopt("orders", Envelope{Change: Change{Version: 2, ID: "z"}, Text: text("orders", 1)}, FromPush), Diverged)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.mustApply(f.instances[0], "orders", 3, 1)
+		f.waitForVersion("orders", 2, 2*time.Second)
+		s := f.instances[1].Store
+		is.Equal(s.adoptVersion("orders", Envelope{Change: Change{Version: 3, ID: "x"}, Text: "[service"}, FromPush), Invalid)
+		is.Equal(s.adoptVersion("orders", Envelope{Change: Change{Version: 3, ID: "y"}, Text: documentText("stock", 1)}, FromPush), Invalid)
+		is.Equal(s.adoptVersion("orders", Envelope{Change: Change{Version: 1, ID: "z"}, Text: documentText("orders", 1)}, FromPush), Lower)
+		is.Equal(s.adoptVersion("orders", Envelope{Change: Change{Version: 2, ID: "z"}, Text: documentText("orders", 1)}, FromPush), Diverged)
 		time.Sleep(10 * time.Second)
 		is.Equal(f.versions("orders"), []int64{2, 2, 2})
-		is.Equal(f.apply(f.nodes[2], "orders", 4, 2).Version, int64(3))
-		f.all("orders", 3, 5*time.Second)
+		is.Equal(f.mustApply(f.instances[2], "orders", 4, 2).Version, int64(3))
+		f.waitForVersion("orders", 3, 5*time.Second)
 	})
 }
 
@@ -221,33 +221,33 @@
 func TestStartAsksPeersBeforeThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFleetWith(t, 24, 1)
-		defer f.stop()
-		f.apply(f.nodes[0], "orders", 2, 0)
-		f.all("orders", 1, 20*time.Second)
+		f := newFleetWithRelays(t, 24, 1)
+		defer f.stopAll()
+		f.mustApply(f.instances[0], "orders", 2, 0)
+		f.waitForVersion("orders", 1, 20*time.Second)
 		time.Sleep(20 * time.Second)
 		before := f.platform.Calls()[standin.CallList]
 		started := 0
-		for i, n := range f.nodes {
-			if !n.contact.isRelay() && started < 10 {
+		for i, n := range f.instances {
+			if !n.topology.isRelay() && started < 10 {
 				started++
 				n.stop()
-				f.nodes[i] = f.start(i)
+				f.instances[i] = f.startInstance(i)
 			}
 		}
-		f.all("orders", 1, 5*time.Second)
+		f.waitForVersion("orders", 1, 5*time.Second)
 		time.Sleep(2 * time.Second)
-		for _, n := range f.nodes {
+		for _, n := range f.instances {
 			is.True(n.Ready())
 		}
 		is.Equal(f.platform.Calls()[standin.CallList], before)
 	})
 }
 
-// newFleetOn starts one more instance on the platform of another fleet.
-func newFleetOn(t *testing.T, f *fleet) *fleet {
-	g := &fleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
+// newFleetSharingPlatform starts one more instance on the platform of another fleet.
+func newFleetSharingPlatform(t *testing.T, f *testFleet) *testFleet {
+	g := &testFleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
 		inventory: platform.Inventory{Instances: []platform.Instance{{ID: "other", FailureDomain: "far", PeerAddress: "10.9.0.1:1"}}}}
-	g.nodes = append(g.nodes, g.start(0))
+	g.instances = append(g.instances, g.startInstance(0))
 	return g
 }
--- a/internal/config/push.go
+++ b/internal/config/push.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// pushQueue bounds the versions that wait to be pushed. Past it a push is
+	// pushQueueSize bounds the versions that wait to be pushed. Past it a push is
 	// dropped; digests repair that.
-	pushQueue = 1024
+	pushQueueSize = 1024
 	// pushWorkers is how many versions are pushed at a time.
 	pushWorkers = 4
 	// pushTimeout bounds one push to one peer.
@@ -17,9 +17,9 @@
 )
 
 // spread queues a document for pushing to this instance's children.
-func (s *Store) spread(name string) {
+func (s *Store) queuePush(name string) {
 	select {
-	case s.pushes <- name:
+	case s.pushQueue <- name:
 	default:
 		s.metrics.pushes.WithLabelValues("dropped").Inc()
 	}
@@ -31,7 +31,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-s.pushes:
+		case name := <-s.pushQueue:
 			s.pushToChildren(ctx, name)
 		}
 	}
@@ -41,16 +41,16 @@
 // others nothing.
 func (s *Store) pushToChildren(ctx context.Context, name string) {
 	var calls sync.WaitGroup
-	for _, address := range s.contact.children(name) {
-		calls.Go(func() { s.push(ctx, address, []string{name}) })
+	for _, address := range s.topology.childAddresses(name) {
+		calls.Go(func() { s.pushDocuments(ctx, address, []string{name}) })
 	}
 	calls.Wait()
 }
 
 // push sends the versions in force of some documents to one peer.
-func (s *Store) push(ctx context.Context, address string, names []string) {
+func (s *Store) pushDocuments(ctx context.Context, address string, names []string) {
 	s.mu.RLock()
-	list, _ := s.batch(names)
+	list, _ := s.batchDocuments(names)
 	s.mu.RUnlock()
 	if len(list) == 0 {
 		return
--- a/internal/config/repair.go
+++ b/internal/config/repair.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// digestBeat is the time between two digests.
-	digestBeat = time.Second
+	// digestInterval is the time between two digests.
+	digestInterval = time.Second
 	// digestTimeout bounds the exchange with one peer. It stays under the beat,
 	// so that a silent peer costs one beat.
 	digestTimeout = 800 * time.Millisecond
-	// maxRounds bounds the messages of one exchange; the next beat goes on.
-	maxRounds = 16
-	// beatJitter spreads beats, as a share of the beat.
-	beatJitter = 0.2
+	// maxCompareRounds bounds the messages of one exchange; the next beat goes on.
+	maxCompareRounds = 16
+	// intervalJitter spreads beats, as a share of the beat.
+	intervalJitter = 0.2
 )
 
 // digestLoop exchanges digests until ctx ends.
 func (s *Store) digestLoop(ctx context.Context) {
-	s.awaitPeers(ctx)
+	s.waitForPeers(ctx)
 	for ctx.Err() == nil {
-		s.repairOnce(ctx)
-		_ = clock.Sleep(ctx, s.options.Clock, s.jittered(digestBeat))
+		s.repairWithRandomPeer(ctx)
+		_ = clock.Sleep(ctx, s.options.Clock, s.jittered(digestInterval))
 	}
 }
 
-// awaitPeers waits for the fleet's view to name a peer, for one beat at most.
+// waitForPeers waits for the fleet's view to name a peer, for one beat at most.
 // An instance that came to be ready before it knew its peers could serve an
 // old version from a platform that was set back.
-func (s *Store) awaitPeers(ctx context.Context) {
-	t := s.options.Clock.NewTimer(digestBeat)
+func (s *Store) waitForPeers(ctx context.Context) {
+	t := s.options.Clock.NewTimer(digestInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-s.contact.viewed:
+	case <-s.topology.peersKnown:
 	}
 }
 
-// repairOnce compares this instance's documents with those of one peer, and
+// repairWithRandomPeer compares this instance's documents with those of one peer, and
 // brings both up to the higher versions.
-func (s *Store) repairOnce(ctx context.Context) {
+func (s *Store) repairWithRandomPeer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, digestTimeout)
 	defer cancel()
 	address, err := s.pickPeer()
 	if err == nil {
-		err = s.repairWith(ctx, address)
+		err = s.repairWithPeer(ctx, address)
 	}
-	s.noteContact(peerContact, err)
+	s.recordCallResult(remotePeer, err)
 	if err != nil {
 		s.metrics.digests.WithLabelValues("failed").Inc()
 		s.log.Trace("Digest failed.", "peer", address, "error", err)
@@ -61,7 +61,7 @@
 }
 
 func (s *Store) pickPeer() (string, error) {
-	targets := s.contact.digestTargets()
+	targets := s.topology.digestAddresses()
 	if len(targets) == 0 {
 		own := s.options.Fleet.Self().PeerAddress
 		targets = slices.DeleteFunc(slices.Clone(s.options.Seeds), func(seed string) bool { return seed == own })
@@ -69,40 +69,40 @@
 	if len(targets) == 0 {
 		return "", errNoPeers
 	}
-	return targets[s.randomN(len(targets))], nil
+	return targets[s.randomIndex(len(targets))], nil
 }
 
-func (s *Store) repairWith(ctx context.Context, address string) error {
+func (s *Store) repairWithPeer(ctx context.Context, address string) error {
 	var reply digestReply
 	s.mu.RLock()
-	params := digestParams{Root: s.table.sums.root()}
+	params := digestParams{Root: s.table.sums.rootSum()}
 	s.mu.RUnlock()
 	if err := s.options.Peers.Call(ctx, address, methodDigest, params, &reply); err != nil {
 		return err
 	}
-	for range maxRounds {
-		compare := s.compareParams(reply.Sums)
+	for range maxCompareRounds {
+		compare := s.buildCompareParams(reply.Sums)
 		if len(compare.Buckets) == 0 {
-			return s.checkInformed()
+			return s.requireDocuments()
 		}
 		var answer compareReply
 		if err := s.options.Peers.Call(ctx, address, methodCompare, compare, &answer); err != nil {
 			return err
 		}
-		s.receive(answer.Documents, FromDigest)
+		s.adoptDocuments(answer.Documents, FromDigest)
 		if len(answer.Wanted) > 0 {
-			s.push(ctx, address, answer.Wanted)
+			s.pushDocuments(ctx, address, answer.Wanted)
 		}
 		if !answer.More {
-			return s.checkInformed()
+			return s.requireDocuments()
 		}
 	}
-	return errUnfinished
+	return errExchangeUnfinished
 }
 
-// checkInformed returns an error after an exchange with a peer that had nothing
+// requireDocuments returns an error after an exchange with a peer that had nothing
 // either: two starting instances must not take each other for informed.
-func (s *Store) checkInformed() error {
+func (s *Store) requireDocuments() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if len(s.table.documents) == 0 {
@@ -111,15 +111,15 @@
 	return nil
 }
 
-// compareParams lists this instance's versions in the parts whose sums differ
+// buildCompareParams lists this instance's versions in the parts whose sums differ
 // from a peer's.
-func (s *Store) compareParams(theirs []uint64) compareParams {
+func (s *Store) buildCompareParams(peerSums []uint64) compareParams {
 	p := compareParams{Versions: make(map[string]int64)}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	differs := make(map[int]bool)
-	for b := range min(len(theirs), bucketCount) {
-		if theirs[b] != s.table.sums[b] {
+	for b := range min(len(peerSums), bucketCount) {
+		if peerSums[b] != s.table.sums[b] {
 			differs[b] = true
 			p.Buckets = append(p.Buckets, b)
 		}
@@ -129,18 +129,18 @@
 	}
 	for name := range s.table.documents {
 		if differs[bucketOf(name)] {
-			p.Versions[name] = s.held(name)
+			p.Versions[name] = s.knownVersion(name)
 		}
 	}
-	for name := range s.refused {
+	for name := range s.rejected {
 		if differs[bucketOf(name)] {
-			p.Versions[name] = s.held(name)
+			p.Versions[name] = s.knownVersion(name)
 		}
 	}
 	return p
 }
 
-func (s *Store) randomN(n int) int {
+func (s *Store) randomIndex(n int) int {
 	s.randMu.Lock()
 	defer s.randMu.Unlock()
 	return s.options.Rand.IntN(n)
@@ -149,5 +149,5 @@
 func (s *Store) jittered(d time.Duration) time.Duration {
 	s.randMu.Lock()
 	defer s.randMu.Unlock()
-	return time.Duration(float64(d) * (1 - beatJitter + 2*beatJitter*s.options.Rand.Float64()))
+	return time.Duration(float64(d) * (1 - intervalJitter + 2*intervalJitter*s.options.Rand.Float64()))
 }
--- a/internal/config/restore.go
+++ b/internal/config/restore.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// restoreBatch is how many documents one relay brings back between two
-	// lists, and restorePause the time between them: a platform that has lost
+	// restoreBatchSize is how many documents one relay brings back between two
+	// lists, and restoreInterval the time between them: a platform that has lost
 	// everything must not meet all relays writing everything at once.
-	restoreBatch = 20
-	restorePause = time.Second
+	restoreBatchSize = 20
+	restoreInterval  = time.Second
 )
 
 // restore stores documents in force that the platform holds in a lower version
@@ -21,32 +21,32 @@
 // relays that restore at the same moment, or an operator who changes the
 // document meanwhile, cannot undo one another. It reports whether there was
 // something to restore.
-func (s *Store) restore(ctx context.Context, objects []platform.Object) bool {
-	stored := make(map[string]base, len(objects))
+func (s *Store) restoreDocuments(ctx context.Context, objects []platform.Object) bool {
+	stored := make(map[string]baseDocument, len(objects))
 	for _, o := range objects {
 		e, err := decodeObject(o)
 		if err != nil {
 			e.Version = 0
 		}
-		stored[o.Name] = base{Envelope: e, object: o.Version}
+		stored[o.Name] = baseDocument{Envelope: e, objectVersion: o.Version}
 	}
-	var behind []Applied
+	var outdated []Applied
 	for _, a := range s.All() {
 		if stored[a.Name].Version < a.Version {
-			behind = append(behind, a)
+			outdated = append(outdated, a)
 		}
 	}
-	s.shuffle(behind)
-	for _, a := range behind[:min(len(behind), restoreBatch)] {
-		err := s.putEnvelope(ctx, a.Name, a.Envelope, stored[a.Name].object)
+	s.shuffleDocuments(outdated)
+	for _, a := range outdated[:min(len(outdated), restoreBatchSize)] {
+		err := s.putEnvelope(ctx, a.Name, a.Envelope, stored[a.Name].objectVersion)
 		s.metrics.restores.WithLabelValues(outcomeLabel(err)).Inc()
 		s.log.Warn("The platform held a lower version. The one in force is stored again.",
 			"service", a.Name, "stored", stored[a.Name].Version, "in force", a.Version, "error", err)
 	}
-	return len(behind) > 0
+	return len(outdated) > 0
 }
 
-func (s *Store) shuffle(list []Applied) {
+func (s *Store) shuffleDocuments(list []Applied) {
 	s.randMu.Lock()
 	defer s.randMu.Unlock()
 	s.options.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// settleBeat is the time between two attempts to settle the open changes.
-	settleBeat = 2 * time.Second
+	// settleInterval is the time between two attempts to settle the open changes.
+	settleInterval = 2 * time.Second
 	// maxPending bounds the open changes; past it the oldest is given up.
 	maxPending = 64
 	// maxSettled bounds the outcomes that are remembered.
@@ -18,15 +18,15 @@
 )
 
 // pending is a change whose outcome is open after its operator was answered.
-type pending struct {
-	attempt
+type pendingChange struct {
+	applyAttempt
 }
 
-// settleLater keeps a change for the background.
-func (s *Store) settleLater(a *attempt) {
+// queuePending keeps a change for the background.
+func (s *Store) queuePending(a *applyAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pending = append(s.pending, &pending{attempt: *a})
+	s.pending = append(s.pending, &pendingChange{applyAttempt: *a})
 	if len(s.pending) > maxPending {
 		s.pending = s.pending[1:]
 	}
@@ -37,19 +37,19 @@
 func (s *Store) Settled(changeID string) (Outcome, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	o, ok := s.settled[changeID]
+	o, ok := s.settledOutcomes[changeID]
 	return o, ok
 }
 
 // settleLoop settles open changes until ctx ends.
 func (s *Store) settleLoop(ctx context.Context) {
-	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleBeat)) == nil {
+	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleInterval)) == nil {
 		s.mu.RLock()
 		open := slices.Clone(s.pending)
 		s.mu.RUnlock()
 		for _, p := range open {
-			if outcome, done := s.settle(ctx, p); done {
-				s.conclude(p, outcome)
+			if outcome, done := s.settleChange(ctx, p); done {
+				s.recordSettled(p, outcome)
 			}
 		}
 	}
@@ -60,32 +60,32 @@
 // was, the update may still be on its way; storing the document once more as
 // it stands moves the object's version, after which the update cannot take
 // effect.
-func (s *Store) settle(ctx context.Context, p *pending) (Outcome, bool) {
+func (s *Store) settleChange(ctx context.Context, p *pendingChange) (Outcome, bool) {
 	b, err := s.readBase(ctx, p.name)
 	if err != nil {
 		return Outcome{}, false
 	}
-	if outcome, settled := s.verdict(&p.attempt, b); settled {
+	if outcome, settled := s.resolveOutcome(&p.applyAttempt, b); settled {
 		return outcome, true
 	}
 	if b.Version != p.ifVersion {
 		return Outcome{State: Settling, Detail: "the document's history does not reach back to the change"}, true
 	}
-	if b.object == p.sentOn && s.putEnvelope(ctx, p.name, b.Envelope, b.object) != nil {
+	if b.objectVersion == p.sentAtVersion && s.putEnvelope(ctx, p.name, b.Envelope, b.objectVersion) != nil {
 		return Outcome{}, false
 	}
 	return Outcome{State: NoEffect, Version: b.Version, By: b.By}, true
 }
 
 // conclude records the outcome of a change that was open.
-func (s *Store) conclude(p *pending, o Outcome) {
+func (s *Store) recordSettled(p *pendingChange, o Outcome) {
 	o.ChangeID = p.change.ID
 	s.mu.Lock()
-	s.pending = slices.DeleteFunc(s.pending, func(q *pending) bool { return q == p })
-	if len(s.settled) >= maxSettled {
-		clear(s.settled)
+	s.pending = slices.DeleteFunc(s.pending, func(q *pendingChange) bool { return q == p })
+	if len(s.settledOutcomes) >= maxSettled {
+		clear(s.settledOutcomes)
 	}
-	s.settled[o.ChangeID] = o
+	s.settledOutcomes[o.ChangeID] = o
 	s.mu.Unlock()
 	s.metrics.settled.WithLabelValues(string(o.State)).Inc()
 	s.log.Info("Change settled.", "service", p.name, "change", o.ChangeID, "outcome", o.State, "version", o.Version)
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -12,18 +12,18 @@
 )
 
 // Arrival tells what became of a version that arrived; it is a metric label.
-type Arrival string
+type AdoptResult string
 
 // Arrivals.
 const (
 	// Adopted: the version is in force now.
-	Adopted Arrival = "adopted"
+	Adopted AdoptResult = "adopted"
 	// Known: the version was in force already.
-	Known Arrival = "known"
+	Known AdoptResult = "known"
 	// Lower: a higher version is in force.
-	Lower Arrival = "lower"
+	Lower AdoptResult = "lower"
 	// Diverged: another change with the same version is in force.
-	Diverged Arrival = "diverged"
+	Diverged AdoptResult = "diverged"
 	// Invalid: the document did not pass its checks.
-	Invalid Arrival = "invalid"
+	Invalid AdoptResult = "invalid"
 )
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -13,25 +13,25 @@
 
 // Store holds the documents in force. It may be used by many goroutines.
 type Store struct {
-	options Options
-	log     hclog.Logger
-	metrics *Metrics
-	contact contacts
-	pushes  chan string
+	options   Options
+	log       hclog.Logger
+	metrics   *Metrics
+	topology  peerTopology
+	pushQueue chan string
 
 	// adoption orders adoptions and what subscribers see of them.
-	adoption    sync.Mutex
+	adoptMu     sync.Mutex
 	subscribers []func(Applied)
 
 	// mu guards the tables below.
 	mu    sync.RWMutex
-	table table
+	table documentTable
 	// refused holds the newest version of each document that did not pass its
 	// checks, so that it is neither checked nor asked for again.
-	refused  map[string]Change
-	progress progress
-	pending  []*pending
-	settled  map[string]Outcome
+	rejected        map[string]Change
+	startup         startupProgress
+	pending         []*pendingChange
+	settledOutcomes map[string]Outcome
 
 	// randMu guards the random source, which is not safe for concurrent use.
 	randMu sync.Mutex
@@ -49,20 +49,20 @@
 		o.Relays = DefaultRelays
 	}
 	s := &Store{
-		options: o,
-		log:     o.Log.Named("config"),
-		metrics: o.Metrics,
-		pushes:  make(chan string, pushQueue),
-		table:   newTable(),
-		refused: make(map[string]Change),
-		settled: make(map[string]Outcome),
+		options:         o,
+		log:             o.Log.Named("config"),
+		metrics:         o.Metrics,
+		pushQueue:       make(chan string, pushQueueSize),
+		table:           newTable(),
+		rejected:        make(map[string]Change),
+		settledOutcomes: make(map[string]Outcome),
 	}
-	s.contact.fleet, s.contact.relayCount = o.Fleet, o.Relays
-	s.contact.viewed = make(chan struct{})
-	s.contact.closeViewed = sync.OnceFunc(func() { close(s.contact.viewed) })
-	s.contact.refresh()
-	o.Fleet.Subscribe(s.contact.refresh)
-	s.register()
+	s.topology.fleet, s.topology.relaysPerDomain = o.Fleet, o.Relays
+	s.topology.peersKnown = make(chan struct{})
+	s.topology.markPeersKnown = sync.OnceFunc(func() { close(s.topology.peersKnown) })
+	s.topology.refresh()
+	o.Fleet.Subscribe(s.topology.refresh)
+	s.registerHandlers()
 	return s
 }
 
@@ -110,8 +110,8 @@
 // Subscribe calls f for each document in force, and then for each version that
 // comes in force, in the order of the versions. f must not block.
 func (s *Store) Subscribe(f func(Applied)) {
-	s.adoption.Lock()
-	defer s.adoption.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	s.subscribers = append(s.subscribers, f)
 	for _, a := range s.All() {
 		f(a)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -12,10 +12,10 @@
 const bucketCount = 64
 
 // sums holds one sum for each part of the documents.
-type sums [bucketCount]uint64
+type bucketSums [bucketCount]uint64
 
 // root returns one sum over all parts.
-func (s *sums) root() uint64 {
+func (s *bucketSums) rootSum() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, sum := range s {
@@ -26,27 +26,27 @@
 }
 
 // table holds the documents in force with what is derived from them.
-type table struct {
+type documentTable struct {
 	documents map[string]Applied
 	// owners maps a group to the names of the documents that declare it, in
 	// order. There is one unless two operators claimed a group at one moment;
 	// then the first name counts on every instance.
 	owners map[string][]string
-	sums   sums
+	sums   bucketSums
 }
 
-func newTable() table {
-	return table{documents: make(map[string]Applied), owners: make(map[string][]string)}
+func newTable() documentTable {
+	return documentTable{documents: make(map[string]Applied), owners: make(map[string][]string)}
 }
 
 // put replaces a document.
-func (t *table) put(a Applied) {
+func (t *documentTable) putDocument(a Applied) {
 	bucket := bucketOf(a.Name)
 	if old, ok := t.documents[a.Name]; ok {
-		t.sums[bucket] ^= sumOf(old)
-		t.disown(old)
+		t.sums[bucket] ^= documentSum(old)
+		t.removeOwner(old)
 	}
-	t.sums[bucket] ^= sumOf(a)
+	t.sums[bucket] ^= documentSum(a)
 	t.documents[a.Name] = a
 	for _, g := range a.Service.Groups {
 		i, _ := slices.BinarySearch(t.owners[g.Name], a.Name)
@@ -54,19 +54,19 @@
 	}
 }
 
-func (t *table) disown(a Applied) {
+func (t *documentTable) removeOwner(a Applied) {
 	for _, g := range a.Service.Groups {
-		left := slices.DeleteFunc(t.owners[g.Name], func(name string) bool { return name == a.Name })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(t.owners[g.Name], func(name string) bool { return name == a.Name })
+		if len(remaining) == 0 {
 			delete(t.owners, g.Name)
 			continue
 		}
-		t.owners[g.Name] = left
+		t.owners[g.Name] = remaining
 	}
 }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % bucketCount) }
 
-func sumOf(a Applied) uint64 {
+func documentSum(a Applied) uint64 {
 	return xxhash.Sum64String(a.Name + "\x00" + strconv.FormatInt(a.Version, 10) + "\x00" + a.ID)
 }
--- a/internal/config/contacts.go
+++ b/internal/config/topology.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// relayDuty is the key by which relays are picked.
-	relayDuty = "config.relay"
-	// digestDuty, with the instance's ID, is the key by which the peers that it
+	// relayPickKey is the key by which relays are picked.
+	relayPickKey = "config.relay"
+	// digestPickKey, with the instance's ID, is the key by which the peers that it
 	// exchanges digests with are picked.
-	digestDuty = "config.digest/"
-	// digestPeers is how many peers of each failure domain an instance
+	digestPickKey = "config.digest/"
+	// digestPeersPerDomain is how many peers of each failure domain an instance
 	// exchanges digests with. The set is bounded so that connections are: a
 	// peer picked at random among thousands would mean a connection to each in
 	// the end. Repair over such a fixed random graph still takes a number of
 	// rounds that grows with the logarithm of the fleet.
-	digestPeers = 3
+	digestPeersPerDomain = 3
 )
 
 // contacts derives from the fleet's view whom this instance talks to.
-type contacts struct {
-	fleet      Fleet
-	relayCount int
+type peerTopology struct {
+	fleet           Fleet
+	relaysPerDomain int
 	// viewed is closed when the view names a peer for the first time.
-	viewed      chan struct{}
-	closeViewed func()
+	peersKnown     chan struct{}
+	markPeersKnown func()
 
-	mu     sync.Mutex
-	tree   relaytree.Tree
-	digest []platform.Instance
+	mu              sync.Mutex
+	tree            relaytree.Tree
+	digestInstances []platform.Instance
 }
 
 // refresh follows a change of the view.
-func (c *contacts) refresh() {
+func (c *peerTopology) refresh() {
 	// The view is read under the lock, so that of two calls at one moment the
 	// later one has the newer view.
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	self := c.fleet.Self()
-	relays := c.fleet.Pick(relayDuty, c.relayCount)
+	relays := c.fleet.Pick(relayPickKey, c.relaysPerDomain)
 	c.tree = relaytree.New(self.FailureDomain, relays, c.fleet.Live())
-	c.digest = slices.DeleteFunc(c.fleet.Pick(digestDuty+self.ID, digestPeers), sameID(self.ID))
-	if len(c.digest) > 0 {
-		c.closeViewed()
+	c.digestInstances = slices.DeleteFunc(c.fleet.Pick(digestPickKey+self.ID, digestPeersPerDomain), sameID(self.ID))
+	if len(c.digestInstances) > 0 {
+		c.markPeersKnown()
 	}
 }
 
@@ -55,25 +55,25 @@
 }
 
 // isRelay reports whether this instance watches the platform.
-func (c *contacts) isRelay() bool {
+func (c *peerTopology) isRelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tree.IsRelay(c.fleet.Self().ID)
 }
 
-// digestTargets returns the addresses of the peers to exchange digests with.
-func (c *contacts) digestTargets() []string {
+// digestAddresses returns the addresses of the peers to exchange digests with.
+func (c *peerTopology) digestAddresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	addresses := make([]string, len(c.digest))
-	for i, p := range c.digest {
+	addresses := make([]string, len(c.digestInstances))
+	for i, p := range c.digestInstances {
 		addresses[i] = p.PeerAddress
 	}
 	return addresses
 }
 
 // children returns the addresses that this instance pushes a document to.
-func (c *contacts) children(name string) []string {
+func (c *peerTopology) childAddresses(name string) []string {
 	c.mu.Lock()
 	tree := c.tree
 	c.mu.Unlock()
--- a/internal/config/machine_test.go
+++ b/internal/config/versionmachine_test.go
@@ -15,32 +15,32 @@
 )
 
 // hasty is a clock whose timers fire at once.
-type hasty struct{ clock.System }
+type instantClock struct{ clock.System }
 
-func (hasty) NewTimer(time.Duration) *time.Timer { return time.NewTimer(0) }
+func (instantClock) NewTimer(time.Duration) *time.Timer { return time.NewTimer(0) }
 
 // versionMachine drives three stores step by step, without their loops, and
 // checks after each step that no version ever falls and that no two changes
 // carry the same version.
 type versionMachine struct {
-	platform *switchable
-	net      *network
-	nodes    []*node
-	starts   int
+	platform  *replaceablePlatform
+	net       *network
+	instances []*testInstance
+	starts    int
 	// seen is the highest version that each node's subscribers saw.
-	seen map[*node]int64
+	highestSeen map[*testInstance]int64
 	// makers maps an accepted version to the change that made it.
-	makers map[int64]string
+	acceptedIDs map[int64]string
 	// accepted is the highest version that an operator was told of.
 	accepted int64
 }
 
 func newVersionMachine() *versionMachine {
-	m := &versionMachine{platform: &switchable{Store: standin.NewStore()}, net: newNetwork(),
-		seen: map[*node]int64{}, makers: map[int64]string{}}
+	m := &versionMachine{platform: &replaceablePlatform{Store: standin.NewStore()}, net: newNetwork(),
+		highestSeen: map[*testInstance]int64{}, acceptedIDs: map[int64]string{}}
 	m.platform.SetInventory(machineInventory())
 	for i := range testDomains {
-		m.nodes = append(m.nodes, m.start(i))
+		m.instances = append(m.instances, m.startInstance(i))
 	}
 	return m
 }
@@ -54,41 +54,41 @@
 	return list
 }
 
-func (m *versionMachine) start(i int) *node {
+func (m *versionMachine) startInstance(i int) *testInstance {
 	m.starts++
 	self := machineInventory().Instances[i]
 	r := rand.New(rand.NewPCG(uint64(m.starts), uint64(i)))
-	g := newGate(m.platform)
-	members := membership.New(membership.Options{API: g, Clock: hasty{}, Rand: r, Self: self, PerFailureDomain: 1})
+	g := newPlatformLink(m.platform)
+	members := membership.New(membership.Options{API: g, Clock: instantClock{}, Rand: r, Self: self, PerFailureDomain: 1})
 	e := endpoint{m.net, self.PeerAddress}
-	n := &node{id: self.ID, gate: g, members: members, Store: New(Options{API: g, Clock: hasty{}, Rand: r, Fleet: members, Peers: e, Registry: e})}
+	n := &testInstance{id: self.ID, link: g, members: members, Store: New(Options{API: g, Clock: instantClock{}, Rand: r, Fleet: members, Peers: e, Registry: e})}
 	n.Subscribe(func(a Applied) {
-		if a.Version <= m.seen[n] {
-			panic(fmt.Sprintf("%s went from version %d to %d", n.id, m.seen[n], a.Version))
+		if a.Version <= m.highestSeen[n] {
+			panic(fmt.Sprintf("%s went from version %d to %d", n.id, m.highestSeen[n], a.Version))
 		}
-		m.seen[n] = a.Version
+		m.highestSeen[n] = a.Version
 	})
 	return n
 }
 
-func (m *versionMachine) pick(t *rapid.T, label string) int {
-	return rapid.IntRange(0, len(m.nodes)-1).Draw(t, label)
+func (m *versionMachine) pickInstance(t *rapid.T, label string) int {
+	return rapid.IntRange(0, len(m.instances)-1).Draw(t, label)
 }
 
 // apply changes the document from the version in force or an older one, with
 // the way to the platform whole or losing requests or answers.
-func (m *versionMachine) apply(t *rapid.T) {
-	n := m.nodes[m.pick(t, "node")]
+func (m *versionMachine) applyChange(t *rapid.T) {
+	n := m.instances[m.pickInstance(t, "node")]
 	current, _ := n.Current("orders")
 	from := max(0, current.Version-int64(rapid.IntRange(0, 1).Draw(t, "behind")))
 	switch rapid.SampledFrom([]string{"whole", "request lost", "answer lost"}).Draw(t, "way") {
 	case "request lost":
-		n.gate.intercept(1, lostBefore)
+		n.link.interceptPuts(1, loseRequest)
 	case "answer lost":
-		n.gate.intercept(1, lostAfter)
+		n.link.interceptPuts(1, loseAnswer)
 	}
-	o, err := n.Apply(t.Context(), "orders", text("orders", 1+int(from)%900), from, "ana")
-	n.gate.intercept(0, nil)
+	o, err := n.Apply(t.Context(), "orders", documentText("orders", 1+int(from)%900), from, "ana")
+	n.link.interceptPuts(0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,51 +97,51 @@
 		if o.Version != from+1 {
 			t.Fatalf("accepted as version %d from %d", o.Version, from)
 		}
-		if other := m.makers[o.Version]; other != "" {
+		if other := m.acceptedIDs[o.Version]; other != "" {
 			t.Fatalf("version %d was made by %s and by %s", o.Version, other, o.ChangeID)
 		}
-		m.makers[o.Version] = o.ChangeID
+		m.acceptedIDs[o.Version] = o.ChangeID
 	}
 }
 
-func (m *versionMachine) list(t *rapid.T) {
-	w := &watcher{store: m.nodes[m.pick(t, "node")].Store, revision: unlisted}
-	_ = w.list(t.Context())
+func (m *versionMachine) listPlatform(t *rapid.T) {
+	w := &watcher{store: m.instances[m.pickInstance(t, "node")].Store, revision: unlisted}
+	_ = w.listAll(t.Context())
 }
 
-func (m *versionMachine) exchange(t *rapid.T) {
-	a, b := m.pick(t, "a"), m.pick(t, "b")
-	m.sync(t, a, b)
+func (m *versionMachine) repairRandomPair(t *rapid.T) {
+	a, b := m.pickInstance(t, "a"), m.pickInstance(t, "b")
+	m.repairBetween(t, a, b)
 }
 
-func (m *versionMachine) sync(t *rapid.T, a, b int) {
-	_ = m.nodes[a].repairWith(t.Context(), machineInventory().Instances[b].PeerAddress)
+func (m *versionMachine) repairBetween(t *rapid.T, a, b int) {
+	_ = m.instances[a].repairWithPeer(t.Context(), machineInventory().Instances[b].PeerAddress)
 }
 
 // replay sends a node an older version, as a delayed push would.
-func (m *versionMachine) replay(t *rapid.T) {
-	n := m.nodes[m.pick(t, "node")]
+func (m *versionMachine) replayOldVersion(t *rapid.T) {
+	n := m.instances[m.pickInstance(t, "node")]
 	version := int64(rapid.IntRange(1, 5).Draw(t, "version"))
-	if id := m.makers[version]; id != "" {
-		n.receive([]wireDocument{{Name: "orders", Envelope: Envelope{Change: Change{Version: version, ID: id}, Text: text("orders", 7)}}}, FromPush)
+	if id := m.acceptedIDs[version]; id != "" {
+		n.adoptDocuments([]wireDocument{{Name: "orders", Envelope: Envelope{Change: Change{Version: version, ID: id}, Text: documentText("orders", 7)}}}, FromPush)
 	}
 }
 
 // restart replaces a node by one that knows nothing. It serves when it has
 // asked the platform and a peer, which Ready demands.
-func (m *versionMachine) restart(t *rapid.T) {
-	i := m.pick(t, "node")
-	m.nodes[i] = m.start(i)
-	_ = (&watcher{store: m.nodes[i].Store, revision: unlisted}).list(t.Context())
-	m.sync(t, i, (i+1)%len(m.nodes))
+func (m *versionMachine) restartInstance(t *rapid.T) {
+	i := m.pickInstance(t, "node")
+	m.instances[i] = m.startInstance(i)
+	_ = (&watcher{store: m.instances[i].Store, revision: unlisted}).listAll(t.Context())
+	m.repairBetween(t, i, (i+1)%len(m.instances))
 }
 
 // lose empties the platform's store, after the last change has spread: a
 // change that only the platform and one instance ever had can be lost with both.
-func (m *versionMachine) lose(t *rapid.T) {
-	for range m.nodes {
-		for i := range m.nodes {
-			m.sync(t, i, (i+1)%len(m.nodes))
+func (m *versionMachine) losePlatformStore(t *rapid.T) {
+	for range m.instances {
+		for i := range m.instances {
+			m.repairBetween(t, i, (i+1)%len(m.instances))
 		}
 	}
 	empty := standin.NewStore()
@@ -149,17 +149,17 @@
 	m.platform.replace(empty)
 }
 
-func (m *versionMachine) check(t *rapid.T) {
-	for _, n := range m.nodes {
+func (m *versionMachine) checkInvariants(t *rapid.T) {
+	for _, n := range m.instances {
 		a, ok := n.Current("orders")
 		if !ok {
 			continue
 		}
-		if a.Version < m.seen[n] {
-			t.Fatalf("%s went back from %d to %d", n.id, m.seen[n], a.Version)
+		if a.Version < m.highestSeen[n] {
+			t.Fatalf("%s went back from %d to %d", n.id, m.highestSeen[n], a.Version)
 		}
-		if made := m.makers[a.Version]; made != "" && made != a.ID {
-			t.Fatalf("%s holds version %d by change %s, accepted was %s", n.id, a.Version, a.ID, made)
+		if acceptedID := m.acceptedIDs[a.Version]; acceptedID != "" && acceptedID != a.ID {
+			t.Fatalf("%s holds version %d by change %s, accepted was %s", n.id, a.Version, a.ID, acceptedID)
 		}
 		if a.Version > m.accepted {
 			t.Fatalf("%s holds version %d, none past %d was accepted", n.id, a.Version, m.accepted)
@@ -174,8 +174,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newVersionMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"apply": m.apply, "list": m.list, "exchange": m.exchange, "replay": m.replay,
-			"restart": m.restart, "lose": m.lose, "": m.check,
+			"apply": m.applyChange, "list": m.listPlatform, "exchange": m.repairRandomPair, "replay": m.replayOldVersion,
+			"restart": m.restartInstance, "lose": m.losePlatformStore, "": m.checkInvariants,
 		})
 	})
 }
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -11,15 +11,15 @@
 const (
 	// unlisted is the revision of a watch that must list first.
 	unlisted = -1
-	// relayBeat is how often an instance that is no relay looks whether it has
+	// relayCheckInterval is how often an instance that is no relay looks whether it has
 	// become one.
-	relayBeat = 500 * time.Millisecond
-	// peersFirst is how long a starting instance that is no relay waits for
+	relayCheckInterval = 500 * time.Millisecond
+	// peerSyncTimeout is how long a starting instance that is no relay waits for
 	// peers before it lists the platform.
-	peersFirst = 5 * time.Second
-	// firstBackoff and lastBackoff bound the wait after a failed call.
-	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 3 * time.Second
+	peerSyncTimeout = 5 * time.Second
+	// minBackoff and maxBackoff bound the wait after a failed call.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 3 * time.Second
 )
 
 // watcher follows the platform's documents.
@@ -36,44 +36,44 @@
 // after its start: when a failure domain returns, a thousand instances start at
 // one moment, and each list holds every document.
 func (s *Store) watchLoop(ctx context.Context) {
-	s.awaitPeers(ctx)
+	s.waitForPeers(ctx)
 	w := &watcher{store: s, revision: unlisted}
-	deadline := s.options.Clock.Now().Add(peersFirst)
+	deadline := s.options.Clock.Now().Add(peerSyncTimeout)
 	for ctx.Err() == nil {
-		informed := s.informed()
-		if s.contact.isRelay() || (!informed && s.options.Clock.Now().After(deadline)) {
-			w.step(ctx)
+		synced := s.hasSynced()
+		if s.topology.isRelay() || (!synced && s.options.Clock.Now().After(deadline)) {
+			w.runOnce(ctx)
 			continue
 		}
-		if informed {
-			s.noteContact(platformContact, errNotRelay)
+		if synced {
+			s.recordCallResult(remotePlatform, errSyncedFromPeers)
 		}
 		w.revision = unlisted
-		_ = clock.Sleep(ctx, s.options.Clock, s.jittered(relayBeat))
+		_ = clock.Sleep(ctx, s.options.Clock, s.jittered(relayCheckInterval))
 	}
 }
 
 // step lists or watches once and waits after a failure. After any failure it
 // lists again: the platform may have restarted with older revisions, and may
 // since have passed the one that the watch would resume from.
-func (w *watcher) step(ctx context.Context) {
-	err := w.follow(ctx)
+func (w *watcher) runOnce(ctx context.Context) {
+	err := w.listOrWatch(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	w.note(err)
+	w.logTransition(err)
 	if err == nil {
-		w.backoff = firstBackoff
+		w.backoff = minBackoff
 		return
 	}
 	w.revision = unlisted
 	w.store.metrics.watches.WithLabelValues("failed").Inc()
-	_ = clock.Sleep(ctx, w.store.options.Clock, w.store.jittered(max(w.backoff, firstBackoff)))
-	w.backoff = min(2*max(w.backoff, firstBackoff), lastBackoff)
+	_ = clock.Sleep(ctx, w.store.options.Clock, w.store.jittered(max(w.backoff, minBackoff)))
+	w.backoff = min(2*max(w.backoff, minBackoff), maxBackoff)
 }
 
 // note logs when the platform is lost and when it is back.
-func (w *watcher) note(err error) {
+func (w *watcher) logTransition(err error) {
 	switch failed := err != nil; {
 	case failed && !w.failing:
 		w.store.log.Warn("Platform's watch failed. Documents in force stay.", "error", err)
@@ -83,16 +83,16 @@
 	w.failing = err != nil
 }
 
-func (w *watcher) follow(ctx context.Context) error {
+func (w *watcher) listOrWatch(ctx context.Context) error {
 	if w.revision == unlisted {
-		return w.list(ctx)
+		return w.listAll(ctx)
 	}
 	objects, revision, err := w.store.options.API.Watch(ctx, platform.KindService, w.revision)
 	if err != nil {
 		return err
 	}
 	w.store.metrics.watches.WithLabelValues("answered").Inc()
-	if w.take(objects) || revision < w.revision {
+	if w.adoptObjects(objects) || revision < w.revision {
 		w.revision = unlisted
 		return nil
 	}
@@ -101,16 +101,16 @@
 }
 
 // list reads all documents and brings back what the platform has lost.
-func (w *watcher) list(ctx context.Context) error {
+func (w *watcher) listAll(ctx context.Context) error {
 	objects, revision, err := w.store.options.API.List(ctx, platform.KindService)
-	w.store.noteContact(platformContact, err)
+	w.store.recordCallResult(remotePlatform, err)
 	if err != nil {
 		return err
 	}
 	w.store.metrics.watches.WithLabelValues("listed").Inc()
-	w.take(objects)
-	if w.store.restore(ctx, objects) {
-		return clock.Sleep(ctx, w.store.options.Clock, w.store.jittered(restorePause))
+	w.adoptObjects(objects)
+	if w.store.restoreDocuments(ctx, objects) {
+		return clock.Sleep(ctx, w.store.options.Clock, w.store.jittered(restoreInterval))
 	}
 	w.revision = revision
 	return nil
@@ -118,7 +118,7 @@
 
 // take adopts stored documents and reports whether one of them was lower than
 // what is in force.
-func (w *watcher) take(objects []platform.Object) (lower bool) {
+func (w *watcher) adoptObjects(objects []platform.Object) (lower bool) {
 	for _, o := range objects {
 		e, err := decodeObject(o)
 		if err != nil {
@@ -126,7 +126,7 @@
 			w.store.log.Error("Stored value kept out.", "service", o.Name, "error", err)
 			continue
 		}
-		if e.Version > 0 && w.store.adopt(o.Name, e, FromPlatform) == Lower {
+		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == Lower {
 			lower = true
 		}
 	}
--- a/internal/document/database.go
+++ b/internal/document/database.go
@@ -1,12 +1,12 @@
 package document
 
-// Database is a name that callers connect to where it is not the group's own,
-// and the class of what they send there.
+// Database is a name, other than a group's own name, that callers can connect
+// to, together with the class assigned to requests on those connections.
 type Database struct {
 	Name  string
 	Group string
-	// Class names a read class of the group's service.
+	// Class is the name of a read class of the group's service.
 	Class string
-	// Public says that callers need no key of a workspace.
+	// Public reports that callers need no workspace key.
 	Public bool
 }
--- a/internal/document/docs_test.go
+++ b/internal/document/docs_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazrock/topazrock/internal/inifile"
 )
 
-// The operators' page must list exactly the keys that the parser knows, in
-// their sections, with their defaults and ranges.
+// The operators' documentation must list exactly the keys that the parser
+// knows, in their sections, with their defaults and ranges.
 func TestPageListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ops", "service-document.md"))
--- a/internal/document/limits.go
+++ b/internal/document/limits.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Bounds of a service document. They guard the instances that apply it: a
-// mistyped figure must not take a member's last connection or an instance's
-// memory.
+// Bounds of a service document. They protect the instances that apply it: a
+// mistyped number must not use up a member's last connection or exhaust an
+// instance's memory.
 const (
-	// MaxSize bounds a document's text, in bytes. With its envelope and history
-	// it stays well under what the platform stores in one object.
+	// MaxSize is the maximum size of a document's text in bytes. Together with
+	// its envelope and history, a document of this size stays well below the
+	// platform's limit for one object.
 	MaxSize = 256 << 10
 
-	// MinMembers is the smallest group: with fewer than three members the loss
-	// of one leaves no majority.
+	// MinMembers is the minimum size of a group: with fewer than three members,
+	// losing one leaves no majority.
 	MinMembers = 3
-	// MaxMembers is the largest group.
+	// MaxMembers is the maximum size of a group.
 	MaxMembers = 9
 
 	maxConnections = 10_000
@@ -21,9 +22,9 @@
 	maxQueueBound  = 100_000
 	maxRate        = 1_000_000
 
-	// HighestPriority goes first.
+	// HighestPriority is served first.
 	HighestPriority = 1
-	// LowestPriority goes last.
+	// LowestPriority is served last.
 	LowestPriority = 9
 
 	maxAgeBound = 24 * time.Hour
--- a/internal/document/members.go
+++ b/internal/document/members.go
@@ -7,16 +7,16 @@
 	"github.com/topazrock/topazrock/internal/inifile"
 )
 
-// members is a list of failure-domain/IP:port, parted by commas or spaces; its
-// value is a []Member.
-type members struct{}
+// membersKind parses a list of failure-domain/IP:port entries, separated by
+// commas or spaces, into a []Member.
+type membersKind struct{}
 
 // Parse implements inifile.Kind.
-func (members) Parse(text string) (any, error) {
+func (membersKind) Parse(text string) (any, error) {
 	var list []Member
 	seen := make(map[string]bool)
-	for _, word := range strings.FieldsFunc(text, isListSeparator) {
-		m, err := parseMember(word)
+	for _, item := range strings.FieldsFunc(text, isListSeparator) {
+		m, err := parseMember(item)
 		if err != nil {
 			return []Member(nil), err
 		}
@@ -33,20 +33,20 @@
 }
 
 // Allowed implements inifile.Kind.
-func (members) Allowed() string {
+func (membersKind) Allowed() string {
 	return fmt.Sprintf("%d to %d of failure-domain/IP:port, parted by commas", MinMembers, MaxMembers)
 }
 
 func isListSeparator(r rune) bool { return r == ',' || r == ' ' || r == '\t' }
 
-func parseMember(word string) (Member, error) {
-	domain, address, _ := strings.Cut(word, "/")
+func parseMember(item string) (Member, error) {
+	domain, address, _ := strings.Cut(item, "/")
 	if _, err := (inifile.Name{}).Parse(domain); err != nil {
-		return Member{}, fmt.Errorf("member %q: failure domain: %w", word, err)
+		return Member{}, fmt.Errorf("member %q: failure domain: %w", item, err)
 	}
 	v, err := inifile.Address{}.Parse(address)
 	if err != nil {
-		return Member{}, fmt.Errorf("member %q: %w", word, err)
+		return Member{}, fmt.Errorf("member %q: %w", item, err)
 	}
 	return Member{Address: v.(string), FailureDomain: domain}, nil
 }
--- a/internal/document/unset.go
+++ b/internal/document/optional.go
@@ -6,21 +6,22 @@
 	"github.com/topazrock/topazrock/internal/inifile"
 )
 
-// orUnset is a time span whose zero says that the common value holds.
-type orUnset struct{ inifile.Duration }
+// optionalDuration parses a duration in a range, or zero, which selects the
+// default from [limits].
+type optionalDuration struct{ inifile.Duration }
 
 // Parse implements inifile.Kind.
-func (k orUnset) Parse(text string) (any, error) {
+func (k optionalDuration) Parse(text string) (any, error) {
 	if d, err := time.ParseDuration(text); err == nil && d == 0 {
 		return d, nil
 	}
 	return k.Duration.Parse(text)
 }
 
-// noName stands in a document where a name could.
+// noName is written in a document in place of an optional name that is not set.
 const noName = "-"
 
-// optionalName is a name, or noName, whose value is empty.
+// optionalName parses a name, or noName, whose value is the empty string.
 type optionalName struct{ inifile.Name }
 
 // Parse implements inifile.Kind.
@@ -35,4 +36,4 @@
 func (k optionalName) Allowed() string { return noName + " or " + k.Name.Allowed() }
 
 // Allowed implements inifile.Kind.
-func (k orUnset) Allowed() string { return "0s or " + k.Duration.Allowed() }
+func (k optionalDuration) Allowed() string { return "0s or " + k.Duration.Allowed() }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -8,11 +8,12 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// Parse reads and checks a service document. The error is inifile.Problems
-// with every fault of the text; fileName is what they name as the file.
+// Parse parses and validates a service document. The returned error is an
+// inifile.Problems with every problem found; fileName is the file name that the
+// problems report.
 func Parse(fileName string, text []byte) (*Service, error) {
 	f := inifile.Read(&schema, fileName, text)
-	s := build(f)
+	s := buildService(f)
 	checkLimits(f, s)
 	checkGroups(f)
 	checkClasses(f, s)
@@ -23,7 +24,7 @@
 	return s, nil
 }
 
-func build(f *inifile.File) *Service {
+func buildService(f *inifile.File) *Service {
 	s := &Service{Name: f.First(&schema, sectionService).String("name")}
 	for _, sec := range f.All(sectionGroup) {
 		list, _ := sec.Value("members").([]Member)
@@ -33,7 +34,7 @@
 	for _, sec := range f.All(sectionUser) {
 		s.Users = append(s.Users, User{Name: sec.Name, Verifier: sec.String("verifier"), Workspace: sec.String("workspace")})
 	}
-	for _, sec := range f.All(sectionWork) {
+	for _, sec := range f.All(sectionWorkspace) {
 		s.Workspaces = append(s.Workspaces, buildWorkspace(sec))
 	}
 	s.Limits = buildLimits(f.First(&schema, sectionLimits))
@@ -83,8 +84,9 @@
 
 func upTo(d time.Duration) string { return "up to " + d.String() }
 
-// checkGroups refuses groups that would count a member's connections twice, whose
-// connections would all be spent on control, or whose slots no connection could serve.
+// checkGroups rejects groups that share a member, whose connections would all
+// be used as control connections, or that have more slots than connections. A
+// member in two groups would have its connections counted twice.
 func checkGroups(f *inifile.File) {
 	owner := make(map[string]string)
 	for _, sec := range f.All(sectionGroup) {
@@ -97,9 +99,10 @@
 			owner[m.Address] = sec.Name
 		}
 		connections := sec.Int("connections")
-		// One home keeps a control connection to each member and needs one more.
-		if least := len(list) + 1; connections > 0 && connections < least {
-			f.Refuse(sec, "connections", "too few for the members", fmt.Sprintf("%d to %d", least, maxConnections))
+		// A home keeps one control connection to each member and needs at least
+		// one more for statements.
+		if minConnections := len(list) + 1; connections > 0 && connections < minConnections {
+			f.Refuse(sec, "connections", "too few for the members", fmt.Sprintf("%d to %d", minConnections, maxConnections))
 		}
 		if slots := sec.Int("slots"); connections > 0 && slots > connections {
 			f.Refuse(sec, "slots", "more slots than connections", fmt.Sprintf("1 to %d", connections))
@@ -107,8 +110,8 @@
 	}
 }
 
-// checkWorkspaces refuses users of workspaces that do not exist, and limits that let nothing
-// begin.
+// checkWorkspaces rejects users that belong to an undefined workspace, and rate
+// limits under which no operation could ever start.
 func checkWorkspaces(f *inifile.File, s *Service) {
 	for _, sec := range f.All(sectionUser) {
 		name := sec.String("workspace")
@@ -116,7 +119,7 @@
 			f.Refuse(sec, "workspace", "no section [workspace "+name+"]", "the name of a workspace of this document")
 		}
 	}
-	for _, sec := range f.All(sectionWork) {
+	for _, sec := range f.All(sectionWorkspace) {
 		if sec.Decimal("rate") > 0 && sec.Decimal("burst") < 1 {
 			f.Refuse(sec, "burst", "less than one operation", "1 or more where a rate is given")
 		}
@@ -126,8 +129,8 @@
 	}
 }
 
-// checkClasses refuses a read and a request of the same name: a tag names a
-// class by its name alone.
+// checkClasses rejects a read class and a request class with the same name: a
+// tag identifies a class by name only.
 func checkClasses(f *inifile.File, s *Service) {
 	for _, sec := range f.All(sectionRequest) {
 		if _, taken := s.FindRead(sec.Name); taken {
--- a/internal/document/parse_test.go
+++ b/internal/document/parse_test.go
@@ -15,7 +15,7 @@
 
 const testVerifier = "SCRAM-SHA-256$4096:y0dInoy2hw+boGs4hM65eQ==$3SpBj+j6yTi73e/dAhqtXEWaTZOtGBZeNNnGI3sGNh8=:n+SNdInED24RgrJW/aqIICRzLDB52sPposD4v52R36w="
 
-const smallDocument = `[service]
+const minimalDocument = `[service]
 name = orders
 [group orders]
 members = a/10.0.0.1:5432, b/10.0.0.2:5432, c/10.0.0.3:5432
@@ -49,7 +49,7 @@
 
 func TestDefaults(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("orders.ini", []byte(smallDocument+"[read recent]\nmax_age = 5s ; seconds\n"))
+	s, err := Parse("orders.ini", []byte(minimalDocument+"[read recent]\nmax_age = 5s ; seconds\n"))
 	is.NoErr(err)
 	is.Equal(s.Limits.RequestTimeout, 15*time.Second)
 	is.Equal(s.Reads, []ReadClass{{Name: "recent", MaxAge: 5 * time.Second, Priority: 5}})
@@ -57,8 +57,8 @@
 	is.Equal(s.Users[0].Verifier, testVerifier)
 }
 
-// An operator makes several mistakes in one document. Each of them comes back
-// at once with its line, so that one look is enough to mend them all.
+// A document with several mistakes is rejected with all of them at once, each
+// with its line, so that the operator can fix them in one pass.
 func TestAllFaultsAtOnce(t *testing.T) {
 	is := is.New(t)
 	text := `stray = 1
@@ -113,7 +113,7 @@
 }
 
 func TestChecksAcrossKeys(t *testing.T) {
-	base := smallDocument
+	base := minimalDocument
 	cases := map[string]struct{ text, want string }{
 		"connections for control only": {strings.Replace(base, "connections = 10", "connections = 3", 1), "too few for the members; allowed: 4 to 10000"},
 		"more slots than connections":  {strings.Replace(base, "slots = 2", "slots = 11", 1), "more slots than connections; allowed: 1 to 10"},
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestKeysDescribeThemselves(t *testing.T) {
+func TestEveryKeyIsDescribed(t *testing.T) {
 	is := is.New(t)
 	for _, k := range Keys() {
 		is.True(k.Meaning != "")
@@ -149,7 +149,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(smallDocument))
+	f.Add([]byte(minimalDocument))
 	f.Add([]byte("[service]\nname=x\n[read a]\nmax_age=\"1s\" ; c\n"))
 	f.Add([]byte("\xef\xbb\xbf[group a]\r\nmembers=`a\n`\n[]\n[a]b]\n=\n-=1\n%(x)s=y\n"))
 	for _, name := range []string{"base-ligacoes", "subs-core"} {
--- a/internal/document/keys.go
+++ b/internal/document/schema.go
@@ -4,22 +4,22 @@
 
 // Section kinds.
 const (
-	sectionService = "service"
-	sectionGroup   = "group"
-	sectionUser    = "user"
-	sectionWork    = "workspace"
-	sectionLimits  = "limits"
-	sectionRead    = "read"
-	sectionRequest = "request"
+	sectionService   = "service"
+	sectionGroup     = "group"
+	sectionUser      = "user"
+	sectionWorkspace = "workspace"
+	sectionLimits    = "limits"
+	sectionRead      = "read"
+	sectionRequest   = "request"
 )
 
-// Words of the key connections of a workspace.
+// Values of the key connections of a workspace.
 const (
 	connectionsShared = "shared"
 	connectionsOwn    = "own"
 )
 
-// Words of the key repeat.
+// Values of the key repeat.
 const (
 	repeatNever   = "never"
 	repeatAllowed = "allowed"
@@ -31,14 +31,14 @@
 	priorityRange = inifile.Int{Min: HighestPriority, Max: LowestPriority}
 )
 
-// schema is the one table of sections, keys, defaults and ranges.
+// schema defines all sections, keys, defaults and ranges of a service document.
 var schema = inifile.Schema{
 	MaxSize: MaxSize,
 	Sections: []inifile.SectionRule{
 		{Kind: sectionService, Required: true},
 		{Kind: sectionGroup, Named: true, Required: true},
 		{Kind: sectionUser, Named: true, Required: true},
-		{Kind: sectionWork, Named: true},
+		{Kind: sectionWorkspace, Named: true},
 		{Kind: sectionLimits},
 		{Kind: sectionRead, Named: true},
 		{Kind: sectionRequest, Named: true},
@@ -47,25 +47,25 @@
 		{Section: sectionService, Name: "name", Kind: inifile.Name{}, Required: true,
 			Meaning: "Name of the service. It is also the name of the document."},
 
-		{Section: sectionGroup, Name: "members", Kind: members{}, Required: true,
+		{Section: sectionGroup, Name: "members", Kind: membersKind{}, Required: true,
 			Meaning: "The group's members, each with the failure domain it stands in."},
 		{Section: sectionGroup, Name: "connections", Kind: inifile.Int{Min: MinMembers, Max: maxConnections}, Required: true,
 			Meaning: "Hard total of connections to the group's members over all instances."},
 		{Section: sectionGroup, Name: "slots", Kind: inifile.Int{Min: 1, Max: maxSlots}, Required: true,
 			Meaning: "How many statements may run in the group at once, over all instances."},
 
-		{Section: sectionUser, Name: "verifier", Kind: verifier{}, Required: true, Secret: true,
+		{Section: sectionUser, Name: "verifier", Kind: verifierKind{}, Required: true, Secret: true,
 			Meaning: "SCRAM-SHA-256 verifier of the account's password, as PostgreSQL stores it."},
 		{Section: sectionUser, Name: "workspace", Kind: optionalName{}, Default: noName,
 			Meaning: "Workspace that the account's operations are run for; - for none."},
 
-		{Section: sectionWork, Name: "rate", Kind: inifile.Decimal{Max: maxRate}, Default: "0",
+		{Section: sectionWorkspace, Name: "rate", Kind: inifile.Decimal{Max: maxRate}, Default: "0",
 			Meaning: "Operations a second that may be begun for the workspace, over all instances. 0 with a burst of 0 sets no limit."},
-		{Section: sectionWork, Name: "burst", Kind: inifile.Decimal{Max: maxRate}, Default: "0",
+		{Section: sectionWorkspace, Name: "burst", Kind: inifile.Decimal{Max: maxRate}, Default: "0",
 			Meaning: "How many operations may be begun at once behind a pause."},
-		{Section: sectionWork, Name: "priority", Kind: priorityRange, Default: "5",
+		{Section: sectionWorkspace, Name: "priority", Kind: priorityRange, Default: "5",
 			Meaning: "Order among workspaces within a class: 1 goes first, 9 last."},
-		{Section: sectionWork, Name: "connections", Kind: inifile.Enum{connectionsShared, connectionsOwn}, Default: connectionsShared,
+		{Section: sectionWorkspace, Name: "connections", Kind: inifile.Enum{connectionsShared, connectionsOwn}, Default: connectionsShared,
 			Meaning: "Whether the workspace's statements share connections to members with others, or run on connections that serve it alone."},
 
 		{Section: sectionLimits, Name: "statement_timeout", Kind: timeoutRange, Default: "10s",
@@ -87,7 +87,7 @@
 			Meaning: "Order in which classes get a slot: 1 goes first, 9 last."},
 		{Section: sectionRead, Name: "max_queue", Kind: queueRange, Default: "0",
 			Meaning: "How many requests of the class may wait on one instance. 0 means the value of [limits]."},
-		{Section: sectionRead, Name: "timeout", Kind: orUnset{timeoutRange}, Default: "0s",
+		{Section: sectionRead, Name: "timeout", Kind: optionalDuration{timeoutRange}, Default: "0s",
 			Meaning: "Deadline of a request of the class. 0s means request_timeout of [limits]."},
 
 		{Section: sectionRequest, Name: "repeat", Kind: inifile.Enum{repeatNever, repeatAllowed}, Required: true,
@@ -96,7 +96,7 @@
 			Meaning: "Order in which classes get a slot: 1 goes first, 9 last."},
 		{Section: sectionRequest, Name: "max_queue", Kind: queueRange, Default: "0",
 			Meaning: "How many requests of the class may wait on one instance. 0 means the value of [limits]."},
-		{Section: sectionRequest, Name: "timeout", Kind: orUnset{timeoutRange}, Default: "0s",
+		{Section: sectionRequest, Name: "timeout", Kind: optionalDuration{timeoutRange}, Default: "0s",
 			Meaning: "Deadline of a request of the class. 0s means request_timeout of [limits]."},
 	},
 }
--- a/internal/document/service.go
+++ b/internal/document/service.go
@@ -1,6 +1,6 @@
-// Package document holds the service document: the one text that a service
-// team edits. It is INI, checked whole before it is accepted, and applied
-// atomically by version.
+// Package document parses the service document, the single INI text that a
+// service team edits. A document is validated as a whole before it is accepted,
+// and a version of it is applied atomically.
 package document
 
 import (
@@ -9,40 +9,43 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// Service is one parsed and checked service document.
+// Service is a parsed and validated service document.
 type Service struct {
 	Name   string
 	Groups []Group
 	Users  []User
-	// Workspaces are those that users belong to.
+	// Workspaces are the tenants that users can belong to.
 	Workspaces []Workspace
 	Limits     Limits
 	Reads      []ReadClass
 	Writes     []RequestClass
-	// reads finds the read classes by name once Index was called.
+	// reads maps the name of a read class to its index in Reads. It is nil
+	// until Index is called.
 	reads map[string]int
 }
 
-// Group is one database group that the service uses. Callers name it as the
-// database they connect to.
+// Group is a database group that the service uses. Callers connect to it by
+// using its name as the database name.
 type Group struct {
 	Name    string
 	Members []Member
-	// Connections is the hard total of connections to the group's members over
-	// all instances.
+	// Connections is the hard limit on connections to the group's members,
+	// summed over all instances.
 	Connections int
-	// MemberConnections is how many connections each member takes, where that is
-	// what is limited; zero where the total alone is.
+	// MemberConnections is the connection limit of each member. Zero means that
+	// only the total is limited.
 	MemberConnections int
-	// Size is how many members a majority is counted over at least, where the list of
-	// members follows their own entries and may be short of some; zero means as many
-	// as are listed.
+	// Size is the minimum number of members over which a majority is computed.
+	// It is set where the list of members is built from entries that the
+	// members publish themselves and can be incomplete. Zero means the number
+	// of listed members.
 	Size int
-	// Slots bounds the statements that run in the group at once, over all instances.
+	// Slots is the maximum number of statements that run in the group at once,
+	// summed over all instances.
 	Slots int
 }
 
-// Member is one member of a database group.
+// Member is a member of a database group.
 type Member struct {
 	Address       string
 	FailureDomain string
@@ -54,22 +57,25 @@
 	// Verifier is a SCRAM-SHA-256 verifier in the form that PostgreSQL stores:
 	// SCRAM-SHA-256$iterations:salt$storedkey:serverkey
 	Verifier string
-	// Workspace is the one that the user belongs to; empty for none.
+	// Workspace is the name of the workspace that the user belongs to; empty
+	// for none.
 	Workspace string
 }
 
-// Workspace is one tenant of the service.
+// Workspace is a tenant of the service.
 type Workspace struct {
-	// Workspace has the name that the document gives it; see FullName.
+	// Workspace.Name is the name within the document; FullName returns the
+	// globally unique one.
 	workspace.Workspace
-	// OwnConnections says that its statements run on connections to members of its own.
+	// OwnConnections reports that the workspace's statements run on connections
+	// to members that no other workspace uses.
 	OwnConnections bool
 }
 
-// FullName is a workspace's name among those of all services.
+// FullName returns the name of a workspace that is unique across all services.
 func (s *Service) FullName(w Workspace) string { return s.Name + "/" + w.Name }
 
-// FindWorkspace returns the workspace of a name.
+// FindWorkspace returns the workspace with the given name.
 func (s *Service) FindWorkspace(name string) (Workspace, bool) {
 	for _, w := range s.Workspaces {
 		if w.Name == name {
@@ -79,57 +85,63 @@
 	return Workspace{}, false
 }
 
-// Limits bounds time and size for every class that does not state its own.
+// Limits holds the limits on time and size for classes that set none of their
+// own.
 type Limits struct {
-	// StatementTimeout bounds one statement at a member.
+	// StatementTimeout limits the run time of one statement at a member.
 	StatementTimeout time.Duration
-	// RequestTimeout is a caller's deadline from arrival to answer.
+	// RequestTimeout is the deadline of a request, from its arrival to its
+	// answer.
 	RequestTimeout time.Duration
-	// ConfirmTimeout bounds the wait for a replica's confirmation.
+	// ConfirmTimeout limits the wait for a replica's confirmation of a write.
 	ConfirmTimeout time.Duration
-	// TransactionIdleTimeout bounds how long an open transaction may be idle.
+	// TransactionIdleTimeout limits how long an open transaction can be idle.
 	TransactionIdleTimeout time.Duration
-	// AnswerBuffer is how many bytes of an answer are held before the first
-	// byte goes out.
+	// AnswerBuffer is the number of bytes of an answer that are buffered before
+	// the first byte is sent.
 	AnswerBuffer int
-	// MaxQueue bounds each class's queue on one instance.
+	// MaxQueue limits the queue of each class on one instance.
 	MaxQueue int
 }
 
-// ReadClass is a declared kind of read.
+// ReadClass is a declared class of reads.
 type ReadClass struct {
 	Name string
-	// MaxAge is the age of data that the read accepts. Zero: it must be fresh.
+	// MaxAge is the maximum age of the data that the read accepts. Zero means
+	// that the data must be current.
 	MaxAge time.Duration
-	// Primary says that reads run at the primary alone and see every write that
-	// was acknowledged before them; MaxAge is not used then.
+	// Primary reports that reads run only at the primary, and see every write
+	// that was acknowledged before them. MaxAge is ignored in that case.
 	Primary bool
-	// Writes says that units of the class may also write; each unit tells whether
-	// it only reads.
+	// Writes reports that units of the class may also write. Each unit declares
+	// whether it is read-only.
 	Writes bool
-	// Priority orders classes for a slot; 1 goes first, 9 last.
+	// Priority determines the order in which classes get a slot: 1 is served
+	// first, 9 last.
 	Priority int
-	// MaxQueue bounds the class's queue on one instance; zero means Limits.MaxQueue.
+	// MaxQueue limits the queue of the class on one instance; zero means
+	// Limits.MaxQueue.
 	MaxQueue int
-	// Timeout is the class's deadline; zero means Limits.RequestTimeout.
+	// Timeout is the deadline of a request of the class; zero means
+	// Limits.RequestTimeout.
 	Timeout time.Duration
-	// Objective is the time in which callers want their answer; zero where none is
-	// stated.
+	// Objective is the response time that callers expect; zero if none is
+	// declared.
 	Objective time.Duration
 }
 
-// RequestClass is a declared kind of request that may write.
+// RequestClass is a declared class of requests that may write.
 type RequestClass struct {
 	Name string
-	// AtMostOnce says that a request of the class must never be repeated. Such
-	// a request needs a key.
+	// AtMostOnce reports that a request of the class must never run more than
+	// once. Such a request needs a key.
 	AtMostOnce bool
 	Priority   int
 	MaxQueue   int
 	Timeout    time.Duration
 }
 
-// FindGroup returns the group of a name.
+// FindGroup returns the group with the given name.
 func (s *Service) FindGroup(name string) (Group, bool) {
 	for _, g := range s.Groups {
 		if g.Name == name {
@@ -139,8 +151,9 @@
 	return Group{}, false
 }
 
-// Index prepares the look-up of classes. It is for services with hundreds of them,
-// and comes before the service is shared.
+// Index builds the lookup table for FindRead, which is worthwhile for services
+// with hundreds of classes. It must be called before the service is shared
+// between goroutines.
 func (s *Service) Index() {
 	s.reads = make(map[string]int, len(s.Reads))
 	for i, r := range s.Reads {
@@ -148,7 +161,7 @@
 	}
 }
 
-// FindRead returns the read class of a name.
+// FindRead returns the read class with the given name.
 func (s *Service) FindRead(name string) (ReadClass, bool) {
 	if s.reads != nil {
 		i, ok := s.reads[name]
@@ -165,7 +178,7 @@
 	return ReadClass{}, false
 }
 
-// FindWrite returns the request class of a name.
+// FindWrite returns the request class with the given name.
 func (s *Service) FindWrite(name string) (RequestClass, bool) {
 	for _, w := range s.Writes {
 		if w.Name == name {
@@ -175,7 +188,7 @@
 	return RequestClass{}, false
 }
 
-// FindUser returns the account of a name.
+// FindUser returns the account with the given name.
 func (s *Service) FindUser(name string) (User, bool) {
 	for _, u := range s.Users {
 		if u.Name == name {
@@ -185,8 +198,9 @@
 	return User{}, false
 }
 
-// TimeoutOf returns the time that a request of a class may take, from arrival to
-// answer; an unknown class gets that of requests without one.
+// TimeoutOf returns the deadline of a request of the given class, from its
+// arrival to its answer. A class that is unknown or sets no timeout has
+// Limits.RequestTimeout.
 func (s *Service) TimeoutOf(class string) time.Duration {
 	timeout := s.Limits.RequestTimeout
 	if r, ok := s.FindRead(class); ok && r.Timeout > 0 {
--- a/internal/document/verifier.go
+++ b/internal/document/verifier.go
@@ -15,9 +15,10 @@
 
 const (
 	verifierPrefix = "SCRAM-SHA-256$"
-	// defaultIterations is what RFC 7677 asks for at least and PostgreSQL uses.
+	// defaultIterations is the minimum that RFC 7677 requires and the
+	// PostgreSQL default.
 	defaultIterations = 4096
-	// maxIterations bounds the work that a login costs the caller.
+	// maxIterations limits the work that a login costs the caller.
 	maxIterations = 1_000_000
 	saltSize      = 16
 	maxSaltSize   = 64
@@ -25,7 +26,7 @@
 
 var errNotVerifier = errors.New("not a SCRAM-SHA-256 verifier")
 
-// NewVerifier returns the verifier of a password with a fresh random salt.
+// NewVerifier returns the verifier of a password with a new random salt.
 func NewVerifier(password string) (string, error) {
 	return NewVerifierFrom(rand.Reader, password)
 }
@@ -50,12 +51,13 @@
 		encode(c.StoredKey), encode(c.ServerKey)), nil
 }
 
-// ParseVerifier returns what a SCRAM server needs to check a password.
+// ParseVerifier returns the credentials that a SCRAM server needs to check a
+// password.
 func ParseVerifier(text string) (scram.StoredCredentials, error) {
 	var none scram.StoredCredentials
 	rest, ok := strings.CutPrefix(text, verifierPrefix)
-	factors, keys, both := strings.Cut(rest, "$")
-	if !ok || !both {
+	factors, keys, hasKeys := strings.Cut(rest, "$")
+	if !ok || !hasKeys {
 		return none, errNotVerifier
 	}
 	count, encodedSalt, _ := strings.Cut(factors, ":")
@@ -91,11 +93,11 @@
 	return key, nil
 }
 
-// verifier is the kind of a verifier; its value is a string.
-type verifier struct{}
+// verifierKind validates a SCRAM-SHA-256 verifier; its value is a string.
+type verifierKind struct{}
 
 // Parse implements inifile.Kind.
-func (verifier) Parse(text string) (any, error) {
+func (verifierKind) Parse(text string) (any, error) {
 	if _, err := ParseVerifier(text); err != nil {
 		return "", err
 	}
@@ -103,7 +105,7 @@
 }
 
 // Allowed implements inifile.Kind.
-func (verifier) Allowed() string {
+func (verifierKind) Allowed() string {
 	return fmt.Sprintf("%siterations:salt$storedkey:serverkey with %d to %d iterations",
 		verifierPrefix, defaultIterations, maxIterations)
 }
