--- a/internal/config/adopt.go
+++ b/internal/config/adopt.go
@@ -6,19 +6,19 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// adopt puts a version in force if it is higher than the one in force and
-// passes its checks, and spreads it in that case.
+// adoptVersion makes a version current if it is higher than the current one and
+// valid, and then queues it for pushing to other instances.
 func (s *Store) adoptVersion(name string, e Envelope, from Source) AdoptResult {
 	result := s.installVersion(name, e)
 	s.metrics.arrivals.WithLabelValues(string(from), string(result)).Inc()
 	switch result {
 	case Adopted:
-		s.log.Info("Document in force.", "service", name, "version", e.Version, "by", e.By, "from", from)
+		s.log.Info("Document version is now current.", "service", name, "version", e.Version, "by", e.By, "from", from)
 		s.queuePush(name)
 	case Lower:
-		s.log.Warn("Lower version ignored.", "service", name, "version", e.Version, "from", from)
+		s.log.Warn("Ignored a lower document version.", "service", name, "version", e.Version, "from", from)
 	case Diverged:
-		s.log.Error("Two changes carry the same version. The one in force stays.",
+		s.log.Error("Two changes have the same version. The current one is kept.",
 			"service", name, "version", e.Version, "ignored", e.ID, "from", from)
 	}
 	return result
@@ -35,7 +35,7 @@
 	}
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
-	// Another version may have come in force while this one was parsed.
+	// Another version may have become current while this one was parsed.
 	if result, done := s.classifyChange(name, e.Change); done {
 		return result
 	}
@@ -51,8 +51,8 @@
 	return Adopted
 }
 
-// judge compares an arriving change with what is in force. done is false when
-// the change is higher and its text is worth checking.
+// classifyChange compares an arriving change with the current version. done is
+// false if the change is higher and its text still needs to be parsed.
 func (s *Store) classifyChange(name string, c Change) (result AdoptResult, done bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -71,7 +71,8 @@
 	}
 }
 
-// parse checks a document's text under the name that it is stored by.
+// parse parses and validates a document's text and checks that the document has
+// the name under which it is stored.
 func parse(name, text string) (*document.Service, error) {
 	service, err := document.Parse(name+".ini", []byte(text))
 	if err != nil {
@@ -83,13 +84,13 @@
 	return service, nil
 }
 
-// refuse remembers a version that did not pass its checks. What is in force
-// stays: a faulty text must not take a service down.
+// rejectVersion records a version that is not valid. The current version is
+// kept: an invalid document must not take a service down.
 func (s *Store) rejectVersion(name string, c Change, err error) {
 	s.mu.Lock()
 	if s.rejected[name].Version <= c.Version {
 		s.rejected[name] = c
 	}
 	s.mu.Unlock()
-	s.log.Error("Document kept out.", "service", name, "version", c.Version, "error", err)
+	s.log.Error("Rejected an invalid document.", "service", name, "version", c.Version, "error", err)
 }
--- a/internal/config/applied.go
+++ b/internal/config/applied.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazrock/topazrock/internal/document"
 
-// Applied is a document in force. It is never changed.
+// Applied is the current version of a document. It is immutable.
 type Applied struct {
 	Name string
 	Envelope
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// applyTimeout is how long an operator waits for a lost answer to be settled.
+	// applyTimeout is how long an operator waits while the outcome of an update
+	// with a lost answer is determined.
 	applyTimeout = 8 * time.Second
-	// applyRetryInterval is the time between two attempts to settle.
+	// applyRetryInterval is the time between two attempts of Apply.
 	applyRetryInterval = 200 * time.Millisecond
-	// maxApplyAttempts bounds the attempts of a change that keeps meeting other
-	// updates of the object.
+	// maxApplyAttempts limits the attempts of a change that repeatedly
+	// conflicts with other updates of the object.
 	maxApplyAttempts = 64
 )
 
-// attempt is one change on its way to the platform.
+// applyAttempt is a change that is being stored on the platform.
 type applyAttempt struct {
 	name      string
 	text      string
 	change    Change
 	ifVersion int64
-	// lost says that an update was sent on object version sentAtVersion and its answer
-	// did not come, so that it may still take effect.
+	// inDoubt reports that the answer to an update conditional on object
+	// version sentAtVersion was lost, so that the update may still take effect.
 	inDoubt       bool
 	sentAtVersion int64
 }
 
-// Check parses a document as Apply would and stores nothing. Its error is a
-// *result.Error that wraps inifile.Problems.
+// Check validates a document as Apply does, without storing it. The error is a
+// *result.Error; it wraps inifile.Problems if the text is not valid.
 func (s *Store) Check(name, text string) error {
 	service, err := parse(name, text)
 	if err != nil {
@@ -50,14 +51,13 @@
 	return nil
 }
 
-// Apply stores a document's text if its version is ifVersion (0: there is
-// none), and says what became of the change. An error says that the change was
-// not tried because the text or the name is not valid.
-//
-// A lost answer is settled by the change's ID: the document is read again, and
-// while it is unchanged the same conditional update is sent once more, which
-// cannot take effect twice. What is not settled when ctx or the bound ends
-// goes on settling in the background.
+// Apply stores a document's text if the document's version is ifVersion (0: the
+// document does not exist), and returns the outcome of the change. An error
+// means that the change was not attempted because the text or the name is not
+// valid. After a lost answer the change is identified by its ID: the document
+// is read again, and while it is unchanged the same conditional update is sent
+// again, which cannot take effect twice. If the outcome is still unknown when
+// ctx ends or applyTimeout expires, it is determined in the background.
 func (s *Store) Apply(ctx context.Context, name, text string, ifVersion int64, by string) (Outcome, error) {
 	if _, err := (inifile.Name{}).Parse(name); err != nil {
 		return Outcome{}, result.New(result.BadAdminRequest, "document name %q", name).WithCause(err)
@@ -66,7 +66,7 @@
 		return Outcome{}, err
 	}
 	if !s.triedPeer() {
-		// The platform may have lost versions that peers still hold.
+		// The platform may have lost versions that peers still have.
 		s.repairWithRandomPeer(ctx)
 	}
 	a := &applyAttempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
@@ -75,7 +75,7 @@
 	outcome := s.applyUntilResolved(bounded, a)
 	outcome.ChangeID = a.change.ID
 	s.metrics.applies.WithLabelValues(string(outcome.State)).Inc()
-	s.log.Info("Change.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
+	s.log.Info("Change processed.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
 	return outcome, nil
 }
 
@@ -86,8 +86,8 @@
 	return Change{Version: version, ID: id, By: by, At: s.options.Clock.Now().UTC().Truncate(time.Millisecond)}
 }
 
-// run tries until the outcome is proved, or until ctx ends or the attempts are
-// spent.
+// applyUntilResolved retries until the outcome is certain, ctx ends, or
+// maxApplyAttempts is reached.
 func (s *Store) applyUntilResolved(ctx context.Context, a *applyAttempt) Outcome {
 	var err error
 	for range maxApplyAttempts {
@@ -107,8 +107,9 @@
 	return Outcome{State: Settling, Detail: fmt.Sprint(err)}
 }
 
-// try reads the document and, where the outcome is still open, sends the
-// update once. done is false when it must be tried again.
+// applyOnce reads the document and, unless the outcome can already be
+// determined from it, sends the update once. done is false if another attempt
+// is needed.
 func (s *Store) applyOnce(ctx context.Context, a *applyAttempt) (o Outcome, done bool, err error) {
 	b, err := s.readBase(ctx, a.name)
 	if err != nil {
@@ -117,8 +118,8 @@
 	if outcome, settled := s.resolveOutcome(a, b); settled {
 		return outcome, true, nil
 	}
-	// The object has moved on without the change: an update sent on its older
-	// version can no longer take effect.
+	// The object changed without including this change: an update conditional
+	// on its older version can no longer take effect.
 	if a.inDoubt && b.objectVersion != a.sentAtVersion {
 		a.inDoubt = false
 	}
@@ -138,8 +139,10 @@
 	}
 }
 
-// verdict tells what became of a change from the document as it stands. It is
-// not settled while the version that the change was made from still stands.
+// resolveOutcome determines the outcome of a change from the stored document.
+// The result is false while the document still has the version that the change
+// is based on, or if the change is in doubt and the history does not contain
+// its version.
 func (s *Store) resolveOutcome(a *applyAttempt, b baseDocument) (Outcome, bool) {
 	if b.Version == a.ifVersion {
 		return Outcome{}, false
@@ -152,7 +155,7 @@
 	case known || !a.inDoubt:
 		return Outcome{State: NotAccepted, Version: b.Version, By: b.By}, true
 	default:
-		// The history does not reach back to the change's version.
+		// The history does not go back to the change's version.
 		return Outcome{}, false
 	}
 }
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -16,7 +16,8 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// withOrders runs a test on three instances that have version 1 of orders.
+// withOrders runs a test with three instances that have version 1 of the
+// document orders.
 func withOrders(t *testing.T, test func(is *is.I, f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -27,9 +28,9 @@
 	})
 }
 
-// Eight operators edit the same version on different instances and apply at
-// one moment. One is told that the change is accepted; each of the others is
-// told which version stands and by whom.
+// Eight operators concurrently apply different edits of the same version on
+// different instances. Exactly one change is accepted; the other operators
+// learn the stored version and its author.
 func TestOperatorsRace(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		outcomes := make([]Outcome, 8)
@@ -60,8 +61,8 @@
 	})
 }
 
-// The platform takes a change and its answer is lost. The operator is told
-// that the change is accepted, because the stored document carries its ID.
+// The platform stores a change and its answer is lost. The change is reported
+// as accepted because the stored document contains its ID.
 func TestLostAnswerOfAChangeThatTookEffect(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.instances[0].link.interceptPuts(1, loseAnswer)
@@ -70,9 +71,9 @@
 	})
 }
 
-// The answer of a change that took effect is lost, and before the instance
-// reads again, another operator has changed the document further. The first
-// change was accepted all the same, and the history says so.
+// The answer to a change that took effect is lost, and another operator changes
+// the document again before the instance reads it. The first change is still
+// reported as accepted, because the history contains it.
 func TestLostAnswerThenOverwritten(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
@@ -86,8 +87,8 @@
 	})
 }
 
-// A change is lost before it reaches the platform, and another operator's is
-// stored in its place. The first is told that it was not accepted.
+// A change is lost before it reaches the platform, and another operator's
+// change is stored instead. The first is reported as not accepted.
 func TestLostChangeIsSupersededByAnother(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.instances[0].link.interceptPuts(1, func(func() (platform.Object, error)) (platform.Object, error) {
@@ -102,8 +103,8 @@
 	})
 }
 
-// A change is lost on its way, twice. It is sent again under the same
-// condition and takes effect once.
+// A change is lost twice in transit. It is sent again under the same condition
+// and takes effect once.
 func TestLostChangeIsSentAgain(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.instances[0].link.interceptPuts(2, loseRequest)
@@ -112,8 +113,8 @@
 	})
 }
 
-// The platform cannot be reached. Nothing was sent, so the operator is told at
-// once that the change did not take effect.
+// The platform is unreachable. Nothing was sent, so the change is reported
+// immediately as without effect.
 func TestApplyDuringOutage(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.platform.SetFaults(standin.Faults{Outage: true})
@@ -128,9 +129,9 @@
 	})
 }
 
-// The answer of a change is lost and the platform goes down before it can be
-// read again. The operator is told that the outcome is unknown and still
-// settling; after the outage the change is found to have taken effect.
+// The answer to a change is lost and the platform goes down before the document
+// can be read again. The outcome is reported as unknown and still settling;
+// after the outage the change is found to have taken effect.
 func TestSettlingEndsInAccepted(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		f.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
@@ -153,9 +154,9 @@
 	})
 }
 
-// A change hangs on its way and the operator goes away unanswered. Later it
-// is settled as without effect, and from then on it must not take effect even
-// when the delayed update arrives at the platform at last.
+// A change is delayed in transit and the operator disconnects. The change is
+// later settled as without effect. From then on it must not take effect, even
+// when the delayed update reaches the platform.
 func TestSettledWithoutEffectStaysWithoutEffect(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		var deliver func() (platform.Object, error)
@@ -179,8 +180,8 @@
 	})
 }
 
-// The same happens to the first version of a document, where there is nothing
-// yet that could be stored once more.
+// The same failure with the first version of a document, for which there is no
+// stored object that could be stored again.
 func TestSettledWithoutEffectBeforeTheFirstVersion(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		var deliver func() (platform.Object, error)
--- a/internal/config/base.go
+++ b/internal/config/base.go
@@ -7,17 +7,17 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// base is what a change of a document builds on.
+// baseDocument is the document that a change is based on.
 type baseDocument struct {
 	Envelope
-	// object is the version that the platform gives the object; a conditional
-	// update names it.
+	// objectVersion is the version that the platform assigned to the object.
+	// Conditional updates refer to it.
 	objectVersion int64
 }
 
-// readBase reads a document from the platform. Where a higher version is in
-// force here, because the platform lost its store, that version is the base
-// and the next update brings it back to the platform.
+// readBase reads a document from the platform. If the current version on this
+// instance is higher because the platform lost its store, that version is the
+// base, and the next update brings it back to the platform.
 func (s *Store) readBase(ctx context.Context, name string) (baseDocument, error) {
 	var b baseDocument
 	o, err := s.options.API.Get(ctx, platform.KindService, name)
@@ -28,7 +28,7 @@
 	default:
 		b.objectVersion = o.Version
 		if b.Envelope, err = decodeObject(o); err != nil {
-			s.log.Error("Stored value is not readable.", "service", name, "error", err)
+			s.log.Error("Cannot decode the stored document.", "service", name, "error", err)
 		}
 	}
 	if current, ok := s.Current(name); ok && current.Version > b.Version {
@@ -37,8 +37,8 @@
 	return b, nil
 }
 
-// putEnvelope stores an envelope if the object's version is still the one that
-// was read.
+// putEnvelope stores an envelope if the object still has the version that was
+// read.
 func (s *Store) putEnvelope(ctx context.Context, name string, e Envelope, objectVersion int64) error {
 	value, err := e.encode()
 	if err != nil {
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// fixedFleet is a view that never changes.
+// fixedFleet is a membership view that never changes.
 type fixedFleet struct {
 	live []platform.Instance
 	self int
@@ -39,7 +39,7 @@
 	return slices.Clone(f.live[:min(7*n, len(f.live))])
 }
 
-// exampleText is the larger of the examples under another name.
+// exampleText returns the larger example document under another name.
 func exampleText(b *testing.B, name string) string {
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", "base-ligacoes.ini"))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return New(Options{Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Fleet: fleet, Peers: e, Registry: e})
 }
 
-// fill puts the first version of n documents in force without spreading them.
+// fillStores installs the first version of n documents without pushing them.
 func fillStores(b *testing.B, n int, stores ...*Store) {
 	for i := range n {
 		name := fmt.Sprintf("service-%04d", i)
@@ -84,9 +84,9 @@
 	return total
 }
 
-// BenchmarkDigest is one beat: with peers that agree, and with one document
-// that is newer at the peer. The bytes are those of parameters and answers in
-// both directions.
+// BenchmarkDigest measures one digest exchange: with a peer that has the same
+// documents, and with a peer that has a higher version of one document. The
+// bytes include parameters and answers in both directions.
 func BenchmarkDigest(b *testing.B) {
 	for _, documents := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("agree/documents=%d", documents), func(b *testing.B) {
@@ -122,9 +122,9 @@
 	}
 }
 
-// BenchmarkPush is one change at an inner node of the tree: the version is
-// checked, put in force, and pushed to its children. The bytes are those of one
-// push.
+// BenchmarkPush measures one change at an inner node of the tree: the version
+// is validated, made current, and pushed to the children. The bytes are those
+// of one push.
 func BenchmarkPush(b *testing.B) {
 	for _, peers := range []int{8, 100, 1000, 7400} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
@@ -148,7 +148,7 @@
 	}
 }
 
-// BenchmarkHeld is the memory of the documents in force.
+// BenchmarkHeld measures the memory used by the current documents.
 func BenchmarkHeld(b *testing.B) {
 	for _, documents := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("documents=%d", documents), func(b *testing.B) {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,20 +1,21 @@
-// Package config keeps the service documents that are in force on this
-// instance, stores an operator's changes on the platform, and spreads them.
+// Package config maintains the current version of each service document on this
+// instance, stores operators' changes on the platform, and distributes them to
+// the other instances.
 //
-// A document has a version of its own inside the stored value, apart from the
-// version that the platform gives the object. The platform's version serves
-// for conditional updates only, so that a platform that lost its store and
-// began at zero again cannot make a document's version fall. A version that is
-// not higher than the one in force is never applied, whatever its source.
+// A document has its own version inside the stored value, separate from the
+// object version that the platform assigns. The object version is used only for
+// conditional updates, so that a platform that lost its store and restarted at
+// zero cannot make a document's version decrease. A version that is not higher
+// than the current one is never applied, whatever its source.
 //
-// Changes reach an instance in four ways: relays (a few instances in each
-// failure domain) hold the platform's watch; each instance that learns a
-// version pushes it to its children in a tree over its failure domain; a
-// digest exchanged with one peer each second repairs what was lost, also
-// across failure domains; and a starting instance asks the platform and peers.
+// Changes reach an instance in four ways. Relays, a few instances in each
+// failure domain, watch the platform. Each instance that receives a new version
+// pushes it to its children in a tree over its failure domain. A digest
+// exchanged with one peer every second repairs lost updates, also across
+// failure domains. A starting instance asks the platform and its peers.
 //
-// Lock order: Store.adoption, then Store.mu, then Store.randMu; contacts.mu is
-// taken alone, apart from the locks of the fleet's view. adoption is
-// held while subscribers are called, so that they see versions in order; no
-// lock is held across a call to the platform or to a peer.
+// Lock order: Store.adoptMu, then Store.mu, then Store.randMu. peerTopology.mu
+// is held together with no locks other than those of the membership view.
+// adoptMu is held while subscribers are called, so that they see versions in
+// order. No lock is held across a call to the platform or to a peer.
 package config
--- a/internal/config/envelope.go
+++ b/internal/config/envelope.go
@@ -9,20 +9,21 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// maxHistory bounds the changes that an envelope remembers.
+// maxHistory is the maximum number of past changes in an envelope.
 const maxHistory = 50
 
 // Envelope is the stored value of a document.
 type Envelope struct {
-	// Change is the change that made this version. Version 0 says that there is
-	// no document: such an envelope only blocks a late conditional update.
+	// Change is the change that created this version. Version 0 means that the
+	// document does not exist: such an envelope is stored only to make a
+	// delayed conditional update fail.
 	Change
 	Text string `json:"text"`
-	// History holds the changes before this one, the newest first.
+	// History holds the previous changes, newest first.
 	History []Change `json:"history,omitempty"`
 }
 
-// next returns the envelope that follows e by a change.
+// withChange returns the envelope of the version that follows e.
 func (e Envelope) withChange(c Change, text string) Envelope {
 	n := Envelope{Change: c, Text: text}
 	if e.Version > 0 {
@@ -33,7 +34,7 @@
 	return n
 }
 
-// changes returns this version's change and those before it, the newest first.
+// changes returns this version's change and the previous ones, newest first.
 func (e Envelope) changes() []Change {
 	if e.Version == 0 {
 		return nil
@@ -41,7 +42,8 @@
 	return append([]Change{e.Change}, e.History...)
 }
 
-// find returns the change that made a version; false when it is not remembered.
+// findChange returns the change that created a version, or false if the history
+// does not contain it.
 func (e Envelope) findChange(version int64) (Change, bool) {
 	all := e.changes()
 	i := slices.IndexFunc(all, func(c Change) bool { return c.Version == version })
@@ -64,9 +66,9 @@
 	return b.Bytes(), nil
 }
 
-// decodeObject reads a stored object. A value that is no envelope is the text
-// of a document that was stored by other means; the object's version stands
-// for the document's.
+// decodeObject decodes a stored object. A value that is not an envelope is the
+// text of a document that was stored by other means; its version is the
+// object's version.
 func decodeObject(o platform.Object) (Envelope, error) {
 	value := bytes.TrimSpace(o.Value)
 	if !bytes.HasPrefix(value, []byte("{")) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -2,12 +2,14 @@
 
 import "github.com/topazrock/topazrock/internal/platform"
 
-// Fleet is the view of the other instances; membership.Members implements it.
+// Fleet is the membership view of the other instances. It is implemented by
+// membership.Members.
 type Fleet interface {
 	Self() platform.Instance
 	Live() []platform.Instance
-	// Pick returns n instances of each failure domain for a duty.
+	// Pick selects n instances of each failure domain, or all if there are
+	// fewer. Different keys select different instances.
 	Pick(key string, n int) []platform.Instance
-	// Subscribe calls f after each change of the view.
+	// Subscribe registers f to be called after each change of the view.
 	Subscribe(f func())
 }
--- a/internal/config/handlers.go
+++ b/internal/config/handlers.go
@@ -7,7 +7,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// register adds the store's handlers.
+// registerHandlers registers the handlers of calls from peers.
 func (s *Store) registerHandlers() {
 	r := s.options.Registry
 	r.Handle(methodPush, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
@@ -45,7 +45,7 @@
 	return p, nil
 }
 
-// receive adopts documents that a peer sent.
+// adoptDocuments adopts documents that a peer sent.
 func (s *Store) adoptDocuments(list []wireDocument, from Source) {
 	for _, d := range list {
 		if d.Envelope.Version > 0 {
@@ -59,14 +59,16 @@
 	ours := s.table.sums
 	s.mu.RUnlock()
 	if ours.rootSum() == p.Root {
-		// A peer that has the same documents is as good as one that was asked.
+		// An exchange initiated by a peer that has the same documents counts as
+		// a successful call to a peer.
 		s.recordCallResult(remotePeer, s.requireDocuments())
 		return digestReply{}
 	}
 	return digestReply{Sums: ours[:]}
 }
 
-// handleCompare returns what the caller lacks in the parts it asks about.
+// handleCompare returns the documents that the caller lacks in the buckets it
+// asks for, and the names of those that it has in a higher version.
 func (s *Store) handleCompare(p compareParams) compareReply {
 	asked := make(map[int]bool, len(p.Buckets))
 	for _, b := range p.Buckets {
@@ -90,8 +92,8 @@
 	return reply
 }
 
-// batch returns documents by name up to the bound of one message. The caller
-// holds mu.
+// batchDocuments returns the named documents, up to the size limit of one
+// message. The caller must hold mu.
 func (s *Store) batchDocuments(names []string) (list []wireDocument, more bool) {
 	size := 0
 	for _, name := range names {
@@ -107,9 +109,9 @@
 	return list, false
 }
 
-// held returns the highest version that this instance needs no copy of: the
-// one in force, or a higher one that did not pass its checks here. The caller
-// holds mu.
+// knownVersion returns the highest version that this instance does not need
+// from peers: the current one, or a higher one that was rejected here as
+// invalid. The caller must hold mu.
 func (s *Store) knownVersion(name string) int64 {
 	return max(s.table.documents[name].Version, s.rejected[name].Version)
 }
--- a/internal/config/harness_test.go
+++ b/internal/config/harness_test.go
@@ -16,13 +16,14 @@
 
 const testVerifier = "SCRAM-SHA-256$4096:y0dInoy2hw+boGs4hM65eQ==$3SpBj+j6yTi73e/dAhqtXEWaTZOtGBZeNNnGI3sGNh8=:n+SNdInED24RgrJW/aqIICRzLDB52sPposD4v52R36w="
 
-// text returns a valid document whose slots tell versions apart.
+// documentText returns a valid document. Its number of slots distinguishes
+// versions.
 func documentText(name string, slots int) string {
 	return fmt.Sprintf("[service]\nname = %s\n[group %s-1]\nmembers = a/10.0.0.1:1, b/10.0.0.2:1, c/10.0.0.3:1\n"+
 		"connections = 1000\nslots = %d\n[user app]\nverifier = %s\n", name, name, slots, testVerifier)
 }
 
-// node is one instance of a test.
+// testInstance is one instance of a test.
 type testInstance struct {
 	*Store
 	id      string
@@ -31,7 +32,7 @@
 	stop    func()
 }
 
-// fleet is the instances of a test with their platform and network.
+// testFleet is a set of instances with their platform and network.
 type testFleet struct {
 	t         *testing.T
 	platform  *replaceablePlatform
@@ -44,7 +45,7 @@
 
 var testDomains = []string{"poa-a", "poa-b", "fln-c"}
 
-// newFleet starts n instances over three failure domains.
+// newFleet starts n instances in three failure domains.
 func newFleet(t *testing.T, n int) *testFleet { return newFleetWithRelays(t, n, DefaultRelays) }
 
 func newFleetWithRelays(t *testing.T, n, relays int) *testFleet {
@@ -60,7 +61,7 @@
 	return f
 }
 
-// start starts instance i anew: nothing is kept from an earlier start.
+// startInstance starts instance i with no state from an earlier run.
 func (f *testFleet) startInstance(i int) *testInstance {
 	self := f.inventory.Instances[i]
 	g := newPlatformLink(f.platform)
@@ -84,8 +85,8 @@
 	}
 }
 
-// setDomainCut cuts a failure domain from the platform and from all other
-// instances, or heals it.
+// setDomainCut disconnects a failure domain from the platform and from all
+// other instances, or reconnects it.
 func (f *testFleet) setDomainCut(domain string, cut bool) {
 	for i, n := range f.instances {
 		if f.inventory.Instances[i].FailureDomain != domain {
@@ -109,8 +110,8 @@
 	return list
 }
 
-// all waits until every instance has a version in force, for at most d of
-// virtual time, and returns how long it took.
+// waitForVersion waits until a version is current on every instance, for at
+// most d of virtual time, and returns how long it took.
 func (f *testFleet) waitForVersion(name string, version int64, d time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
@@ -133,7 +134,7 @@
 	return true
 }
 
-// apply applies a change and fails the test when it is not accepted.
+// mustApply applies a change and fails the test if it is not accepted.
 func (f *testFleet) mustApply(n *testInstance, name string, slots int, ifVersion int64) Outcome {
 	f.t.Helper()
 	o, err := n.Apply(f.t.Context(), name, documentText(name, slots), ifVersion, "ana")
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -12,25 +12,25 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// matrixCase is one cell: a change of a document with one fault at one step.
+// matrixCase is a change of a document with one fault injected at one step.
 type matrixCase struct {
 	*testFleet
 	cancelApply context.CancelFunc
-	// lost says that the answer to the update that is on its way is lost.
+	// answerLost reports that the answer to the update in transit is lost.
 	answerLost bool
-	// seen holds the highest version that each instance had in force.
+	// highestSeen is the highest version that was current on each instance.
 	mu          sync.Mutex
 	highestSeen map[*Store]int64
 }
 
-// faultDuration is how long a fault lasts, and convergenceTime how long after its end
-// the fleet must agree.
+// faultDuration is how long a fault lasts, and convergenceTime is how long
+// after its end all instances must agree.
 const (
 	faultDuration   = 30 * time.Second
 	convergenceTime = 30 * time.Second
 )
 
-// matrixFaults strike at the step and return what ends them.
+// matrixFaults inject a fault and return a function that ends it.
 var matrixFaults = map[string]func(r *matrixCase) (end func()){
 	"none": func(*matrixCase) func() { return func() {} },
 	"platform down": func(r *matrixCase) func() {
@@ -96,7 +96,7 @@
 	},
 }
 
-// matrixSteps arm a function to run at a step of the change on instance 0.
+// matrixSteps register a function to run at a step of the change on instance 0.
 var matrixSteps = map[string]func(r *matrixCase, strike func()){
 	"read": func(r *matrixCase, inject func()) { r.instances[0].link.onNextGet(inject) },
 	"store, before": func(r *matrixCase, inject func()) {
@@ -122,7 +122,8 @@
 	"digest": func(r *matrixCase, inject func()) { r.net.onNextCall(methodDigest, inject) },
 }
 
-// forwardIfConnected forwards an update unless the way to the platform was cut meanwhile.
+// forwardIfConnected forwards an update unless the connection to the platform
+// has been cut in the meantime.
 func (r *matrixCase) forwardIfConnected(forward func() (platform.Object, error)) (platform.Object, error) {
 	if _, err := r.instances[0].link.requireConnected(); err != nil {
 		return platform.Object{}, err
@@ -130,7 +131,8 @@
 	return forward()
 }
 
-// follow checks that the versions in force on an instance only rise.
+// checkVersionsRise checks that the current versions on an instance only
+// increase.
 func (r *matrixCase) checkVersionsRise(n *testInstance) {
 	n.Subscribe(func(a Applied) {
 		r.mu.Lock()
@@ -142,11 +144,11 @@
 	})
 }
 
-// An operator changes a document through one of nine instances and one fault
-// strikes at one step of the change, lasting half a minute. Whatever the
-// operator is told must be true in the end: an accepted change is in the
-// document's history on every instance, a refused one never is. No instance
-// ever goes back, and all agree soon after the fault is over.
+// An operator changes a document through one of nine instances, and one fault
+// of 30 seconds occurs at one step of the change. The reported outcome must be
+// true in the end: an accepted change is in the document's history on every
+// instance, a rejected one on none. No instance may revert to a lower version,
+// and all must agree within convergenceTime after the fault.
 func TestApplyMatrix(t *testing.T) {
 	for step, arm := range matrixSteps {
 		for fault, inject := range matrixFaults {
@@ -187,7 +189,8 @@
 	t.Logf("told %q %q", o.State, o.Detail)
 }
 
-// verify holds what the operator was told against what came to be.
+// verifyOutcome compares the reported outcome with the final state of the
+// documents.
 func (r *matrixCase) verifyOutcome(applier *testInstance, o Outcome) {
 	final, _ := applier.Current("orders")
 	if applier != r.instances[0] {
--- a/internal/config/messages.go
+++ b/internal/config/messages.go
@@ -1,6 +1,6 @@
 package config
 
-// Methods that peers call.
+// Names of the methods that peers call.
 const (
 	methodPush     = "config.push"
 	methodDigest   = "config.digest"
@@ -8,44 +8,46 @@
 	methodVersions = "config.versions"
 )
 
-// maxBatch bounds the text of the documents in one message, in bytes. What does
-// not fit goes with the next message.
+// maxBatch limits the total text size of the documents in one message, in
+// bytes. Documents beyond it are sent in the next message.
 const maxBatch = 512 << 10
 
-// wireDocument is a document on its way between instances.
+// wireDocument is a document as sent between instances.
 type wireDocument struct {
 	Name     string   `json:"name"`
 	Envelope Envelope `json:"envelope"`
 }
 
-// pushParams carries versions that the caller has in force.
+// pushParams contains the caller's current versions of some documents.
 type pushParams struct {
 	Documents []wireDocument `json:"documents"`
 }
 
-// pushReply is empty: a lost or refused push is repaired by digests.
+// pushReply is empty: digest exchanges repair a push that was lost or rejected.
 type pushReply struct{}
 
-// digestParams says what the caller has in one number.
+// digestParams contains one checksum over all documents of the caller.
 type digestParams struct {
 	Root uint64 `json:"root"`
 }
 
-// digestReply is empty when the sums agree; else it holds the sum of each part.
+// digestReply is empty if the checksums are equal; otherwise it contains the
+// checksum of each bucket.
 type digestReply struct {
 	Sums []uint64 `json:"sums,omitempty"`
 }
 
-// compareParams lists the caller's versions in the parts that differ.
+// compareParams lists the caller's versions in the buckets that differ.
 type compareParams struct {
 	Buckets  []int            `json:"buckets"`
 	Versions map[string]int64 `json:"versions"`
 }
 
-// compareReply holds what the caller lacks and names what it should push.
+// compareReply contains the documents that the caller lacks and the names of
+// those that the caller should push.
 type compareReply struct {
 	Documents []wireDocument `json:"documents,omitempty"`
 	Wanted    []string       `json:"wanted,omitempty"`
-	// More says that further documents did not fit.
+	// More reports that more documents differ than fit in the message.
 	More bool `json:"more,omitempty"`
 }
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics are the package's metrics.
+// Metrics holds the package's metrics.
 type Metrics struct {
 	arrivals *prometheus.CounterVec
 	applies  *prometheus.CounterVec
@@ -14,7 +14,8 @@
 	version  *prometheus.GaugeVec
 }
 
-// NewMetrics registers the package's metrics; a nil registerer leaves them out.
+// NewMetrics creates the package's metrics and registers them with r unless r
+// is nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "topazrock_config_" + name, Help: help}, labels)
--- a/internal/config/network_test.go
+++ b/internal/config/network_test.go
@@ -8,14 +8,14 @@
 	"github.com/topazrock/topazrock/internal/peer"
 )
 
-// network carries calls between the stores of a test.
+// network is an in-memory network between the stores of a test.
 type network struct {
 	mu           sync.Mutex
 	handlers     map[string]map[string]peer.Handler
 	cutAddresses map[string]bool
-	// lose drops calls of a method.
+	// droppedMethods are the methods whose calls are dropped.
 	droppedMethods map[string]bool
-	// onCall runs before the next call of a method.
+	// onCall maps a method to a function that is called before its next call.
 	onCall map[string]func()
 	calls  map[string]int
 	bytes  map[string]int
@@ -26,7 +26,7 @@
 		droppedMethods: map[string]bool{}, onCall: map[string]func(){}, calls: map[string]int{}, bytes: map[string]int{}}
 }
 
-// endpoint is one instance's side of the network.
+// endpoint is one instance's connection to the network.
 type endpoint struct {
 	net     *network
 	address string
@@ -82,7 +82,7 @@
 	table[key] = value
 }
 
-// on runs f before the next call of a method.
+// onNextCall registers f to be called before the next call of a method.
 func (n *network) onNextCall(method string, f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -10,29 +10,29 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// DefaultRelays is how many instances of each failure domain watch the platform.
-// Three survive the loss of any two; a failure domain with no more than three
-// instances watches with all of them.
+// DefaultRelays is how many instances of each failure domain watch the
+// platform. With three, the watch survives the loss of any two. In a failure
+// domain with three or fewer instances, all of them watch.
 const DefaultRelays = 3
 
-// Options are what New needs.
+// Options holds the dependencies and settings of a Store.
 type Options struct {
 	API   platform.API
 	Clock clock.Clock
 	Rand  *rand.Rand
 	Fleet Fleet
 	Peers peer.Caller
-	// Registry takes the store's handlers.
+	// Registry is where the store registers its handlers.
 	Registry peer.Registry
-	// Seeds are peer addresses that are asked while the fleet's view names no
-	// other instance, as when an instance starts during an outage of the
-	// platform. It may be empty.
+	// Seeds are peer addresses to use while the membership view contains no
+	// other instance, as when an instance starts during a platform outage.
+	// Optional.
 	Seeds []string
-	// Relays is how many instances of each failure domain watch the platform;
-	// zero means DefaultRelays.
+	// Relays is how many instances of each failure domain watch the platform.
+	// Zero means DefaultRelays.
 	Relays int
-	// Log may be nil.
+	// Log is optional.
 	Log hclog.Logger
-	// Metrics may be nil.
+	// Metrics is optional.
 	Metrics *Metrics
 }
--- a/internal/config/outcome.go
+++ b/internal/config/outcome.go
@@ -1,30 +1,33 @@
 package config
 
-// State is what became of a change.
+// State is the state of a change.
 type State string
 
-// States of a change. Each but Settling is given only when it is proved.
+// States of a change. All except Settling are reported only when they are
+// certain.
 const (
-	// Accepted: the change stands as Outcome.Version, or stood until a later one.
+	// Accepted means that the change was stored as Outcome.Version. A later
+	// version may have replaced it since.
 	Accepted State = "accepted"
-	// NotAccepted: another change came first; the Outcome names the one that
-	// stands.
+	// NotAccepted means that another change was stored first. The Outcome names
+	// the stored version.
 	NotAccepted State = "not accepted"
-	// NoEffect: the change was not stored and never will be.
+	// NoEffect means that the change was not stored and never will be.
 	NoEffect State = "did not take effect"
-	// Settling: whether the change was stored is not known yet.
+	// Settling means that it is not yet known whether the change was stored.
 	Settling State = "outcome unknown, still settling"
 )
 
-// Outcome is what became of a change.
+// Outcome is the result of a change.
 type Outcome struct {
 	State State
-	// Version is the accepted version, or the one that stands instead.
+	// Version is the accepted version, or the stored version if the change was
+	// not accepted.
 	Version int64
 	// By is the author of that version.
 	By string
-	// ChangeID names the change that was asked for.
+	// ChangeID identifies the requested change.
 	ChangeID string
-	// Detail tells why a change did not take effect or is not settled.
+	// Detail explains why a change did not take effect or is not settled.
 	Detail string
 }
--- a/internal/config/platformlink_test.go
+++ b/internal/config/platformlink_test.go
@@ -7,30 +7,30 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// gate is one instance's way to the platform; it can be cut.
+// platformLink is one instance's connection to the platform; a test can cut it.
 type platformLink struct {
 	platform.API
 	mu              sync.Mutex
 	connected       context.Context
 	cancelConnected context.CancelFunc
-	// onPut replaces the next Puts; forward does what Put would have done.
+	// onPut replaces the next Puts; forward executes the original Put.
 	onPut func(forward func() (platform.Object, error)) (platform.Object, error)
-	// onGet runs before the next Get.
+	// onGet is called before the next Get.
 	onGet func()
 }
 
-// loseRequest loses a Put on its way to the platform.
+// loseRequest drops a Put before it reaches the platform.
 func loseRequest(func() (platform.Object, error)) (platform.Object, error) {
 	return platform.Object{}, platform.ErrOutcomeUnknown
 }
 
-// loseAnswer loses the answer to a Put that took effect.
+// loseAnswer executes a Put and drops its answer.
 func loseAnswer(forward func() (platform.Object, error)) (platform.Object, error) {
 	_, _ = forward()
 	return platform.Object{}, platform.ErrOutcomeUnknown
 }
 
-// intercept replaces the next n Puts.
+// interceptPuts replaces the next n Puts.
 func (g *platformLink) interceptPuts(n int, f func(func() (platform.Object, error)) (platform.Object, error)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// onNextGet runs f before the next Get.
+// onNextGet registers f to be called before the next Get.
 func (g *platformLink) onNextGet(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/config/propagation_test.go
+++ b/internal/config/propagation_test.go
@@ -34,8 +34,8 @@
 }
 
 // A failure domain is cut off from the platform and from all other instances
-// while a document changes. It goes on with the version it has. When the cut
-// heals, its instances have the new version within seconds.
+// while a document changes. It continues with its current version. After it is
+// reconnected, its instances have the new version within seconds.
 func TestCutOffDomainCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,7 +44,7 @@
 		f.mustApply(f.instances[0], "orders", 2, 0)
 		f.waitForVersion("orders", 1, 2*time.Second)
 		f.setDomainCut("fln-c", true)
-		// Watches that were waiting end now, and not after the change below.
+		// Wait for open watches to end before the change below.
 		synctest.Wait()
 		f.mustApply(f.instances[0], "orders", 3, 1)
 		time.Sleep(time.Minute)
@@ -55,8 +55,9 @@
 	})
 }
 
-// A failure domain loses the platform alone; other instances still reach it.
-// A change made elsewhere comes to it through its peers' digests.
+// All instances of a failure domain lose the platform but can still reach the
+// other instances. A change made elsewhere reaches them through digest
+// exchanges.
 func TestDomainWithoutPlatformLearnsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8)
@@ -73,8 +74,8 @@
 }
 
 // An instance restarts while the platform is down. It has no documents and
-// cannot read the instance list; its peers still list it, so that their
-// digests reach it, and it becomes ready with what they have.
+// cannot read the instance list. Its peers still list it, so their digests
+// reach it, and it becomes ready with their documents.
 func TestRestartDuringOutageTakesDocumentsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,8 +95,8 @@
 }
 
 // An instance starts while the platform is down and no peer knows it. With a
-// seed in its settings it takes the documents from there; without one it says
-// that it is not ready and keeps trying until the platform answers.
+// configured seed it gets the documents from there; without one it is not ready
+// and retries until the platform is available.
 func TestStartDuringOutage(t *testing.T) {
 	for _, seeds := range [][]string{{"10.0.0.0:1"}, nil} {
 		synctest.Test(t, func(t *testing.T) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// A watch asks for a revision that the platform has compacted away. The relay
-// lists again and misses nothing.
+// A watch resumes from a revision that the platform has compacted. The relay
+// lists again and misses no change.
 func TestCompactedWatchListsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
@@ -139,9 +140,9 @@
 	})
 }
 
-// The platform loses its store and begins at zero again, first empty and then
-// with an old version. No instance goes back: the version in force stays, and
-// is stored again so that a new instance gets it.
+// The platform loses its store and restarts at zero with an old version of the
+// document. No instance reverts to it: the current version is kept, and is
+// stored again so that a new instance gets it.
 func TestPlatformRestartedAtZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -174,8 +175,8 @@
 	})
 }
 
-// Pushes are lost on the way. Instances that hold no watch get the change from
-// a digest instead, seconds later.
+// Pushes are lost. Instances that do not watch the platform get the change from
+// a digest exchange seconds later.
 func TestLostPushIsRepairedByDigest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -193,9 +194,9 @@
 	})
 }
 
-// A peer sends a document that does not parse, one of another service's name,
-// and a lower version. None of them comes in force, each is counted, and the
-// service goes on with what it has.
+// A peer sends a document that cannot be parsed, one with another service's
+// name, a lower version, and a different change with the current version. All
+// are rejected, and the service continues with its current document.
 func TestBadDocumentFromPeerIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -216,8 +217,8 @@
 	})
 }
 
-// Ten instances that are no relays start anew at one moment. They become ready
-// from their peers, and the platform is listed by nobody.
+// Ten instances that are not relays restart at the same time. They become ready
+// with the documents of their peers, and none of them lists the platform.
 func TestStartAsksPeersBeforeThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -244,7 +245,8 @@
 	})
 }
 
-// newFleetSharingPlatform starts one more instance on the platform of another fleet.
+// newFleetSharingPlatform returns a fleet of one instance that uses the
+// platform of another fleet.
 func newFleetSharingPlatform(t *testing.T, f *testFleet) *testFleet {
 	g := &testFleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
 		inventory: platform.Inventory{Instances: []platform.Instance{{ID: "other", FailureDomain: "far", PeerAddress: "10.9.0.1:1"}}}}
--- a/internal/config/propagationbound_test.go
+++ b/internal/config/propagationbound_test.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// propagationBound is how soon a change must be in force everywhere.
+// propagationBound is the maximum time until a change is current on every
+// instance.
 const propagationBound = 18 * time.Second
 
 // All pushes of a change are lost, and only one instance of each failure domain
-// watches the platform. Digests alone must bring the change to every instance
-// within the bound, and their time may grow only slowly with the fleet.
+// watches the platform. Digest exchanges alone must bring the change to every
+// instance within the bound, and the time they need may grow only slowly with
+// the fleet size.
 func TestDigestsAloneMeetPropagationBound(t *testing.T) {
 	for _, n := range []int{15, 60, 240} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/config/push.go
+++ b/internal/config/push.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// pushQueueSize bounds the versions that wait to be pushed. Past it a push is
-	// dropped; digests repair that.
+	// pushQueueSize limits the number of versions that are queued for pushing.
+	// When the queue is full, a push is dropped; digest exchanges repair that.
 	pushQueueSize = 1024
-	// pushWorkers is how many versions are pushed at a time.
+	// pushWorkers is the number of versions that are pushed concurrently.
 	pushWorkers = 4
-	// pushTimeout bounds one push to one peer.
+	// pushTimeout limits one push to one peer.
 	pushTimeout = 2 * time.Second
 )
 
-// spread queues a document for pushing to this instance's children.
+// queuePush queues a document for pushing to this instance's children.
 func (s *Store) queuePush(name string) {
 	select {
 	case s.pushQueue <- name:
@@ -37,8 +37,8 @@
 	}
 }
 
-// pushToChildren pushes to all children at once, so that a dead one costs the
-// others nothing.
+// pushToChildren pushes to all children concurrently, so that an unresponsive
+// child does not delay the others.
 func (s *Store) pushToChildren(ctx context.Context, name string) {
 	var calls sync.WaitGroup
 	for _, address := range s.topology.childAddresses(name) {
@@ -47,7 +47,7 @@
 	calls.Wait()
 }
 
-// push sends the versions in force of some documents to one peer.
+// pushDocuments sends the current versions of some documents to one peer.
 func (s *Store) pushDocuments(ctx context.Context, address string, names []string) {
 	s.mu.RLock()
 	list, _ := s.batchDocuments(names)
@@ -60,7 +60,7 @@
 	err := s.options.Peers.Call(ctx, address, methodPush, pushParams{Documents: list}, &pushReply{})
 	if err != nil {
 		s.metrics.pushes.WithLabelValues("failed").Inc()
-		s.log.Debug("Push failed. A digest will repair it.", "peer", address, "error", err)
+		s.log.Debug("Push failed. A digest exchange will repair it.", "peer", address, "error", err)
 		return
 	}
 	s.metrics.pushes.WithLabelValues("sent").Inc()
--- a/internal/config/rapid_test.go
+++ b/internal/config/rapid_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the state machines, so that every run gives the
-// same verdict. The command line goes before it.
+// TestMain sets a fixed seed for the state machines, so that every run has the
+// same result. A seed on the command line takes precedence.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -6,8 +6,8 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Newest returns the highest version that the platform or this instance holds.
-// While the platform does not answer, that is the version in force here.
+// Newest returns the highest version on the platform or on this instance. While
+// the platform is unavailable, that is the current version on this instance.
 func (s *Store) Newest(ctx context.Context, name string) (Applied, error) {
 	b, err := s.readBase(ctx, name)
 	if err != nil {
@@ -24,12 +24,12 @@
 	}
 	service, err := parse(name, b.Text)
 	if err != nil {
-		s.log.Warn("Stored document does not pass its checks.", "service", name, "version", b.Version, "error", err)
+		s.log.Warn("Stored document is invalid.", "service", name, "version", b.Version, "error", err)
 	}
 	return Applied{Name: name, Envelope: b.Envelope, Service: service}, nil
 }
 
-// History returns a document's changes, the newest first.
+// History returns a document's changes, newest first.
 func (s *Store) History(ctx context.Context, name string) ([]Change, error) {
 	a, err := s.Newest(ctx, name)
 	if err != nil {
--- a/internal/config/repair.go
+++ b/internal/config/repair.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// digestInterval is the time between two digests.
+	// digestInterval is the time between two digest exchanges.
 	digestInterval = time.Second
-	// digestTimeout bounds the exchange with one peer. It stays under the beat,
-	// so that a silent peer costs one beat.
+	// digestTimeout limits the exchange with one peer. It is shorter than the
+	// interval, so that an unresponsive peer costs only one interval.
 	digestTimeout = 800 * time.Millisecond
-	// maxCompareRounds bounds the messages of one exchange; the next beat goes on.
+	// maxCompareRounds limits the messages of one exchange. The exchange of the
+	// next interval continues the work.
 	maxCompareRounds = 16
-	// intervalJitter spreads beats, as a share of the beat.
+	// intervalJitter is the random variation of intervals, as a fraction of the
+	// interval.
 	intervalJitter = 0.2
 )
 
@@ -29,9 +31,9 @@
 	}
 }
 
-// waitForPeers waits for the fleet's view to name a peer, for one beat at most.
-// An instance that came to be ready before it knew its peers could serve an
-// old version from a platform that was set back.
+// waitForPeers waits until the membership view contains a peer, for at most one
+// digestInterval. An instance that became ready before it knew its peers could
+// serve an old version from a platform whose store was reset.
 func (s *Store) waitForPeers(ctx context.Context) {
 	t := s.options.Clock.NewTimer(digestInterval)
 	defer t.Stop()
@@ -42,8 +44,8 @@
 	}
 }
 
-// repairWithRandomPeer compares this instance's documents with those of one peer, and
-// brings both up to the higher versions.
+// repairWithRandomPeer compares this instance's documents with those of one
+// peer and updates both sides to the higher versions.
 func (s *Store) repairWithRandomPeer(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, digestTimeout)
 	defer cancel()
@@ -54,7 +56,7 @@
 	s.recordCallResult(remotePeer, err)
 	if err != nil {
 		s.metrics.digests.WithLabelValues("failed").Inc()
-		s.log.Trace("Digest failed.", "peer", address, "error", err)
+		s.log.Trace("Digest exchange failed.", "peer", address, "error", err)
 		return
 	}
 	s.metrics.digests.WithLabelValues("done").Inc()
@@ -100,8 +102,9 @@
 	return errExchangeUnfinished
 }
 
-// requireDocuments returns an error after an exchange with a peer that had nothing
-// either: two starting instances must not take each other for informed.
+// requireDocuments returns an error if this instance still has no documents
+// after an exchange, because the peer had none either. Otherwise two starting
+// instances would each count the exchange as a successful sync.
 func (s *Store) requireDocuments() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -111,8 +114,8 @@
 	return nil
 }
 
-// buildCompareParams lists this instance's versions in the parts whose sums differ
-// from a peer's.
+// buildCompareParams lists this instance's versions in the buckets whose
+// checksums differ from the peer's.
 func (s *Store) buildCompareParams(peerSums []uint64) compareParams {
 	p := compareParams{Versions: make(map[string]int64)}
 	s.mu.RLock()
--- a/internal/config/replaceable_test.go
+++ b/internal/config/replaceable_test.go
@@ -8,7 +8,7 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// switchable is a platform that can be replaced by an empty one.
+// replaceablePlatform is a platform whose store can be replaced during a test.
 type replaceablePlatform struct {
 	mu sync.Mutex
 	*standin.Store
@@ -25,7 +25,7 @@
 	old := s.Store
 	s.Store = next
 	s.mu.Unlock()
-	// Waiting watches of the old store end with an error.
+	// Open watches of the old store end with an error.
 	old.SetFaults(standin.Faults{Outage: true})
 }
 
--- a/internal/config/restore.go
+++ b/internal/config/restore.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// restoreBatchSize is how many documents one relay brings back between two
-	// lists, and restoreInterval the time between them: a platform that has lost
-	// everything must not meet all relays writing everything at once.
+	// restoreBatchSize is how many documents one relay restores between two
+	// lists, and restoreInterval is the time between them. They keep all relays
+	// from writing all documents at once to a platform that has lost
+	// everything.
 	restoreBatchSize = 20
 	restoreInterval  = time.Second
 )
 
-// restore stores documents in force that the platform holds in a lower version
-// or not at all. A platform whose store was lost or set back would otherwise
-// hand old versions to new instances. The updates are conditional, so that
-// relays that restore at the same moment, or an operator who changes the
-// document meanwhile, cannot undo one another. It reports whether there was
-// something to restore.
+// restoreDocuments stores the current version of documents that the platform
+// lacks or has in a lower version. Otherwise a platform whose store was lost or
+// reset would give old versions to new instances. The updates are conditional,
+// so that relays that restore concurrently, or an operator who changes the
+// document in the meantime, cannot overwrite each other. It reports whether any
+// document had to be restored.
 func (s *Store) restoreDocuments(ctx context.Context, objects []platform.Object) bool {
 	stored := make(map[string]baseDocument, len(objects))
 	for _, o := range objects {
@@ -40,7 +41,7 @@
 	for _, a := range outdated[:min(len(outdated), restoreBatchSize)] {
 		err := s.putEnvelope(ctx, a.Name, a.Envelope, stored[a.Name].objectVersion)
 		s.metrics.restores.WithLabelValues(outcomeLabel(err)).Inc()
-		s.log.Warn("The platform held a lower version. The one in force is stored again.",
+		s.log.Warn("The platform has a lower version. Storing the current one again.",
 			"service", a.Name, "stored", stored[a.Name].Version, "in force", a.Version, "error", err)
 	}
 	return len(outdated) > 0
--- a/internal/config/run.go
+++ b/internal/config/run.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// Run follows the platform, pushes, repairs and settles until ctx ends.
+// Run watches the platform, pushes changes, exchanges digests and settles
+// pending changes until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.watchLoop(ctx) })
--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -9,20 +9,23 @@
 )
 
 const (
-	// settleInterval is the time between two attempts to settle the open changes.
+	// settleInterval is the time between two attempts to settle the pending
+	// changes.
 	settleInterval = 2 * time.Second
-	// maxPending bounds the open changes; past it the oldest is given up.
+	// maxPending limits the pending changes. When it is exceeded, the oldest is
+	// dropped.
 	maxPending = 64
-	// maxSettled bounds the outcomes that are remembered.
+	// maxSettled limits the outcomes that are kept.
 	maxSettled = 256
 )
 
-// pending is a change whose outcome is open after its operator was answered.
+// pendingChange is a change whose outcome was still unknown when its operator
+// was answered.
 type pendingChange struct {
 	applyAttempt
 }
 
-// queuePending keeps a change for the background.
+// queuePending adds a change to those that are settled in the background.
 func (s *Store) queuePending(a *applyAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,8 +35,8 @@
 	}
 }
 
-// Settled returns the outcome of a change that was left settling; false while
-// it is open or no longer remembered.
+// Settled returns the outcome of a change whose state was Settling. The result
+// is false while the outcome is unknown, and after it has been discarded.
 func (s *Store) Settled(changeID string) (Outcome, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -41,7 +44,7 @@
 	return o, ok
 }
 
-// settleLoop settles open changes until ctx ends.
+// settleLoop settles pending changes until ctx ends.
 func (s *Store) settleLoop(ctx context.Context) {
 	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleInterval)) == nil {
 		s.mu.RLock()
@@ -55,11 +58,11 @@
 	}
 }
 
-// settle tries once to prove a change's outcome. The operator has been
-// answered, so the change is no longer sent. While the document stands as it
-// was, the update may still be on its way; storing the document once more as
-// it stands moves the object's version, after which the update cannot take
-// effect.
+// settleChange tries once to determine a change's outcome. The operator has
+// already been answered, so the change is not sent again. While the document is
+// unchanged, the original update may still be in transit. Storing the unchanged
+// document again increases the object's version, after which that update can no
+// longer take effect.
 func (s *Store) settleChange(ctx context.Context, p *pendingChange) (Outcome, bool) {
 	b, err := s.readBase(ctx, p.name)
 	if err != nil {
@@ -77,7 +80,7 @@
 	return Outcome{State: NoEffect, Version: b.Version, By: b.By}, true
 }
 
-// conclude records the outcome of a change that was open.
+// recordSettled records the outcome of a pending change.
 func (s *Store) recordSettled(p *pendingChange, o Outcome) {
 	o.ChangeID = p.change.ID
 	s.mu.Lock()
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -1,9 +1,9 @@
 package config
 
-// Source tells where a version came from; it is a metric label.
+// Source is where a version came from. It is a metric label value.
 type Source string
 
-// Sources of versions.
+// Sources of document versions.
 const (
 	FromPlatform Source = "platform"
 	FromPush     Source = "push"
@@ -11,19 +11,20 @@
 	FromApply    Source = "apply"
 )
 
-// Arrival tells what became of a version that arrived; it is a metric label.
+// AdoptResult is the result of adopting a version. It is a metric label value.
 type AdoptResult string
 
-// Arrivals.
+// Results of adopting a version.
 const (
-	// Adopted: the version is in force now.
+	// Adopted means that the version is now current.
 	Adopted AdoptResult = "adopted"
-	// Known: the version was in force already.
+	// Known means that the version was already current.
 	Known AdoptResult = "known"
-	// Lower: a higher version is in force.
+	// Lower means that the current version is higher.
 	Lower AdoptResult = "lower"
-	// Diverged: another change with the same version is in force.
+	// Diverged means that the current version has the same number but comes
+	// from another change.
 	Diverged AdoptResult = "diverged"
-	// Invalid: the document did not pass its checks.
+	// Invalid means that the document failed validation.
 	Invalid AdoptResult = "invalid"
 )
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -1,6 +1,6 @@
 package config
 
-// contact names whom an instance heard from.
+// remoteKind is the kind of remote that an instance fetches documents from.
 type remoteKind int
 
 const (
@@ -8,13 +8,14 @@
 	remotePeer
 )
 
-// progress tells how far a starting instance has come.
+// startupProgress records which remotes a starting instance has called.
 type startupProgress struct {
-	// tried: the first call has ended. heard: one has succeeded.
+	// For each remoteKind, attempted is set once a call has completed and
+	// succeeded once a call has succeeded.
 	attempted, succeeded [remotePeer + 1]bool
 }
 
-// recordCallResult records the end of a call to the platform or to a peer.
+// recordCallResult records the result of a call to the platform or to a peer.
 func (s *Store) recordCallResult(c remoteKind, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,17 +29,19 @@
 	return s.startup.attempted[remotePeer]
 }
 
-// informed reports whether the platform or a peer has told what it has.
+// hasSynced reports whether this instance has received the documents of the
+// platform or of a peer.
 func (s *Store) hasSynced() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.startup.succeeded[remotePlatform] || s.startup.succeeded[remotePeer]
 }
 
-// Ready reports whether this instance has documents and has asked both the
-// platform and a peer for the highest versions, one of them with success. An
-// instance that served what a platform restored from an old copy holds, while
-// its peers have later versions, would take back accepted changes.
+// Ready reports whether this instance has documents and has called both the
+// platform and a peer for the highest versions, with success for at least one
+// of them. If an instance served the documents of a platform that was restored
+// from an old backup while its peers have later versions, it would revert
+// accepted changes.
 func (s *Store) Ready() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -11,7 +11,8 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// Store holds the documents in force. It may be used by many goroutines.
+// Store holds the current version of each document. It is safe for concurrent
+// use.
 type Store struct {
 	options   Options
 	log       hclog.Logger
@@ -19,21 +20,22 @@
 	topology  peerTopology
 	pushQueue chan string
 
-	// adoption orders adoptions and what subscribers see of them.
+	// adoptMu serializes adoptions and the calls of subscribers, so that
+	// subscribers see them in the same order.
 	adoptMu     sync.Mutex
 	subscribers []func(Applied)
 
-	// mu guards the tables below.
+	// mu guards the fields below.
 	mu    sync.RWMutex
 	table documentTable
-	// refused holds the newest version of each document that did not pass its
-	// checks, so that it is neither checked nor asked for again.
+	// rejected holds the highest version of each document that failed
+	// validation, so that it is neither validated nor requested again.
 	rejected        map[string]Change
 	startup         startupProgress
 	pending         []*pendingChange
 	settledOutcomes map[string]Outcome
 
-	// randMu guards the random source, which is not safe for concurrent use.
+	// randMu guards options.Rand, which is not safe for concurrent use.
 	randMu sync.Mutex
 }
 
@@ -66,7 +68,7 @@
 	return s
 }
 
-// Current returns the document of a name that is in force.
+// Current returns the current version of the named document.
 func (s *Store) Current(name string) (Applied, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -74,7 +76,7 @@
 	return a, ok
 }
 
-// All returns the documents in force, ordered by name.
+// All returns the current documents, sorted by name.
 func (s *Store) All() []Applied {
 	s.mu.RLock()
 	list := slices.Collect(maps.Values(s.table.documents))
@@ -96,7 +98,7 @@
 	return a, g, ok
 }
 
-// Versions returns the version in force of each document.
+// Versions returns the current version number of each document.
 func (s *Store) Versions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -107,8 +109,8 @@
 	return versions
 }
 
-// Subscribe calls f for each document in force, and then for each version that
-// comes in force, in the order of the versions. f must not block.
+// Subscribe calls f for each current document, and then for each version that
+// becomes current, in the order of the versions. f must not block.
 func (s *Store) Subscribe(f func(Applied)) {
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is how many parts a digest is made of. With 5,000 documents a
-// part holds about 80 names, which keeps a comparison of one part small.
+// bucketCount is the number of buckets in a digest. With 5,000 documents a
+// bucket contains about 80 names, which keeps the comparison of one bucket
+// small.
 const bucketCount = 64
 
-// sums holds one sum for each part of the documents.
+// bucketSums holds one checksum for each bucket of documents.
 type bucketSums [bucketCount]uint64
 
-// root returns one sum over all parts.
+// rootSum returns one checksum over all buckets.
 func (s *bucketSums) rootSum() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -25,12 +26,12 @@
 	return d.Sum64()
 }
 
-// table holds the documents in force with what is derived from them.
+// documentTable holds the current documents and data derived from them.
 type documentTable struct {
 	documents map[string]Applied
-	// owners maps a group to the names of the documents that declare it, in
-	// order. There is one unless two operators claimed a group at one moment;
-	// then the first name counts on every instance.
+	// owners maps a group to the sorted names of the documents that declare it.
+	// There is one unless two operators declared the same group concurrently;
+	// in that case the first name is the owner on every instance.
 	owners map[string][]string
 	sums   bucketSums
 }
@@ -39,7 +40,7 @@
 	return documentTable{documents: make(map[string]Applied), owners: make(map[string][]string)}
 }
 
-// put replaces a document.
+// putDocument adds or replaces a document.
 func (t *documentTable) putDocument(a Applied) {
 	bucket := bucketOf(a.Name)
 	if old, ok := t.documents[a.Name]; ok {
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// relayPickKey is the key by which relays are picked.
+	// relayPickKey is the key passed to Fleet.Pick to select relays.
 	relayPickKey = "config.relay"
-	// digestPickKey, with the instance's ID, is the key by which the peers that it
-	// exchanges digests with are picked.
+	// digestPickKey, followed by the instance's ID, is the key passed to
+	// Fleet.Pick to select the peers that the instance exchanges digests with.
 	digestPickKey = "config.digest/"
 	// digestPeersPerDomain is how many peers of each failure domain an instance
-	// exchanges digests with. The set is bounded so that connections are: a
-	// peer picked at random among thousands would mean a connection to each in
-	// the end. Repair over such a fixed random graph still takes a number of
-	// rounds that grows with the logarithm of the fleet.
+	// exchanges digests with. The set is fixed and small to limit the number of
+	// connections: choosing a random peer among thousands each time would
+	// eventually open a connection to each. With such a fixed random graph,
+	// repair still takes a number of rounds that grows with the logarithm of
+	// the fleet size.
 	digestPeersPerDomain = 3
 )
 
-// contacts derives from the fleet's view whom this instance talks to.
+// peerTopology derives the peers that this instance communicates with from the
+// membership view.
 type peerTopology struct {
 	fleet           Fleet
 	relaysPerDomain int
-	// viewed is closed when the view names a peer for the first time.
+	// peersKnown is closed when the view contains a peer for the first time.
 	peersKnown     chan struct{}
 	markPeersKnown func()
 
@@ -35,10 +37,10 @@
 	digestInstances []platform.Instance
 }
 
-// refresh follows a change of the view.
+// refresh recomputes the topology after a change of the view.
 func (c *peerTopology) refresh() {
-	// The view is read under the lock, so that of two calls at one moment the
-	// later one has the newer view.
+	// The view is read under the lock, so that of two concurrent calls the
+	// later one uses the newer view.
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	self := c.fleet.Self()
@@ -54,7 +56,7 @@
 	return func(i platform.Instance) bool { return i.ID == id }
 }
 
-// isRelay reports whether this instance watches the platform.
+// isRelay reports whether this instance is a relay, which watches the platform.
 func (c *peerTopology) isRelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +74,7 @@
 	return addresses
 }
 
-// children returns the addresses that this instance pushes a document to.
+// childAddresses returns the addresses that this instance pushes a document to.
 func (c *peerTopology) childAddresses(name string) []string {
 	c.mu.Lock()
 	tree := c.tree
--- a/internal/config/versionmachine_test.go
+++ b/internal/config/versionmachine_test.go
@@ -14,24 +14,25 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// hasty is a clock whose timers fire at once.
+// instantClock is a clock whose timers fire immediately.
 type instantClock struct{ clock.System }
 
 func (instantClock) NewTimer(time.Duration) *time.Timer { return time.NewTimer(0) }
 
-// versionMachine drives three stores step by step, without their loops, and
-// checks after each step that no version ever falls and that no two changes
-// carry the same version.
+// versionMachine is a state machine that operates three stores step by step,
+// without their background loops. After each step it checks that no version
+// decreased and that no two changes have the same version.
 type versionMachine struct {
 	platform  *replaceablePlatform
 	net       *network
 	instances []*testInstance
 	starts    int
-	// seen is the highest version that each node's subscribers saw.
+	// highestSeen is the highest version that the subscribers of each instance
+	// saw.
 	highestSeen map[*testInstance]int64
-	// makers maps an accepted version to the change that made it.
+	// acceptedIDs maps an accepted version to the ID of its change.
 	acceptedIDs map[int64]string
-	// accepted is the highest version that an operator was told of.
+	// accepted is the highest version that was reported as accepted.
 	accepted int64
 }
 
@@ -75,8 +76,8 @@
 	return rapid.IntRange(0, len(m.instances)-1).Draw(t, label)
 }
 
-// apply changes the document from the version in force or an older one, with
-// the way to the platform whole or losing requests or answers.
+// applyChange changes the document from the current version or an older one.
+// Requests to the platform or their answers may be lost.
 func (m *versionMachine) applyChange(t *rapid.T) {
 	n := m.instances[m.pickInstance(t, "node")]
 	current, _ := n.Current("orders")
@@ -118,7 +119,7 @@
 	_ = m.instances[a].repairWithPeer(t.Context(), machineInventory().Instances[b].PeerAddress)
 }
 
-// replay sends a node an older version, as a delayed push would.
+// replayOldVersion sends an instance an older version, as a delayed push does.
 func (m *versionMachine) replayOldVersion(t *rapid.T) {
 	n := m.instances[m.pickInstance(t, "node")]
 	version := int64(rapid.IntRange(1, 5).Draw(t, "version"))
@@ -127,8 +128,9 @@
 	}
 }
 
-// restart replaces a node by one that knows nothing. It serves when it has
-// asked the platform and a peer, which Ready demands.
+// restartInstance replaces an instance by one without any state. The new
+// instance calls the platform and a peer, which Ready requires before an
+// instance serves.
 func (m *versionMachine) restartInstance(t *rapid.T) {
 	i := m.pickInstance(t, "node")
 	m.instances[i] = m.startInstance(i)
@@ -136,8 +138,9 @@
 	m.repairBetween(t, i, (i+1)%len(m.instances))
 }
 
-// lose empties the platform's store, after the last change has spread: a
-// change that only the platform and one instance ever had can be lost with both.
+// losePlatformStore empties the platform's store after the last change has
+// reached all instances. A change that only the platform and one instance have
+// can be lost if both fail.
 func (m *versionMachine) losePlatformStore(t *rapid.T) {
 	for range m.instances {
 		for i := range m.instances {
@@ -167,9 +170,10 @@
 	}
 }
 
-// Operators change one document through three instances while answers are
-// lost, old versions arrive late, instances start anew and the platform loses
-// its store. No instance ever goes back, and each version is one change.
+// Operators change one document through three instances while answers are lost,
+// old versions arrive late, instances restart and the platform loses its store.
+// No instance may revert to a lower version, and each version must belong to
+// exactly one change.
 func TestVersionsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newVersionMachine()
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// unlisted is the revision of a watch that must list first.
+	// unlisted is the revision of a watcher that must list before it can watch.
 	unlisted = -1
-	// relayCheckInterval is how often an instance that is no relay looks whether it has
-	// become one.
+	// relayCheckInterval is how often an instance that is not a relay checks
+	// whether it has become one.
 	relayCheckInterval = 500 * time.Millisecond
-	// peerSyncTimeout is how long a starting instance that is no relay waits for
-	// peers before it lists the platform.
+	// peerSyncTimeout is how long a starting instance that is not a relay waits
+	// for documents from peers before it lists the platform.
 	peerSyncTimeout = 5 * time.Second
-	// minBackoff and maxBackoff bound the wait after a failed call.
+	// minBackoff and maxBackoff are the limits of the wait after a failed call.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 3 * time.Second
 )
 
-// watcher follows the platform's documents.
+// watcher lists and watches the platform's documents.
 type watcher struct {
 	store    *Store
 	revision int64
 	backoff  time.Duration
-	// failing says that the last call failed.
+	// failing reports that the last call failed.
 	failing bool
 }
 
-// watchLoop follows the platform while this instance is a relay. Another
-// instance lists the platform only if no peer tells it anything for a while
-// after its start: when a failure domain returns, a thousand instances start at
-// one moment, and each list holds every document.
+// watchLoop watches the platform while this instance is a relay. An instance
+// that is not a relay lists the platform only if it receives no documents from
+// peers within peerSyncTimeout of its start: when a failure domain recovers, a
+// thousand instances start at the same time, and each list contains every
+// document.
 func (s *Store) watchLoop(ctx context.Context) {
 	s.waitForPeers(ctx)
 	w := &watcher{store: s, revision: unlisted}
@@ -53,9 +54,9 @@
 	}
 }
 
-// step lists or watches once and waits after a failure. After any failure it
-// lists again: the platform may have restarted with older revisions, and may
-// since have passed the one that the watch would resume from.
+// runOnce lists or watches once and waits after a failure. After any failure
+// the next call lists: the platform may have restarted with lower revisions,
+// and may since have passed the revision that the watch would resume from.
 func (w *watcher) runOnce(ctx context.Context) {
 	err := w.listOrWatch(ctx)
 	if ctx.Err() != nil {
@@ -72,13 +73,13 @@
 	w.backoff = min(2*max(w.backoff, minBackoff), maxBackoff)
 }
 
-// note logs when the platform is lost and when it is back.
+// logTransition logs when the watch starts to fail and when it recovers.
 func (w *watcher) logTransition(err error) {
 	switch failed := err != nil; {
 	case failed && !w.failing:
-		w.store.log.Warn("Platform's watch failed. Documents in force stay.", "error", err)
+		w.store.log.Warn("Platform watch failed. Current documents stay in effect.", "error", err)
 	case !failed && w.failing:
-		w.store.log.Info("Platform answers again.")
+		w.store.log.Info("Platform watch recovered.")
 	}
 	w.failing = err != nil
 }
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// list reads all documents and brings back what the platform has lost.
+// listAll reads all documents and restores those that the platform has lost.
 func (w *watcher) listAll(ctx context.Context) error {
 	objects, revision, err := w.store.options.API.List(ctx, platform.KindService)
 	w.store.recordCallResult(remotePlatform, err)
@@ -116,14 +117,14 @@
 	return nil
 }
 
-// take adopts stored documents and reports whether one of them was lower than
-// what is in force.
+// adoptObjects adopts stored documents and reports whether any of them had a
+// lower version than the current one.
 func (w *watcher) adoptObjects(objects []platform.Object) (lower bool) {
 	for _, o := range objects {
 		e, err := decodeObject(o)
 		if err != nil {
 			w.store.metrics.arrivals.WithLabelValues(string(FromPlatform), string(Invalid)).Inc()
-			w.store.log.Error("Stored value kept out.", "service", o.Name, "error", err)
+			w.store.log.Error("Rejected a stored value that cannot be decoded.", "service", o.Name, "error", err)
 			continue
 		}
 		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == Lower {
