--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -70,9 +70,9 @@
 		s.repairWithRandomPeer(ctx)
 	}
 	a := &applyAttempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
-	bounded, cancel := context.WithTimeout(ctx, applyTimeout)
+	applyCtx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	outcome := s.applyUntilResolved(bounded, a)
+	outcome := s.applyUntilResolved(applyCtx, a)
 	outcome.ChangeID = a.change.ID
 	s.metrics.applies.WithLabelValues(string(outcome.State)).Inc()
 	s.log.Info("Change processed.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -34,14 +34,14 @@
 func TestOperatorsRace(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		outcomes := make([]Outcome, 8)
-		var race sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range outcomes {
-			race.Go(func() {
+			wg.Go(func() {
 				n := f.instances[i%len(f.instances)]
 				outcomes[i], _ = n.Apply(f.t.Context(), "orders", documentText("orders", 10+i), 1, string(rune('a'+i)))
 			})
 		}
-		race.Wait()
+		wg.Wait()
 		winner := -1
 		for i, o := range outcomes {
 			if o.State == Accepted {
--- a/internal/config/envelope.go
+++ b/internal/config/envelope.go
@@ -55,9 +55,9 @@
 
 func (e Envelope) encode() ([]byte, error) {
 	var b bytes.Buffer
-	w := json.NewEncoder(&b)
-	w.SetEscapeHTML(false)
-	if err := w.Encode(e); err != nil {
+	encoder := json.NewEncoder(&b)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(e); err != nil {
 		return nil, err
 	}
 	if b.Len() > platform.MaxValueSize {
--- a/internal/config/handlers.go
+++ b/internal/config/handlers.go
@@ -70,16 +70,16 @@
 // handleCompare returns the documents that the caller lacks in the buckets it
 // asks for, and the names of those that it has in a higher version.
 func (s *Store) handleCompare(p compareParams) compareReply {
-	asked := make(map[int]bool, len(p.Buckets))
+	requested := make(map[int]bool, len(p.Buckets))
 	for _, b := range p.Buckets {
-		asked[b] = true
+		requested[b] = true
 	}
 	var reply compareReply
 	var names []string
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for name, a := range s.table.documents {
-		if asked[bucketOf(name)] && a.Version > p.Versions[name] {
+		if requested[bucketOf(name)] && a.Version > p.Versions[name] {
 			names = append(names, name)
 		}
 	}
--- a/internal/config/harness_test.go
+++ b/internal/config/harness_test.go
@@ -64,19 +64,19 @@
 // startInstance starts instance i with no state from an earlier run.
 func (f *testFleet) startInstance(i int) *testInstance {
 	self := f.inventory.Instances[i]
-	g := newPlatformLink(f.platform)
+	link := newPlatformLink(f.platform)
 	seed := uint64(time.Now().UnixNano())
-	m := membership.New(membership.Options{API: g, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
+	m := membership.New(membership.Options{API: link, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 		Self: self, PerFailureDomain: 1})
 	_ = m.Refresh(f.t.Context())
 	e := endpoint{f.net, self.PeerAddress}
-	s := New(Options{API: g, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(i), seed)), Fleet: m, Peers: e,
+	s := New(Options{API: link, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(i), seed)), Fleet: m, Peers: e,
 		Registry: e, Relays: f.relays, Seeds: f.seeds})
 	ctx, cancel := context.WithCancel(f.t.Context())
-	var parts sync.WaitGroup
-	parts.Go(func() { _ = s.Run(ctx) })
-	parts.Go(func() { _ = m.Run(ctx) })
-	return &testInstance{Store: s, id: self.ID, link: g, members: m, stop: func() { cancel(); parts.Wait() }}
+	var wg sync.WaitGroup
+	wg.Go(func() { _ = s.Run(ctx) })
+	wg.Go(func() { _ = m.Run(ctx) })
+	return &testInstance{Store: s, id: self.ID, link: link, members: m, stop: func() { cancel(); wg.Wait() }}
 }
 
 func (f *testFleet) stopAll() {
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -97,7 +97,7 @@
 }
 
 // matrixSteps register a function to run at a step of the change on instance 0.
-var matrixSteps = map[string]func(r *matrixCase, strike func()){
+var matrixSteps = map[string]func(r *matrixCase, inject func()){
 	"read": func(r *matrixCase, inject func()) { r.instances[0].link.onNextGet(inject) },
 	"store, before": func(r *matrixCase, inject func()) {
 		r.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
@@ -108,11 +108,11 @@
 			return r.forwardIfConnected(forward)
 		})
 	},
-	"store, before the answer": func(r *matrixCase, strike func()) {
+	"store, before the answer": func(r *matrixCase, inject func()) {
 		r.instances[0].link.interceptPuts(1, func(forward func() (platform.Object, error)) (platform.Object, error) {
 			o, err := r.forwardIfConnected(forward)
-			strike()
-			if open, gone := r.instances[0].link.requireConnected(); r.answerLost || gone != nil || open.Err() != nil {
+			inject()
+			if linkCtx, linkErr := r.instances[0].link.requireConnected(); r.answerLost || linkErr != nil || linkCtx.Err() != nil {
 				return platform.Object{}, platform.ErrOutcomeUnknown
 			}
 			return o, err
@@ -150,16 +150,16 @@
 // instance, a rejected one on none. No instance may revert to a lower version,
 // and all must agree within convergenceTime after the fault.
 func TestApplyMatrix(t *testing.T) {
-	for step, arm := range matrixSteps {
+	for step, runAtStep := range matrixSteps {
 		for fault, inject := range matrixFaults {
 			t.Run(step+"/"+fault, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { runMatrixCase(t, arm, inject) })
+				synctest.Test(t, func(t *testing.T) { runMatrixCase(t, runAtStep, inject) })
 			})
 		}
 	}
 }
 
-func runMatrixCase(t *testing.T, arm func(*matrixCase, func()), inject func(*matrixCase) func()) {
+func runMatrixCase(t *testing.T, runAtStep func(*matrixCase, func()), inject func(*matrixCase) func()) {
 	r := &matrixCase{testFleet: newFleetWithRelays(t, 9, 1), highestSeen: map[*Store]int64{}}
 	defer r.stopAll()
 	r.mustApply(r.instances[0], "orders", 2, 0)
@@ -172,7 +172,7 @@
 	defer cancel()
 	r.cancelApply = cancel
 	endFault := make(chan func(), 1)
-	arm(r, func() { endFault <- inject(r) })
+	runAtStep(r, func() { endFault <- inject(r) })
 	o, err := applier.Apply(ctx, "orders", documentText("orders", 50), 1, "ana")
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	}
 	time.Sleep(convergenceTime)
 	r.verifyOutcome(applier, o)
-	t.Logf("told %q %q", o.State, o.Detail)
+	t.Logf("reported %q %q", o.State, o.Detail)
 }
 
 // verifyOutcome compares the reported outcome with the final state of the
@@ -211,7 +211,7 @@
 	}
 	switch {
 	case o.State == Accepted && !tookEffect, o.State == NoEffect && tookEffect, o.State == NotAccepted && tookEffect:
-		r.t.Fatalf("the operator was told %q, took effect: %t", o.State, tookEffect)
+		r.t.Fatalf("reported outcome %q, took effect: %t", o.State, tookEffect)
 	case o.State == Settling && applier == r.instances[0]:
 		r.t.Fatalf("still not settled: %+v", o)
 	}
--- a/internal/config/platformlink_test.go
+++ b/internal/config/platformlink_test.go
@@ -10,9 +10,9 @@
 // platformLink is one instance's connection to the platform; a test can cut it.
 type platformLink struct {
 	platform.API
-	mu              sync.Mutex
-	connected       context.Context
-	cancelConnected context.CancelFunc
+	mu         sync.Mutex
+	linkCtx    context.Context
+	cancelLink context.CancelFunc
 	// onPut replaces the next Puts; forward executes the original Put.
 	onPut func(forward func() (platform.Object, error)) (platform.Object, error)
 	// onGet is called before the next Get.
@@ -31,10 +31,10 @@
 }
 
 // interceptPuts replaces the next n Puts.
-func (g *platformLink) interceptPuts(n int, f func(func() (platform.Object, error)) (platform.Object, error)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.onPut = func(forward func() (platform.Object, error)) (platform.Object, error) {
+func (l *platformLink) interceptPuts(n int, f func(func() (platform.Object, error)) (platform.Object, error)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.onPut = func(forward func() (platform.Object, error)) (platform.Object, error) {
 		if n--; n < 0 {
 			return forward()
 		}
@@ -43,87 +43,87 @@
 }
 
 // onNextGet registers f to be called before the next Get.
-func (g *platformLink) onNextGet(f func()) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.onGet = f
+func (l *platformLink) onNextGet(f func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.onGet = f
 }
 
 func newPlatformLink(api platform.API) *platformLink {
-	g := &platformLink{API: api}
-	g.reconnect()
-	return g
+	l := &platformLink{API: api}
+	l.reconnect()
+	return l
 }
 
-func (g *platformLink) reconnect() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.connected, g.cancelConnected = context.WithCancel(context.Background())
+func (l *platformLink) reconnect() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.linkCtx, l.cancelLink = context.WithCancel(context.Background())
 }
 
-func (g *platformLink) disconnect() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.cancelConnected()
+func (l *platformLink) disconnect() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cancelLink()
 }
 
-func (g *platformLink) requireConnected() (context.Context, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.connected.Err() != nil {
+func (l *platformLink) requireConnected() (context.Context, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.linkCtx.Err() != nil {
 		return nil, platform.ErrUnavailable
 	}
-	return g.connected, nil
+	return l.linkCtx, nil
 }
 
-func (g *platformLink) Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error) {
-	g.mu.Lock()
-	onGet := g.onGet
-	g.onGet = nil
-	g.mu.Unlock()
+func (l *platformLink) Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error) {
+	l.mu.Lock()
+	onGet := l.onGet
+	l.onGet = nil
+	l.mu.Unlock()
 	if onGet != nil {
 		onGet()
 	}
-	if _, err := g.requireConnected(); err != nil {
+	if _, err := l.requireConnected(); err != nil {
 		return platform.Object{}, err
 	}
-	return g.API.Get(ctx, k, name)
+	return l.API.Get(ctx, k, name)
 }
 
-func (g *platformLink) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
-	if _, err := g.requireConnected(); err != nil {
+func (l *platformLink) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
+	if _, err := l.requireConnected(); err != nil {
 		return nil, 0, err
 	}
-	return g.API.List(ctx, k)
+	return l.API.List(ctx, k)
 }
 
-func (g *platformLink) Put(ctx context.Context, k platform.Kind, name string, value []byte, v int64) (platform.Object, error) {
-	if _, err := g.requireConnected(); err != nil {
+func (l *platformLink) Put(ctx context.Context, k platform.Kind, name string, value []byte, v int64) (platform.Object, error) {
+	if _, err := l.requireConnected(); err != nil {
 		return platform.Object{}, err
 	}
-	g.mu.Lock()
-	onPut := g.onPut
-	g.mu.Unlock()
+	l.mu.Lock()
+	onPut := l.onPut
+	l.mu.Unlock()
 	if onPut != nil {
-		return onPut(func() (platform.Object, error) { return g.API.Put(context.WithoutCancel(ctx), k, name, value, v) })
+		return onPut(func() (platform.Object, error) { return l.API.Put(context.WithoutCancel(ctx), k, name, value, v) })
 	}
-	return g.API.Put(ctx, k, name, value, v)
+	return l.API.Put(ctx, k, name, value, v)
 }
 
-func (g *platformLink) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
-	open, err := g.requireConnected()
+func (l *platformLink) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
+	linkCtx, err := l.requireConnected()
 	if err != nil {
 		return nil, 0, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(open, cancel)()
-	return g.API.Watch(ctx, k, after)
+	defer context.AfterFunc(linkCtx, cancel)()
+	return l.API.Watch(ctx, k, after)
 }
 
-func (g *platformLink) Inventory(ctx context.Context) (platform.Inventory, error) {
-	if _, err := g.requireConnected(); err != nil {
+func (l *platformLink) Inventory(ctx context.Context) (platform.Inventory, error) {
+	if _, err := l.requireConnected(); err != nil {
 		return platform.Inventory{}, err
 	}
-	return g.API.Inventory(ctx)
+	return l.API.Inventory(ctx)
 }
--- a/internal/config/propagation_test.go
+++ b/internal/config/propagation_test.go
@@ -248,8 +248,8 @@
 // newFleetSharingPlatform returns a fleet of one instance that uses the
 // platform of another fleet.
 func newFleetSharingPlatform(t *testing.T, f *testFleet) *testFleet {
-	g := &testFleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
+	other := &testFleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
 		inventory: platform.Inventory{Instances: []platform.Instance{{ID: "other", FailureDomain: "far", PeerAddress: "10.9.0.1:1"}}}}
-	g.instances = append(g.instances, g.startInstance(0))
-	return g
+	other.instances = append(other.instances, other.startInstance(0))
+	return other
 }
--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -48,9 +48,9 @@
 func (s *Store) settleLoop(ctx context.Context) {
 	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleInterval)) == nil {
 		s.mu.RLock()
-		open := slices.Clone(s.pending)
+		unsettled := slices.Clone(s.pending)
 		s.mu.RUnlock()
-		for _, p := range open {
+		for _, p := range unsettled {
 			if outcome, done := s.settleChange(ctx, p); done {
 				s.recordSettled(p, outcome)
 			}
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -16,11 +16,11 @@
 }
 
 // recordCallResult records the result of a call to the platform or to a peer.
-func (s *Store) recordCallResult(c remoteKind, err error) {
+func (s *Store) recordCallResult(kind remoteKind, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.startup.attempted[c] = true
-	s.startup.succeeded[c] = s.startup.succeeded[c] || err == nil
+	s.startup.attempted[kind] = true
+	s.startup.succeeded[kind] = s.startup.succeeded[kind] || err == nil
 }
 
 func (s *Store) triedPeer() bool {
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -38,17 +38,17 @@
 }
 
 // refresh recomputes the topology after a change of the view.
-func (c *peerTopology) refresh() {
+func (t *peerTopology) refresh() {
 	// The view is read under the lock, so that of two concurrent calls the
 	// later one uses the newer view.
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	self := c.fleet.Self()
-	relays := c.fleet.Pick(relayPickKey, c.relaysPerDomain)
-	c.tree = relaytree.New(self.FailureDomain, relays, c.fleet.Live())
-	c.digestInstances = slices.DeleteFunc(c.fleet.Pick(digestPickKey+self.ID, digestPeersPerDomain), sameID(self.ID))
-	if len(c.digestInstances) > 0 {
-		c.markPeersKnown()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	self := t.fleet.Self()
+	relays := t.fleet.Pick(relayPickKey, t.relaysPerDomain)
+	t.tree = relaytree.New(self.FailureDomain, relays, t.fleet.Live())
+	t.digestInstances = slices.DeleteFunc(t.fleet.Pick(digestPickKey+self.ID, digestPeersPerDomain), sameID(self.ID))
+	if len(t.digestInstances) > 0 {
+		t.markPeersKnown()
 	}
 }
 
@@ -57,30 +57,30 @@
 }
 
 // isRelay reports whether this instance is a relay, which watches the platform.
-func (c *peerTopology) isRelay() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.tree.IsRelay(c.fleet.Self().ID)
+func (t *peerTopology) isRelay() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.tree.IsRelay(t.fleet.Self().ID)
 }
 
 // digestAddresses returns the addresses of the peers to exchange digests with.
-func (c *peerTopology) digestAddresses() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	addresses := make([]string, len(c.digestInstances))
-	for i, p := range c.digestInstances {
+func (t *peerTopology) digestAddresses() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	addresses := make([]string, len(t.digestInstances))
+	for i, p := range t.digestInstances {
 		addresses[i] = p.PeerAddress
 	}
 	return addresses
 }
 
 // childAddresses returns the addresses that this instance pushes a document to.
-func (c *peerTopology) childAddresses(name string) []string {
-	c.mu.Lock()
-	tree := c.tree
-	c.mu.Unlock()
+func (t *peerTopology) childAddresses(name string) []string {
+	t.mu.Lock()
+	tree := t.tree
+	t.mu.Unlock()
 	var addresses []string
-	for _, i := range tree.Children(name, c.fleet.Self().ID) {
+	for _, i := range tree.Children(name, t.fleet.Self().ID) {
 		addresses = append(addresses, i.PeerAddress)
 	}
 	return addresses
--- a/internal/config/versionmachine_test.go
+++ b/internal/config/versionmachine_test.go
@@ -59,10 +59,10 @@
 	m.starts++
 	self := machineInventory().Instances[i]
 	r := rand.New(rand.NewPCG(uint64(m.starts), uint64(i)))
-	g := newPlatformLink(m.platform)
-	members := membership.New(membership.Options{API: g, Clock: instantClock{}, Rand: r, Self: self, PerFailureDomain: 1})
+	link := newPlatformLink(m.platform)
+	members := membership.New(membership.Options{API: link, Clock: instantClock{}, Rand: r, Self: self, PerFailureDomain: 1})
 	e := endpoint{m.net, self.PeerAddress}
-	n := &testInstance{id: self.ID, link: g, members: members, Store: New(Options{API: g, Clock: instantClock{}, Rand: r, Fleet: members, Peers: e, Registry: e})}
+	n := &testInstance{id: self.ID, link: link, members: members, Store: New(Options{API: link, Clock: instantClock{}, Rand: r, Fleet: members, Peers: e, Registry: e})}
 	n.Subscribe(func(a Applied) {
 		if a.Version <= m.highestSeen[n] {
 			panic(fmt.Sprintf("%s went from version %d to %d", n.id, m.highestSeen[n], a.Version))
@@ -99,7 +99,7 @@
 			t.Fatalf("accepted as version %d from %d", o.Version, from)
 		}
 		if other := m.acceptedIDs[o.Version]; other != "" {
-			t.Fatalf("version %d was made by %s and by %s", o.Version, other, o.ChangeID)
+			t.Fatalf("version %d was created by both %s and %s", o.Version, other, o.ChangeID)
 		}
 		m.acceptedIDs[o.Version] = o.ChangeID
 	}
@@ -159,13 +159,13 @@
 			continue
 		}
 		if a.Version < m.highestSeen[n] {
-			t.Fatalf("%s went back from %d to %d", n.id, m.highestSeen[n], a.Version)
+			t.Fatalf("%s reverted from %d to %d", n.id, m.highestSeen[n], a.Version)
 		}
 		if acceptedID := m.acceptedIDs[a.Version]; acceptedID != "" && acceptedID != a.ID {
-			t.Fatalf("%s holds version %d by change %s, accepted was %s", n.id, a.Version, a.ID, acceptedID)
+			t.Fatalf("%s has version %d of change %s, but change %s was accepted", n.id, a.Version, a.ID, acceptedID)
 		}
 		if a.Version > m.accepted {
-			t.Fatalf("%s holds version %d, none past %d was accepted", n.id, a.Version, m.accepted)
+			t.Fatalf("%s has version %d, but no version above %d was accepted", n.id, a.Version, m.accepted)
 		}
 	}
 }
