--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -206,7 +206,7 @@
 	for _, c := range final.changes() {
 		tookEffect = tookEffect || c.ID == o.ChangeID
 	}
-	if settled, ok := applier.Settled(o.ChangeID); ok {
+	if settled, ok := applier.SettledOutcome(o.ChangeID); ok {
 		o = settled
 	}
 	switch {
--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -35,9 +35,10 @@
 	}
 }
 
-// Settled returns the outcome of a change whose state was Settling. The result
-// is false while the outcome is unknown, and after it has been discarded.
-func (s *Store) Settled(changeID string) (Outcome, bool) {
+// SettledOutcome returns the outcome of a change whose state was Settling. The
+// result is false while the outcome is unknown, and after it has been
+// discarded.
+func (s *Store) SettledOutcome(changeID string) (Outcome, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	o, ok := s.settledOutcomes[changeID]
