--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -9,83 +9,87 @@
 )
 
 const (
-	// settleBeat is the time between two attempts to settle the open changes.
-	settleBeat = 2 * time.Second
-	// maxPending bounds the open changes; past it the oldest is given up.
+	// settleInterval is the time between two attempts to settle the pending
+	// changes.
+	settleInterval = 2 * time.Second
+	// maxPending limits the pending changes. When it is exceeded, the oldest is
+	// dropped.
 	maxPending = 64
-	// maxSettled bounds the outcomes that are remembered.
+	// maxSettled limits the outcomes that are kept.
 	maxSettled = 256
 )
 
-// pending is a change whose outcome is open after its operator was answered.
-type pending struct {
-	attempt
+// pendingChange is a change whose outcome was still unknown when its operator
+// was answered.
+type pendingChange struct {
+	applyAttempt
 }
 
-// settleLater keeps a change for the background.
-func (s *Store) settleLater(a *attempt) {
+// queuePending adds a change to those that are settled in the background.
+func (s *Store) queuePending(a *applyAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pending = append(s.pending, &pending{attempt: *a})
+	s.pending = append(s.pending, &pendingChange{applyAttempt: *a})
 	if len(s.pending) > maxPending {
 		s.pending = s.pending[1:]
 	}
 }
 
-// Settled returns the outcome of a change that was left settling; false while
-// it is open or no longer remembered.
-func (s *Store) Settled(changeID string) (Outcome, bool) {
+// SettledOutcome returns the outcome of a change whose state was Settling. The
+// result is false while the outcome is unknown, and after it has been
+// discarded.
+func (s *Store) SettledOutcome(changeID string) (Outcome, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	o, ok := s.settled[changeID]
+	o, ok := s.settledOutcomes[changeID]
 	return o, ok
 }
 
-// settleLoop settles open changes until ctx ends.
+// settleLoop settles pending changes until ctx ends.
 func (s *Store) settleLoop(ctx context.Context) {
-	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleBeat)) == nil {
+	for clock.Sleep(ctx, s.options.Clock, s.jittered(settleInterval)) == nil {
 		s.mu.RLock()
-		open := slices.Clone(s.pending)
+		unsettled := slices.Clone(s.pending)
 		s.mu.RUnlock()
-		for _, p := range open {
-			if outcome, done := s.settle(ctx, p); done {
-				s.conclude(p, outcome)
+		for _, p := range unsettled {
+			if outcome, done := s.settleChange(ctx, p); done {
+				s.recordSettled(p, outcome)
 			}
 		}
 	}
 }
 
-// settle tries once to prove a change's outcome. The operator has been
-// answered, so the change is no longer sent. While the document stands as it
-// was, the update may still be on its way; storing the document once more as
-// it stands moves the object's version, after which the update cannot take
-// effect.
-func (s *Store) settle(ctx context.Context, p *pending) (Outcome, bool) {
+// settleChange tries once to determine a change's outcome. The operator has
+// already been answered, so the change is not sent again. While the document is
+// unchanged, the original update may still be in transit. Storing the unchanged
+// document again increases the object's version, after which that update can no
+// longer take effect.
+func (s *Store) settleChange(ctx context.Context, p *pendingChange) (Outcome, bool) {
 	b, err := s.readBase(ctx, p.name)
 	if err != nil {
 		return Outcome{}, false
 	}
-	if outcome, settled := s.verdict(&p.attempt, b); settled {
+	if outcome, settled := s.resolveOutcome(&p.applyAttempt, b); settled {
 		return outcome, true
 	}
 	if b.Version != p.ifVersion {
 		return Outcome{State: Settling, Detail: "the document's history does not reach back to the change"}, true
 	}
-	if b.object == p.sentOn && s.putEnvelope(ctx, p.name, b.Envelope, b.object) != nil {
+	if b.objectVersion == p.sentAtVersion && s.putEnvelope(ctx, p.name, b.Envelope, b.objectVersion) != nil {
 		return Outcome{}, false
 	}
 	return Outcome{State: NoEffect, Version: b.Version, By: b.By}, true
 }
 
-// conclude records the outcome of a change that was open.
-func (s *Store) conclude(p *pending, o Outcome) {
+// recordSettled records the outcome of a pending change.
+func (s *Store) recordSettled(p *pendingChange, o Outcome) {
 	o.ChangeID = p.change.ID
 	s.mu.Lock()
-	s.pending = slices.DeleteFunc(s.pending, func(q *pending) bool { return q == p })
-	if len(s.settled) >= maxSettled {
-		clear(s.settled)
+	s.pending = slices.DeleteFunc(s.pending, func(q *pendingChange) bool { return q == p })
+	if len(s.settledOutcomes) >= maxSettled {
+		clear(s.settledOutcomes)
 	}
-	s.settled[o.ChangeID] = o
+	s.settledOutcomes[o.ChangeID] = o
 	s.mu.Unlock()
 	s.metrics.settled.WithLabelValues(string(o.State)).Inc()
 	s.log.Info("Change settled.", "service", p.name, "change", o.ChangeID, "outcome", o.State, "version", o.Version)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -11,29 +11,31 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// Store holds the documents in force. It may be used by many goroutines.
+// Store holds the current version of each document. It is safe for concurrent
+// use.
 type Store struct {
-	options Options
-	log     hclog.Logger
-	metrics *Metrics
-	contact contacts
-	pushes  chan string
+	options   Options
+	log       hclog.Logger
+	metrics   *Metrics
+	topology  peerTopology
+	pushQueue chan string
 
-	// adoption orders adoptions and what subscribers see of them.
-	adoption    sync.Mutex
+	// adoptMu serializes adoptions and the calls of subscribers, so that
+	// subscribers see them in the same order.
+	adoptMu     sync.Mutex
 	subscribers []func(Applied)
 
-	// mu guards the tables below.
+	// mu guards the fields below.
 	mu    sync.RWMutex
-	table table
-	// refused holds the newest version of each document that did not pass its
-	// checks, so that it is neither checked nor asked for again.
-	refused  map[string]Change
-	progress progress
-	pending  []*pending
-	settled  map[string]Outcome
+	table documentTable
+	// rejected holds the highest version of each document that failed
+	// validation, so that it is neither validated nor requested again.
+	rejected        map[string]Change
+	startup         startupProgress
+	pending         []*pendingChange
+	settledOutcomes map[string]Outcome
 
-	// randMu guards the random source, which is not safe for concurrent use.
+	// randMu guards options.Rand, which is not safe for concurrent use.
 	randMu sync.Mutex
 }
 
@@ -49,24 +51,24 @@
 		o.Relays = DefaultRelays
 	}
 	s := &Store{
-		options: o,
-		log:     o.Log.Named("config"),
-		metrics: o.Metrics,
-		pushes:  make(chan string, pushQueue),
-		table:   newTable(),
-		refused: make(map[string]Change),
-		settled: make(map[string]Outcome),
+		options:         o,
+		log:             o.Log.Named("config"),
+		metrics:         o.Metrics,
+		pushQueue:       make(chan string, pushQueueSize),
+		table:           newTable(),
+		rejected:        make(map[string]Change),
+		settledOutcomes: make(map[string]Outcome),
 	}
-	s.contact.fleet, s.contact.relayCount = o.Fleet, o.Relays
-	s.contact.viewed = make(chan struct{})
-	s.contact.closeViewed = sync.OnceFunc(func() { close(s.contact.viewed) })
-	s.contact.refresh()
-	o.Fleet.Subscribe(s.contact.refresh)
-	s.register()
+	s.topology.fleet, s.topology.relaysPerDomain = o.Fleet, o.Relays
+	s.topology.peersKnown = make(chan struct{})
+	s.topology.markPeersKnown = sync.OnceFunc(func() { close(s.topology.peersKnown) })
+	s.topology.refresh()
+	o.Fleet.Subscribe(s.topology.refresh)
+	s.registerHandlers()
 	return s
 }
 
-// Current returns the document of a name that is in force.
+// Current returns the current version of the named document.
 func (s *Store) Current(name string) (Applied, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -74,7 +76,7 @@
 	return a, ok
 }
 
-// All returns the documents in force, ordered by name.
+// All returns the current documents, sorted by name.
 func (s *Store) All() []Applied {
 	s.mu.RLock()
 	list := slices.Collect(maps.Values(s.table.documents))
@@ -96,7 +98,7 @@
 	return a, g, ok
 }
 
-// Versions returns the version in force of each document.
+// Versions returns the current version number of each document.
 func (s *Store) Versions() map[string]int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -107,11 +109,11 @@
 	return versions
 }
 
-// Subscribe calls f for each document in force, and then for each version that
-// comes in force, in the order of the versions. f must not block.
+// Subscribe calls f for each current document, and then for each version that
+// becomes current, in the order of the versions. f must not block.
 func (s *Store) Subscribe(f func(Applied)) {
-	s.adoption.Lock()
-	defer s.adoption.Unlock()
+	s.adoptMu.Lock()
+	defer s.adoptMu.Unlock()
 	s.subscribers = append(s.subscribers, f)
 	for _, a := range s.All() {
 		f(a)
