--- a/internal/directory/bench_test.go
+++ b/internal/directory/bench_test.go
@@ -11,9 +11,10 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// BenchmarkChangeOfOneEntry is one member's change among those of 600 groups.
+// BenchmarkChangeOfOneEntry applies a change of one member's entry in a directory of 600
+// groups.
 func BenchmarkChangeOfOneEntry(b *testing.B) {
-	d := New(Config{Decoder: plainDecoder{}, Clock: clock.System{}, Log: hclog.NewNullLogger()})
+	d := New(Config{Decoder: jsonDecoder{}, Clock: clock.System{}, Log: hclog.NewNullLogger()})
 	for n := range 600 {
 		d.manifest.Groups = append(d.manifest.Groups, Group{Name: fmt.Sprint("g", n), MemberConnections: 42})
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,11 +1,11 @@
-// Package directory holds which services there are, by the operator's manifest on
-// the platform, and which members they have, by the members' own entries.
+// Package directory tracks the services defined by the operator's manifest on the platform, and
+// their members, which register themselves with entries of their own.
 //
-// Both are followed by watches. A manifest's version never goes back, and what was
-// learned stays in force while the platform is out of reach: members still serve,
-// and callers still have to be served.
+// Both are followed through watches. A manifest never replaces one with a higher version, and
+// the last known state stays in force while the platform is unreachable: members still serve,
+// and callers must still be served.
 //
-// Lock order: Directory.mu alone; it is not held across I/O or callbacks. Readers
+// Lock order: Directory.mu is the only lock; it is not held across I/O or callbacks. Readers
 // load one immutable view.
 package directory
 
@@ -24,46 +24,46 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Config is what a Directory is made of.
+// Config holds the dependencies and settings of a Directory.
 type Config struct {
 	API     platform.API
 	Decoder Decoder
 	Clock   clock.Clock
-	// Seed starts the random sources that spread the calls.
+	// Seed seeds the random sources that spread calls over time.
 	Seed uint64
 	Log  hclog.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 }
 
-// Directory follows manifest and members.
+// Directory follows the manifest and the entries of the members.
 type Directory struct {
 	config  Config
 	log     hclog.Logger
 	current atomic.Pointer[view]
 
-	mu       sync.Mutex
-	manifest Manifest
-	known    bool
-	// manifests counts those that were adopted.
-	manifests int
-	// sharing spares the platform most calls; nil without.
+	mu            sync.Mutex
+	manifest      Manifest
+	manifestKnown bool
+	// manifestCount is the number of manifests applied so far.
+	manifestCount int
+	// sharing shares platform reads with other instances; nil if sharing is disabled.
 	sharing     *objectwatch.Sharing
-	roster      *roster
+	members     *memberTable
 	subscribers []func()
 }
 
-// New returns a Directory that knows nothing yet; Run makes it learn.
+// New returns an empty Directory; Run fills it.
 func New(c Config) *Directory {
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics(nil)
 	}
-	d := &Directory{config: c, log: c.Log.Named("directory"), roster: newRoster()}
+	d := &Directory{config: c, log: c.Log.Named("directory"), members: newMemberTable()}
 	d.current.Store(emptyView())
 	return d
 }
 
-// Subscribe calls f after each change. f must not block.
+// Subscribe registers f to be called after each change. f must not block.
 func (d *Directory) Subscribe(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,88 +71,89 @@
 }
 
 const (
-	// manifestCheck bounds how late a manifest is learned while watches hear
-	// nothing: with a slow call it is still within the three seconds that an
+	// manifestCheckInterval bounds the delay until a changed manifest is applied when watches
+	// deliver no events: including a slow call, it stays within the three seconds that an
 	// operator waits for a change.
-	manifestCheck = 2 * time.Second
-	// upstreamCheck does so for members' entries; one that leaves serves on for
-	// several seconds.
-	upstreamCheck = 3 * time.Second
-	// checkGrace is what a reader's list may be older than the time between two checks,
-	// for the calls themselves.
-	checkGrace = 300 * time.Millisecond
+	manifestCheckInterval = 2 * time.Second
+	// upstreamCheckInterval is the same bound for members' entries. It can be longer because a
+	// member that leaves keeps serving for several seconds.
+	upstreamCheckInterval = 3 * time.Second
+	// listAgeMargin is how much older than the check interval a reader's list may be, to allow
+	// for the duration of the calls themselves.
+	listAgeMargin = 300 * time.Millisecond
 )
 
-// UseSharing lets other instances read for this one, and this one for them. It comes
+// UseSharing makes this instance share platform reads with other instances. It must be called
 // before Run.
 func (d *Directory) UseSharing(s *objectwatch.Sharing) { d.sharing = s }
 
-// upstreamSettle gathers the entries of members that start or change together into
-// one answer of the watch.
-const upstreamSettle = 200 * time.Millisecond
+// upstreamSettlePause batches the entries of members that start or change together into one
+// watch response.
+const upstreamSettlePause = 200 * time.Millisecond
 
-// lapseCheck is how often missing entries are looked at.
-const lapseCheck = 500 * time.Millisecond
+// missingCheckInterval is the time between two checks for missing entries whose grace period
+// has ended.
+const missingCheckInterval = 500 * time.Millisecond
 
-// Run follows the platform until ctx ends.
+// Run follows the platform until ctx is done.
 func (d *Directory) Run(ctx context.Context) error {
 	var parts sync.WaitGroup
-	parts.Go(func() { d.manifestFollower().Run(ctx) })
-	parts.Go(func() { d.upstreamFollower().Run(ctx) })
-	parts.Go(func() { d.watchLapses(ctx) })
+	parts.Go(func() { d.newManifestFollower().Run(ctx) })
+	parts.Go(func() { d.newUpstreamFollower().Run(ctx) })
+	parts.Go(func() { d.checkMissing(ctx) })
 	parts.Wait()
 	return ctx.Err()
 }
 
-func (d *Directory) manifestFollower() *objectwatch.Follower {
+func (d *Directory) newManifestFollower() *objectwatch.Follower {
 	c := objectwatch.Config{
 		API: d.config.API, Kind: platform.KindManifest, Sink: manifestSink{d}, Clock: d.config.Clock, Log: d.config.Log,
-		Rand: rand.New(rand.NewPCG(d.config.Seed, 1)), Check: manifestCheck,
+		Rand: rand.New(rand.NewPCG(d.config.Seed, 1)), Check: manifestCheckInterval,
 	}
-	return d.shared(c)
+	return d.newFollower(c)
 }
 
-func (d *Directory) upstreamFollower() *objectwatch.Follower {
-	return d.shared(objectwatch.Config{
+func (d *Directory) newUpstreamFollower() *objectwatch.Follower {
+	return d.newFollower(objectwatch.Config{
 		API: d.config.API, Kind: platform.KindUpstreams, Sink: upstreamSink{d}, Clock: d.config.Clock, Log: d.config.Log,
-		Rand: rand.New(rand.NewPCG(d.config.Seed, 2)), Check: upstreamCheck, Stale: true, Settle: upstreamSettle,
+		Rand: rand.New(rand.NewPCG(d.config.Seed, 2)), Check: upstreamCheckInterval, Stale: true, Settle: upstreamSettlePause,
 	})
 }
 
-// shared returns a follower that shares its calls where that can be done.
-func (d *Directory) shared(c objectwatch.Config) *objectwatch.Follower {
+// newFollower returns a follower, which shares its reads if sharing is enabled.
+func (d *Directory) newFollower(c objectwatch.Config) *objectwatch.Follower {
 	if d.sharing != nil {
-		api := d.sharing.API(c.Kind, c.Check+checkGrace)
+		api := d.sharing.API(c.Kind, c.Check+listAgeMargin)
 		c.API, c.Peers = api, api
 	}
 	return objectwatch.New(c)
 }
 
-// watchLapses publishes anew when a missing entry's grace is over.
-func (d *Directory) watchLapses(ctx context.Context) {
-	waiting := false
-	for clock.Sleep(ctx, d.config.Clock, lapseCheck) == nil {
+// checkMissing publishes the view again when the grace period of a missing entry ends.
+func (d *Directory) checkMissing(ctx context.Context) {
+	pending := false
+	for clock.Sleep(ctx, d.config.Clock, missingCheckInterval) == nil {
 		d.mu.Lock()
-		was := waiting
-		waiting = d.roster.waiting(d.config.Clock.Now())
+		wasPending := pending
+		pending = d.members.pruneRemoved(d.config.Clock.Now())
 		d.mu.Unlock()
-		if was || waiting {
+		if wasPending || pending {
 			d.publish()
 		}
 	}
 }
 
-// publish makes the present state the view, and tells the subscribers if it
-// differs from the last one.
+// publish replaces the view by the current state and calls the subscribers if the state has
+// changed.
 func (d *Directory) publish() {
 	d.mu.Lock()
-	old := d.current.Load()
-	present := d.roster.present(d.config.Clock.Now())
-	if old.manifest == d.manifests && slices.Equal(old.present, present) {
+	previous := d.current.Load()
+	present := d.members.present(d.config.Clock.Now())
+	if previous.manifestCount == d.manifestCount && slices.Equal(previous.present, present) {
 		d.mu.Unlock()
 		return
 	}
-	d.current.Store(d.build(old, present))
+	d.current.Store(d.buildView(previous, present))
 	subscribers := d.subscribers
 	d.mu.Unlock()
 	for _, f := range subscribers {
@@ -160,56 +161,58 @@
 	}
 }
 
-// adoptManifest takes a manifest unless a later one is in force.
-func (d *Directory) adoptManifest(o platform.Object) {
+// applyManifest puts a manifest in force unless the current one has the same or a higher
+// version.
+func (d *Directory) applyManifest(o platform.Object) {
 	if o.Name != platform.ManifestName || o.Removed {
 		return
 	}
 	m, err := d.config.Decoder.Manifest(o)
 	if err != nil {
-		d.log.Error("Manifest cannot be read; the last one stays in force.", "revision", o.Revision, "error", err)
+		d.log.Error("Cannot decode manifest; keeping the previous one.", "revision", o.Revision, "error", err)
 		return
 	}
 	d.mu.Lock()
-	held, later := d.manifest.Version, !d.known || m.Version > d.manifest.Version
-	if later {
-		d.manifest, d.known = m, true
-		d.manifests++
+	current, isNewer := d.manifest.Version, !d.manifestKnown || m.Version > d.manifest.Version
+	if isNewer {
+		d.manifest, d.manifestKnown = m, true
+		d.manifestCount++
 	}
 	d.mu.Unlock()
 	switch {
-	case later:
-		d.log.Info("Manifest is in force.", "version", m.Version, "before", held, "databases", len(m.Databases), "workspaces", len(m.Workspaces.All()))
-		d.reportFaults(m)
-	case m.Version < held:
-		d.log.Info("Manifest is older than the one in force.", "version", m.Version, "in_force", held)
+	case isNewer:
+		d.log.Info("Manifest is in force.", "version", m.Version, "before", current, "databases", len(m.Databases), "workspaces", len(m.Workspaces.All()))
+		d.reportInvalidWorkspaces(m)
+	case m.Version < current:
+		d.log.Info("Ignoring manifest older than the one in force.", "version", m.Version, "in_force", current)
 	}
 }
 
-// reportFaults logs and counts what of a manifest names no workspace.
-func (d *Directory) reportFaults(m Manifest) {
+// reportInvalidWorkspaces logs and counts the workspaces and keys of a manifest that cannot be
+// used.
+func (d *Directory) reportInvalidWorkspaces(m Manifest) {
 	for _, f := range m.Faults {
 		d.config.Metrics.workspaceFaults.Inc()
-		d.log.Warn("Workspace cannot be used as it is written.", "version", m.Version, "workspace", f.Workspace, "reason", f.Reason)
+		d.log.Warn("Invalid workspace in manifest.", "version", m.Version, "workspace", f.Workspace, "reason", f.Reason)
 	}
 }
 
-// adoptEntry takes a change of a member's entry.
-func (d *Directory) adoptEntry(o platform.Object, now time.Time) {
+// applyMember applies a change of a member's entry.
+func (d *Directory) applyMember(o platform.Object, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if o.Removed {
-		d.roster.remove(o.Name, now)
-		d.log.Info("Member's entry is gone.", "member", o.Name)
+		d.members.markMissing(o.Name, now)
+		d.log.Info("Member's entry was removed.", "member", o.Name)
 		return
 	}
 	u, err := d.config.Decoder.Upstream(o)
 	if err != nil {
-		d.log.Warn("Member's entry cannot be read; it names no member.", "member", o.Name, "error", err)
+		d.log.Warn("Cannot decode member's entry; ignoring it.", "member", o.Name, "error", err)
 		return
 	}
-	if !d.roster.put(u, o.Revision) {
+	if !d.members.update(u, o.Revision) {
 		return
 	}
-	d.log.Info("Member's entry.", "member", u.ID, "group", u.Group, "address", u.Address, "leaving", u.Leaving, "leads", u.Leads)
+	d.log.Info("Member's entry changed.", "member", u.ID, "group", u.Group, "address", u.Address, "leaving", u.Leaving, "leads", u.Leads)
 }
--- a/internal/directory/manifest.go
+++ b/internal/directory/manifest.go
@@ -8,37 +8,37 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// Manifest is what the platform's operator says of all services at once.
+// Manifest is the platform operator's definition of all services.
 type Manifest struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version   int64
 	Groups    []Group
 	Databases []Database
 	// TransactionIdle is how long a transaction may be idle.
 	TransactionIdle time.Duration
-	// Workspaces are those that callers' keys name; nil where callers need no key.
+	// Workspaces are the workspaces that callers' keys identify; nil if callers need no key.
 	Workspaces *workspace.Table
-	// Faults are the workspaces and keys that name nothing as they are written.
+	// Faults are the workspaces and keys that are invalid and therefore not used.
 	Faults []workspace.Fault
 }
 
-// Group is a database group as the operator names it; its members name themselves.
+// Group is a database group defined by the operator. Its members register themselves.
 type Group struct {
 	Name string
-	// MemberConnections is how many connections each member takes, from everybody.
+	// MemberConnections is the maximum number of connections to each member, over all clients.
 	MemberConnections int
 }
 
-// Database is a name that callers connect to.
+// Database is a database name that callers connect to.
 type Database struct {
 	Name, Group string
 	Class       document.ReadClass
-	// Public says that callers need no key.
+	// Public means that callers need no key.
 	Public bool
 }
 
-// Decoder reads what the platform's operator and the members write. An error means
-// that the object names nothing to use.
+// Decoder decodes the objects written by the platform operator and by the members. An error
+// means that the object is invalid and must be ignored.
 type Decoder interface {
 	Manifest(o platform.Object) (Manifest, error)
 	Upstream(o platform.Object) (platform.Upstream, error)
--- /dev/null
+++ b/internal/directory/membertable.go
@@ -0,0 +1,142 @@
+package directory
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/topazrock/topazrock/internal/platform"
+)
+
+// missingGrace is how long a missing entry still counts. Members that are alive write their
+// entries again within about two seconds of the platform's return; an entry that is still
+// missing after that is removed.
+const missingGrace = 2500 * time.Millisecond
+
+// memberTable holds the members' entries. It does no I/O and is guarded by Directory.mu.
+type memberTable struct {
+	entries map[string]*memberEntry
+	// platformReachable reports whether the platform answers, reachableSince since when.
+	platformReachable bool
+	reachableSince    time.Time
+}
+
+type memberEntry struct {
+	upstream platform.Upstream
+	revision int64
+	// missingSince is when the entry was found missing; zero while it exists.
+	missingSince time.Time
+}
+
+func newMemberTable() *memberTable { return &memberTable{entries: make(map[string]*memberEntry)} }
+
+// update stores a member's entry, unless its revision is older than the stored one, and reports
+// whether anything changed.
+func (t *memberTable) update(u platform.Upstream, revision int64) bool {
+	e := t.entries[u.ID]
+	if e != nil && revision < e.revision {
+		return false
+	}
+	changed := e == nil || e.upstream != u || !e.missingSince.IsZero()
+	t.entries[u.ID] = &memberEntry{upstream: u, revision: revision}
+	return changed
+}
+
+// markMissing records that a member's entry no longer exists.
+func (t *memberTable) markMissing(id string, now time.Time) {
+	if e := t.entries[id]; e != nil && e.missingSince.IsZero() {
+		e.missingSince = now
+	}
+}
+
+// markMissingExcept records that all entries but those listed no longer exist.
+func (t *memberTable) markMissingExcept(listed map[string]bool, now time.Time) {
+	for id := range t.entries {
+		if !listed[id] {
+			t.markMissing(id, now)
+		}
+	}
+}
+
+// setPlatformReachable records whether the platform answers.
+func (t *memberTable) setPlatformReachable(reachable bool, now time.Time) {
+	if reachable && !t.platformReachable {
+		t.reachableSince = now
+	}
+	t.platformReachable = reachable
+}
+
+// isRemoved reports whether an entry no longer counts. No entry is considered removed while the
+// platform is unreachable, because nothing new is known then. Otherwise an entry is removed
+// once it has been missing, with the platform reachable, for longer than missingGrace, or at
+// once if its member left cleanly.
+func (t *memberTable) isRemoved(e *memberEntry, now time.Time) bool {
+	if e.missingSince.IsZero() || !t.platformReachable {
+		return false
+	}
+	if e.leftCleanly(t.reachableSince) {
+		return true
+	}
+	since := e.missingSince
+	if t.reachableSince.After(since) {
+		since = t.reachableSince
+	}
+	return now.Sub(since) > missingGrace
+}
+
+// leftCleanly reports whether the entry is missing because its member left: the entry was
+// marked as leaving, and the platform had been reachable for longer than missingGrace, so that
+// the entry did not expire in an outage. A grace period would count the departed member
+// together with its replacement, so that one more failure in the group would leave no majority.
+func (e *memberEntry) leftCleanly(reachableSince time.Time) bool {
+	return e.upstream.Leaving && e.missingSince.Sub(reachableSince) > missingGrace
+}
+
+// present returns the members that are not removed, ordered by address. Where several entries
+// have the same address, it returns the one that supersedes the others.
+func (t *memberTable) present(now time.Time) []platform.Upstream {
+	latest := make(map[string]*memberEntry)
+	for _, e := range t.entries {
+		if t.isRemoved(e, now) {
+			continue
+		}
+		best := latest[e.upstream.Address]
+		if best == nil || e.supersedes(best) {
+			latest[e.upstream.Address] = e
+		}
+	}
+	var list []platform.Upstream
+	for _, e := range latest {
+		list = append(list, e.upstream)
+	}
+	slices.SortFunc(list, func(a, b platform.Upstream) int { return cmp.Compare(a.Address, b.Address) })
+	return list
+}
+
+// supersedes reports whether e replaces other at their common address: an existing entry
+// replaces a missing one, a member that stays replaces one that leaves, and a higher revision
+// replaces a lower one, in this order of precedence.
+func (e *memberEntry) supersedes(other *memberEntry) bool {
+	if e.missingSince.IsZero() != other.missingSince.IsZero() {
+		return e.missingSince.IsZero()
+	}
+	if e.upstream.Leaving != other.upstream.Leaving {
+		return other.upstream.Leaving
+	}
+	return e.revision > other.revision
+}
+
+// pruneRemoved deletes removed entries and reports whether any missing entry is still within
+// its grace period. It stops at the first such entry.
+func (t *memberTable) pruneRemoved(now time.Time) bool {
+	for id, e := range t.entries {
+		if e.missingSince.IsZero() {
+			continue
+		}
+		if !t.isRemoved(e, now) {
+			return true
+		}
+		delete(t.entries, id)
+	}
+	return false
+}
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what a Directory learns.
+// Metrics counts invalid workspaces and keys in manifests.
 type Metrics struct{ workspaceFaults prometheus.Counter }
 
-// NewMetrics makes the counters and registers them; r may be nil.
+// NewMetrics creates the metrics and registers them with r unless r is nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{workspaceFaults: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "topazrock_workspace_faults_total",
--- a/internal/directory/sinks.go
+++ b/internal/directory/sinks.go
@@ -2,7 +2,7 @@
 
 import "github.com/topazrock/topazrock/internal/platform"
 
-// manifestSink takes what the watch of the manifest brings.
+// manifestSink receives changes of the manifest.
 type manifestSink struct{ d *Directory }
 
 // Listed implements objectwatch.Sink.
@@ -11,15 +11,16 @@
 // Changed implements objectwatch.Sink.
 func (s manifestSink) Changed(objects []platform.Object) {
 	for _, o := range objects {
-		s.d.adoptManifest(o)
+		s.d.applyManifest(o)
 	}
 	s.d.publish()
 }
 
-// Touch implements objectwatch.Sink. A manifest stays in force without touch.
+// Touch implements objectwatch.Sink. It does nothing: a manifest stays in force while the
+// platform is unreachable.
 func (manifestSink) Touch(bool) {}
 
-// upstreamSink takes what the watch of the members' entries brings.
+// upstreamSink receives changes of the members' entries.
 type upstreamSink struct{ d *Directory }
 
 // Listed implements objectwatch.Sink.
@@ -28,10 +29,10 @@
 	listed := make(map[string]bool, len(objects))
 	for _, o := range objects {
 		listed[o.Name] = true
-		s.d.adoptEntry(o, now)
+		s.d.applyMember(o, now)
 	}
 	s.d.mu.Lock()
-	s.d.roster.keepOnly(listed, now)
+	s.d.members.markMissingExcept(listed, now)
 	s.d.mu.Unlock()
 	s.d.publish()
 }
@@ -40,14 +41,14 @@
 func (s upstreamSink) Changed(objects []platform.Object) {
 	now := s.d.config.Clock.Now()
 	for _, o := range objects {
-		s.d.adoptEntry(o, now)
+		s.d.applyMember(o, now)
 	}
 	s.d.publish()
 }
 
 // Touch implements objectwatch.Sink.
-func (s upstreamSink) Touch(inTouch bool) {
+func (s upstreamSink) Touch(reachable bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
-	s.d.roster.touch(inTouch, s.d.config.Clock.Now())
+	s.d.members.setPlatformReachable(reachable, s.d.config.Clock.Now())
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -9,79 +9,81 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// Limits that the manifest leaves to the product.
+// Limits that the manifest does not set.
 const (
-	// confirmTimeout bounds the wait for a replica's confirmation: several times a
-	// usual lag, and well within a caller's time.
+	// confirmTimeout bounds the wait for a replica's confirmation: several times the usual
+	// replication lag, and well below the callers' timeouts.
 	confirmTimeout = time.Second
-	// answerBuffer holds a whole answer; the line protocol bounds it to a megabyte.
+	// answerBuffer holds a complete response; the line protocol limits a response to one
+	// megabyte.
 	answerBuffer = 2 << 20
-	// maxQueue bounds each class's queue on one instance.
+	// maxQueue is the maximum queue length of each class on one instance.
 	maxQueue = 1000
-	// requestTimeout bounds what no class states a time for.
+	// requestTimeout applies to requests whose class sets no timeout.
 	requestTimeout = 5 * time.Second
 )
 
-// view is the directory at one moment. It is never changed after it was published.
+// view is an immutable snapshot of the directory.
 type view struct {
-	// manifest counts the manifests that were in force, this one included, and present are
-	// the members' entries in the order of their addresses; the rest follows from both.
-	manifest int
-	present  []platform.Upstream
-
-	version   int64
-	known     bool
-	services  map[string]*document.Service
-	databases map[string]document.Database
-	// workspaces is shared by the views of one manifest.
+	// manifestCount is the number of manifests applied so far, and present holds the members'
+	// entries ordered by address; all other fields are derived from the manifest and present.
+	manifestCount int
+	present       []platform.Upstream
+
+	version       int64
+	manifestKnown bool
+	services      map[string]*document.Service
+	databases     map[string]document.Database
+	// workspaces is shared by all views of the same manifest.
 	workspaces *workspace.Table
 	upstreams  map[string]platform.Upstream
-	// leaving holds the addresses of members that leave.
+	// leaving contains each member's address and is true for members that are leaving.
 	leaving map[string]bool
 }
 
 func emptyView() *view { return &view{} }
 
-// build makes the view of the present state behind an earlier one. A group whose entries are the
-// same keeps its service: a member of one group of hundreds changes often. It runs under the lock.
-func (d *Directory) build(old *view, present []platform.Upstream) *view {
+// buildView builds the view of the current state. A group whose entries have not changed under
+// the same manifest keeps its service from the previous view: with hundreds of groups, changes
+// of a single member are frequent. The caller holds d.mu.
+func (d *Directory) buildView(previous *view, present []platform.Upstream) *view {
 	v := &view{
-		manifest:   d.manifests,
-		present:    present,
-		version:    d.manifest.Version,
-		known:      d.known,
-		services:   make(map[string]*document.Service, len(d.manifest.Groups)),
-		databases:  old.databases,
-		workspaces: d.manifest.Workspaces,
-		upstreams:  make(map[string]platform.Upstream, len(present)),
-		leaving:    make(map[string]bool, len(present)),
+		manifestCount: d.manifestCount,
+		present:       present,
+		version:       d.manifest.Version,
+		manifestKnown: d.manifestKnown,
+		services:      make(map[string]*document.Service, len(d.manifest.Groups)),
+		databases:     previous.databases,
+		workspaces:    d.manifest.Workspaces,
+		upstreams:     make(map[string]platform.Upstream, len(present)),
+		leaving:       make(map[string]bool, len(present)),
 	}
 	for _, u := range present {
 		v.upstreams[u.Address] = u
 		v.leaving[u.Address] = u.Leaving
 	}
-	before, now := byGroup(old.present), byGroup(present)
-	kept := old.manifest == v.manifest
-	made := make(map[string]*document.Service)
+	oldMembers, newMembers := groupUpstreams(previous.present), groupUpstreams(present)
+	sameManifest := previous.manifestCount == v.manifestCount
+	rebuilt := make(map[string]*document.Service)
 	for _, g := range d.manifest.Groups {
-		s := old.services[g.Name]
-		if !kept || !slices.Equal(before[g.Name], now[g.Name]) {
-			s = d.service(g, now[g.Name])
-			made[g.Name] = s
+		s := previous.services[g.Name]
+		if !sameManifest || !slices.Equal(oldMembers[g.Name], newMembers[g.Name]) {
+			s = d.newService(g, newMembers[g.Name])
+			rebuilt[g.Name] = s
 		}
 		if s != nil {
 			v.services[g.Name] = s
 		}
 	}
-	d.addClasses(made)
-	if !kept {
-		v.databases = d.databases()
+	d.addReadClasses(rebuilt)
+	if !sameManifest {
+		v.databases = d.indexDatabases()
 	}
 	return v
 }
 
-// byGroup parts entries by their groups.
-func byGroup(entries []platform.Upstream) map[string][]platform.Upstream {
+// groupUpstreams partitions entries by database group.
+func groupUpstreams(entries []platform.Upstream) map[string][]platform.Upstream {
 	groups := make(map[string][]platform.Upstream)
 	for _, u := range entries {
 		groups[u.Group] = append(groups[u.Group], u)
@@ -89,22 +91,22 @@
 	return groups
 }
 
-// addClasses adds the classes of the databases to new services.
-func (d *Directory) addClasses(made map[string]*document.Service) {
+// addReadClasses adds the read classes of the databases to rebuilt services and indexes them.
+func (d *Directory) addReadClasses(rebuilt map[string]*document.Service) {
 	for _, b := range d.manifest.Databases {
-		if s := made[b.Group]; s != nil {
+		if s := rebuilt[b.Group]; s != nil {
 			s.Reads = append(s.Reads, b.Class)
 		}
 	}
-	for _, s := range made {
+	for _, s := range rebuilt {
 		if s != nil {
 			s.Index()
 		}
 	}
 }
 
-// databases returns the databases of the manifest by name.
-func (d *Directory) databases() map[string]document.Database {
+// indexDatabases returns the databases of the manifest by name.
+func (d *Directory) indexDatabases() map[string]document.Database {
 	all := make(map[string]document.Database, len(d.manifest.Databases))
 	for _, b := range d.manifest.Databases {
 		all[b.Name] = document.Database{Name: b.Name, Group: b.Group, Class: b.Class.Name, Public: b.Public}
@@ -112,8 +114,8 @@
 	return all
 }
 
-// service makes the service of a group; nil if it has no members.
-func (d *Directory) service(g Group, present []platform.Upstream) *document.Service {
+// newService returns the service of a group, or nil if the group has no members.
+func (d *Directory) newService(g Group, present []platform.Upstream) *document.Service {
 	if len(present) == 0 {
 		return nil
 	}
@@ -128,8 +130,8 @@
 		Groups: []document.Group{{
 			Name: g.Name, Members: members, Slots: slots,
 			Connections: g.MemberConnections * len(members), MemberConnections: g.MemberConnections,
-			// A majority must not shrink because entries lapse: two instances that see
-			// different remainders of a group would each fence a majority of their own.
+			// The majority must not shrink when entries expire: two instances that see
+			// different subsets of a group could each fence a majority of their own.
 			Size: document.MinMembers,
 		}},
 		Limits: document.Limits{
@@ -143,7 +145,7 @@
 	}
 }
 
-// Services returns the service of each group with the manifest's version.
+// Services returns the service of each group that has members, and the manifest's version.
 func (d *Directory) Services() ([]*document.Service, int64) {
 	v := d.current.Load()
 	var all []*document.Service
@@ -153,22 +155,22 @@
 	return all, v.version
 }
 
-// FindService returns the service that names the group.
+// FindService returns the service of a group.
 func (d *Directory) FindService(group string) (*document.Service, bool) {
 	s, ok := d.current.Load().services[group]
 	return s, ok
 }
 
-// FindDatabase returns the database of a name.
+// FindDatabase returns the database with a name.
 func (d *Directory) FindDatabase(name string) (document.Database, bool) {
 	b, ok := d.current.Load().databases[name]
 	return b, ok
 }
 
-// Workspaces returns the workspaces in force; nil where callers need no key.
+// Workspaces returns the workspaces in force, or nil if callers need no key.
 func (d *Directory) Workspaces() *workspace.Table { return d.current.Load().workspaces }
 
-// FindMember returns who is expected at an address of a group.
+// FindMember returns the ID of the member expected at an address of a group.
 func (d *Directory) FindMember(group, address string) (string, bool) {
 	u, ok := d.current.Load().upstreams[address]
 	if !ok || u.Group != group {
@@ -177,11 +179,11 @@
 	return u.ID, true
 }
 
-// Leaving reports whether a member is to get no new work.
+// Leaving reports whether the member at an address is leaving and must get no new work.
 func (d *Directory) Leaving(address string) bool { return d.current.Load().leaving[address] }
 
-// Leader returns the address of the member of a group that takes itself for the
-// primary; empty if none or several do.
+// Leader returns the address of the group's member that reports itself as primary, or an empty
+// string if none or several do.
 func (d *Directory) Leader(group string) string {
 	leader := ""
 	for address, u := range d.current.Load().upstreams {
@@ -196,8 +198,8 @@
 	return leader
 }
 
-// Ready reports whether the manifest is known and every group has members.
+// Ready reports whether a manifest is in force and at least one group has members.
 func (d *Directory) Ready() bool {
 	v := d.current.Load()
-	return v.known && len(v.services) > 0
+	return v.manifestKnown && len(v.services) > 0
 }
