--- a/internal/relaytree/tree_test.go
+++ b/internal/relaytree/tree_test.go
@@ -17,7 +17,7 @@
 	return append(list, platform.Instance{ID: "elsewhere", FailureDomain: "b"})
 }
 
-func TestEveryInstanceIsReachedOnce(t *testing.T) {
+func TestEveryInstanceHasOneParent(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 10, 100, 300} {
 		is := is.New(t)
 		all := instances(n)
