--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -3,11 +3,10 @@
 import "errors"
 
 var (
-	// errEmptyList says that a list named no instance where the one in use names
-	// some.
-	errEmptyList = errors.New("membership: the list names no instance")
-	// errOlderList says that the list in use is from a later reading.
-	errOlderList = errors.New("membership: the list is older than the one in use")
+	// errEmptyList means that a list is empty while the one in use is not.
+	errEmptyList = errors.New("membership: list is empty")
+	// errOlderList means that the list in use was read later.
+	errOlderList = errors.New("membership: list is older than the one in use")
 	errNoList    = errors.New("membership: the peer has no list")
 	errNoPeers   = errors.New("membership: no peer is known")
 )
--- a/internal/membership/handlers.go
+++ b/internal/membership/handlers.go
@@ -8,7 +8,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-func (m *Members) register() {
+func (m *Members) registerHandlers() {
 	if m.options.Registry == nil {
 		return
 	}
@@ -21,7 +21,7 @@
 	})
 	m.options.Registry.Handle(methodChanged, func(context.Context, string, json.RawMessage) (any, error) {
 		select {
-		case m.wake <- struct{}{}:
+		case m.changeNotified <- struct{}{}:
 		default:
 		}
 		return changedParams{}, nil
@@ -30,35 +30,35 @@
 
 func (m *Members) answerPull(p pullParams) pullReply {
 	m.mu.Lock()
-	held := m.held
+	current := m.list
 	m.mu.Unlock()
-	if held.readAt.IsZero() {
-		return pullReply{None: true}
+	if current.readAt.IsZero() {
+		return pullReply{NoList: true}
 	}
-	r := pullReply{AgeMS: m.options.Clock.Now().Sub(held.readAt).Milliseconds(), Same: held.root == p.Root}
-	if r.Same || len(p.Sums) != partCount {
+	r := pullReply{AgeMS: m.options.Clock.Now().Sub(current.readAt).Milliseconds(), Same: current.checksum == p.Checksum}
+	if r.Same || len(p.PartChecksums) != partCount {
 		return r
 	}
 	differs := make(map[int]bool)
-	for part, sum := range p.Sums {
-		if sum != held.sums[part] {
+	for part, sum := range p.PartChecksums {
+		if sum != current.partChecksums[part] {
 			differs[part] = true
 			r.Parts = append(r.Parts, part)
 		}
 	}
-	for _, i := range held.instances {
-		if differs[partOf(i.ID)] {
+	for _, i := range current.instances {
+		if differs[partIndex(i.ID)] {
 			r.Instances = append(r.Instances, i)
 		}
 	}
-	r.Leaving = held.leaving
+	r.Leaving = current.leaving
 	return r
 }
 
-// age returns how long ago the platform gave the list in use; false when there
-// is none.
-func (m *Members) age() (time.Duration, bool) {
+// listAge returns the time since the platform returned the list in use, or false if there is no
+// list.
+func (m *Members) listAge() (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.options.Clock.Now().Sub(m.held.readAt), !m.held.readAt.IsZero()
+	return m.options.Clock.Now().Sub(m.list.readAt), !m.list.readAt.IsZero()
 }
--- a/internal/membership/homecounts.go
+++ b/internal/membership/homecounts.go
@@ -2,19 +2,19 @@
 
 import "maps"
 
-// homeCounts is how many homes groups have in each failure domain.
+// homeCounts is the number of homes in each failure domain, by group.
 type homeCounts struct {
-	usual   int
-	byGroup map[string]int
+	defaultCount int
+	byGroup      map[string]int
 }
 
-func (c homeCounts) of(group string) int {
+func (c homeCounts) forGroup(group string) int {
 	if n, ok := c.byGroup[group]; ok {
 		return n
 	}
-	return c.usual
+	return c.defaultCount
 }
 
-func (c homeCounts) same(o homeCounts) bool {
-	return c.usual == o.usual && maps.Equal(c.byGroup, o.byGroup)
+func (c homeCounts) equal(other homeCounts) bool {
+	return c.defaultCount == other.defaultCount && maps.Equal(c.byGroup, other.byGroup)
 }
--- a/internal/membership/adopt_test.go
+++ b/internal/membership/homecounts_test.go
@@ -8,13 +8,13 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// The number of homes becomes known after the instances. Groups that were asked for
-// before must get as many homes as the rest, or their statements take a hop for ever.
-func TestNumberOfHomesHoldsForGroupsAskedForBefore(t *testing.T) {
+// The number of homes is set after the instances. Groups whose homes are already cached must
+// get the new number too, or their statements would permanently take an additional hop.
+func TestSetHomeCountsUpdatesCachedGroups(t *testing.T) {
 	is := is.New(t)
-	all := fleet(9)
+	all := newInstances(9)
 	m := newMembers(&listAPI{list: platform.Inventory{Instances: all}}, all[3], 1)
-	m.Adopt(all)
+	m.SetInstances(all)
 	before := len(m.Homes("g"))
 	is.True(before < len(all))
 	changed := 0
--- a/internal/membership/homes.go
+++ b/internal/membership/homes.go
@@ -2,27 +2,27 @@
 
 import "github.com/topazrock/topazrock/internal/platform"
 
-// Homes returns the home instances of a group, those of this instance's
-// failure domain first. The result must not be changed.
+// Homes returns the home instances of a group, those in this instance's failure domain first.
+// The result must not be modified.
 func (m *Members) Homes(group string) []platform.Instance {
 	return m.current.Load().homesOf(group).nearest
 }
 
-// HomesRanked returns the same instances in an order that is the same on every
-// instance with the same view, so that they can take turns. The result must
-// not be changed.
+// HomesRanked returns the same instances in an order that is the same on every instance with
+// the same view, so that all instances agree on how they take turns. The result must not be
+// modified.
 func (m *Members) HomesRanked(group string) []platform.Instance {
 	return m.current.Load().homesOf(group).ranked
 }
 
-// IsHome reports whether this instance is home to a group.
-func (m *Members) IsHome(group string) bool { return m.current.Load().homesOf(group).self }
+// IsHome reports whether this instance is a home of a group.
+func (m *Members) IsHome(group string) bool { return m.current.Load().homesOf(group).includesSelf }
 
-// Pick returns n instances of each failure domain for a duty, all of them
-// where a failure domain has no more. Duties with different keys fall on
-// different instances.
-func (m *Members) Pick(duty string, n int) []platform.Instance {
-	return instancesOf(pick(duty, m.current.Load().domains, n))
+// Pick returns n instances of each failure domain for a task identified by key, or all
+// instances of a failure domain with fewer. Tasks with different keys are spread over different
+// instances.
+func (m *Members) Pick(key string, n int) []platform.Instance {
+	return instancesOf(pickPerDomain(key, m.current.Load().domains, n))
 }
 
 func (s *snapshot) homesOf(group string) *homeSet {
@@ -39,8 +39,9 @@
 	return h
 }
 
-// distance is 0 for this instance, 1 inside its failure domain, else 2.
-func (s *snapshot) distance(i platform.Instance) int {
+// locality returns 0 for this instance, 1 for others in its failure domain, and 2 for all
+// others.
+func (s *snapshot) locality(i platform.Instance) int {
 	switch {
 	case i.ID == s.self.ID:
 		return 0
--- a/internal/membership/homeset.go
+++ b/internal/membership/homeset.go
@@ -6,20 +6,21 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// homeSet holds the homes of one group in both orders.
+// homeSet holds the homes of one group: scored and ranked are ordered by score, nearest by
+// locality.
 type homeSet struct {
-	scored  []ranked
-	ranked  []platform.Instance
-	nearest []platform.Instance
-	self    bool
+	scored       []scoredInstance
+	ranked       []platform.Instance
+	nearest      []platform.Instance
+	includesSelf bool
 }
 
 func (s *snapshot) newHomeSet(group string) *homeSet {
-	h := &homeSet{scored: pick(group, s.domains, s.counts.of(group))}
+	h := &homeSet{scored: pickPerDomain(group, s.domains, s.homeCounts.forGroup(group))}
 	h.ranked = instancesOf(h.scored)
 	h.nearest = slices.Clone(h.ranked)
-	slices.SortStableFunc(h.nearest, func(a, b platform.Instance) int { return s.distance(a) - s.distance(b) })
-	h.self = h.contains(s.self.ID)
+	slices.SortStableFunc(h.nearest, func(a, b platform.Instance) int { return s.locality(a) - s.locality(b) })
+	h.includesSelf = h.contains(s.self.ID)
 	return h
 }
 
@@ -27,18 +28,18 @@
 	return slices.ContainsFunc(h.ranked, func(i platform.Instance) bool { return i.ID == id })
 }
 
-// admits reports whether an instance that joins becomes one of the homes.
-func (h *homeSet) admits(group string, joining platform.Instance, perFailureDomain int) bool {
-	r := ranked{instance: joining, score: score(group, joining.ID)}
-	peers := 0
+// admitsJoining reports whether a joining instance becomes one of the homes.
+func (h *homeSet) admitsJoining(group string, joining platform.Instance, perFailureDomain int) bool {
+	r := scoredInstance{instance: joining, score: rendezvousScore(group, joining.ID)}
+	inDomain := 0
 	for _, other := range h.scored {
 		if other.instance.FailureDomain != joining.FailureDomain {
 			continue
 		}
-		if before(r, other) < 0 {
+		if compareScores(r, other) < 0 {
 			return true
 		}
-		peers++
+		inDomain++
 	}
-	return peers < perFailureDomain
+	return inDomain < perFailureDomain
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -12,30 +12,30 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// partCount is how many parts the sums of a list are made of. With 7,400
-// instances a part has some 115 entries, so that one changed entry costs about
-// 20 KB to pass on and not a megabyte.
+// partCount is the number of parts of a list that have their own checksum. With 7,400
+// instances, a part has about 115 entries, so that transferring one changed entry takes about
+// 20 KB instead of a megabyte.
 const partCount = 64
 
-// sums holds one sum for each part of a list's instances.
-type sums [partCount]uint64
+// partChecksums holds one checksum for each part of a list's instances.
+type partChecksums [partCount]uint64
 
-// list is what the platform said of machines, with the upstreams that stay
-// left out.
+// list is the platform's list of instances and of leaving upstreams. Upstreams that are not
+// leaving are omitted.
 type list struct {
-	// instances are ordered by ID, leaving ones included.
+	// instances are ordered by ID and include leaving instances.
 	instances []platform.Instance
-	// leaving are the addresses of leaving upstreams, in order.
+	// leaving are the sorted addresses of leaving upstreams.
 	leaving []string
-	// readAt is when the platform gave the list, by this instance's clock; zero
-	// when there is no list yet.
-	readAt time.Time
-	sums   sums
-	root   uint64
+	// readAt is when the platform returned the list, according to this instance's clock; zero
+	// if there is no list yet.
+	readAt        time.Time
+	partChecksums partChecksums
+	checksum      uint64
 }
 
-// newList orders an inventory and drops what nobody here needs. Of two entries
-// of one ID the later counts.
+// newList returns the list of the instances and leaving upstreams. Of several entries with the
+// same ID, the last one is used.
 func newList(instances []platform.Instance, leaving []string, readAt time.Time) list {
 	l := list{instances: slices.Clone(instances), leaving: slices.Clone(leaving), readAt: readAt}
 	slices.SortStableFunc(l.instances, func(a, b platform.Instance) int { return cmp.Compare(a.ID, b.ID) })
@@ -45,19 +45,19 @@
 	slices.Sort(l.leaving)
 	l.leaving = slices.Compact(l.leaving)
 	for _, i := range l.instances {
-		l.sums[partOf(i.ID)] ^= sumOf(i)
+		l.partChecksums[partIndex(i.ID)] ^= instanceChecksum(i)
 	}
-	l.root = xxhash.Sum64String(fmt.Sprint(l.sums) + strings.Join(l.leaving, " "))
+	l.checksum = xxhash.Sum64String(fmt.Sprint(l.partChecksums) + strings.Join(l.leaving, " "))
 	return l
 }
 
-func partOf(id string) int { return int(xxhash.Sum64String(id) % partCount) }
+func partIndex(id string) int { return int(xxhash.Sum64String(id) % partCount) }
 
-func sumOf(i platform.Instance) uint64 {
+func instanceChecksum(i platform.Instance) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%s\x00%s\x00%t", i.ID, i.FailureDomain, i.PeerAddress, i.AdminAddress, i.Leaving))
 }
 
-func leavingOf(upstreams []platform.Upstream) []string {
+func leavingAddresses(upstreams []platform.Upstream) []string {
 	var leaving []string
 	for _, u := range upstreams {
 		if u.Leaving {
@@ -67,12 +67,12 @@
 	return leaving
 }
 
-// merge returns the list with the entries of some parts replaced.
-func (l *list) merge(r pullReply, readAt time.Time) list {
+// mergeReply returns a list in which the parts in a reply replace those of l.
+func (l *list) mergeReply(r pullReply, readAt time.Time) list {
 	replaced := make(map[int]bool, len(r.Parts))
 	for _, p := range r.Parts {
 		replaced[p] = true
 	}
-	instances := slices.DeleteFunc(slices.Clone(l.instances), func(i platform.Instance) bool { return replaced[partOf(i.ID)] })
+	instances := slices.DeleteFunc(slices.Clone(l.instances), func(i platform.Instance) bool { return replaced[partIndex(i.ID)] })
 	return newList(append(instances, r.Instances...), r.Leaving, readAt)
 }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -15,7 +15,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// listAPI is a platform of which only the instance list is used.
+// listAPI is a platform that provides only the instance list.
 type listAPI struct {
 	platform.API
 	mu    sync.Mutex
@@ -24,7 +24,7 @@
 	calls int
 }
 
-func (a *listAPI) count() int {
+func (a *listAPI) callCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
@@ -43,7 +43,7 @@
 	a.list, a.err = list, err
 }
 
-func fleet(n int) []platform.Instance {
+func newInstances(n int) []platform.Instance {
 	domains := []string{"poa-a", "poa-b", "fln-c"}
 	var list []platform.Instance
 	for i := range n {
@@ -59,7 +59,7 @@
 
 func TestSelfIsLiveBeforeItIsListed(t *testing.T) {
 	is := is.New(t)
-	all := fleet(4)
+	all := newInstances(4)
 	m := newMembers(&listAPI{list: platform.Inventory{Instances: all[:3]}}, all[3], 2)
 	is.True(m.IsHome("orders"))
 	is.NoErr(m.Refresh(context.Background()))
@@ -72,12 +72,12 @@
 	is.True(!m.IsHome("orders"))
 }
 
-// The platform lists an upstream as leaving. Within two seconds this instance
-// must know, so that the upstream gets no new work.
+// The platform lists an upstream as leaving. This instance must see it within two seconds, so
+// that the upstream gets no new work.
 func TestLeavingUpstreamIsKnownWithinTwoSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		all := fleet(3)
+		all := newInstances(3)
 		api := &listAPI{list: platform.Inventory{Instances: all}}
 		m := newMembers(api, all[0], 1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -98,12 +98,12 @@
 	})
 }
 
-// The platform goes down and comes back listing nobody, as after a restart.
-// Callers notice nothing: the last good list stays in use throughout, and with
-// it the homes of each group.
-func TestLastGoodListOutlivesAnOutage(t *testing.T) {
+// The platform fails and then returns an empty list, as after a restart. The last good list
+// must stay in use throughout, and with it the homes of each group, so that callers notice
+// nothing.
+func TestLastGoodListSurvivesOutage(t *testing.T) {
 	is := is.New(t)
-	all := fleet(6)
+	all := newInstances(6)
 	api := &listAPI{list: platform.Inventory{Instances: all, Upstreams: []platform.Upstream{{Address: "u", Leaving: true}}}}
 	m := newMembers(api, all[0], 1)
 	is.NoErr(m.Refresh(t.Context()))
@@ -118,7 +118,7 @@
 
 func TestHomesPerFailureDomain(t *testing.T) {
 	is := is.New(t)
-	all := fleet(8)
+	all := newInstances(8)
 	api := &listAPI{list: platform.Inventory{Instances: all}}
 	views := make([]*Members, len(all))
 	for i := range all {
@@ -140,13 +140,13 @@
 	}
 }
 
-// One instance of thirty leaves. Only the groups it was home to move; all
-// others keep their homes, so a departure starts no wave of reconnections.
-func TestDepartureMovesOnlyItsOwnGroups(t *testing.T) {
+// One instance of thirty leaves. Only the groups it was a home of may move; all others must
+// keep their homes, so that a departure causes no wave of reconnections.
+func TestDepartureMovesOnlyAffectedGroups(t *testing.T) {
 	is := is.New(t)
-	all := fleet(30)
-	before := newSnapshot(all[0], newList(all, nil, time.Time{}), homeCounts{usual: 2})
-	after := newSnapshot(all[0], newList(all[:29], nil, time.Time{}), homeCounts{usual: 2})
+	all := newInstances(30)
+	before := newSnapshot(all[0], newList(all, nil, time.Time{}), homeCounts{defaultCount: 2})
+	after := newSnapshot(all[0], newList(all[:29], nil, time.Time{}), homeCounts{defaultCount: 2})
 	for g := range 500 {
 		group := fmt.Sprintf("group-%d", g)
 		old := before.homesOf(group).ranked
@@ -173,13 +173,12 @@
 	return false
 }
 
-// Instances join, leave and change one after another while homes are asked
-// for. Homes that were carried over from an older view must be those that the
-// new view gives when it is worked out from nothing.
-func TestCarriedHomesAreRight(t *testing.T) {
+// Instances join, leave and change repeatedly while homes are requested. Homes reused from an
+// older snapshot must equal those computed from scratch.
+func TestReusedHomesMatchRecomputedHomes(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(7, 7))
-	all := fleet(40)
+	all := newInstances(40)
 	api := &listAPI{list: platform.Inventory{Instances: all}}
 	m := newMembers(api, all[0], 2)
 	for range 200 {
@@ -192,19 +191,19 @@
 		}
 		api.set(platform.Inventory{Instances: listed}, nil)
 		is.NoErr(m.Refresh(t.Context()))
-		fresh := newSnapshot(all[0], newList(listed, nil, time.Time{}), homeCounts{usual: 2})
+		fresh := newSnapshot(all[0], newList(listed, nil, time.Time{}), homeCounts{defaultCount: 2})
 		for g := range 30 {
 			group := fmt.Sprintf("group-%d", g)
 			is.Equal(m.HomesRanked(group), fresh.homesOf(group).ranked)
 			is.Equal(m.Homes(group), fresh.homesOf(group).nearest)
-			is.Equal(m.IsHome(group), fresh.homesOf(group).self)
+			is.Equal(m.IsHome(group), fresh.homesOf(group).includesSelf)
 		}
 	}
 }
 
-func TestSubscribersHearChangesOnly(t *testing.T) {
+func TestSubscribersAreCalledOnChangesOnly(t *testing.T) {
 	is := is.New(t)
-	all := fleet(3)
+	all := newInstances(3)
 	api := &listAPI{list: platform.Inventory{Instances: all}}
 	m := newMembers(api, all[0], 1)
 	calls := 0
@@ -214,12 +213,12 @@
 	is.Equal(calls, 1)
 }
 
-// BenchmarkHomes finds the homes of one group that is not cached.
+// BenchmarkHomes computes the homes of one group that is not cached.
 func BenchmarkHomes(b *testing.B) {
 	for _, n := range []int{100, 1000, 7400} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
-			all := fleet(n)
-			s := newSnapshot(all[0], newList(all, nil, time.Time{}), homeCounts{usual: 1})
+			all := newInstances(n)
+			s := newSnapshot(all[0], newList(all, nil, time.Time{}), homeCounts{defaultCount: 1})
 			for b.Loop() {
 				s.newHomeSet("orders-1")
 			}
@@ -227,21 +226,21 @@
 	}
 }
 
-// BenchmarkChange takes in a list in which one instance has left and another
-// has joined, with the homes of 15,000 groups known.
+// BenchmarkChange applies a list in which one instance has left and another has joined, with
+// the homes of 15,000 groups cached.
 func BenchmarkChange(b *testing.B) {
 	const groups = 15_000
 	for _, n := range []int{100, 1000, 7400} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
-			all := fleet(n + 1)
+			all := newInstances(n + 1)
 			lists := []list{newList(all[:n], nil, time.Time{}), newList(all[1:], nil, time.Time{})}
-			s := newSnapshot(all[1], lists[0], homeCounts{usual: 1})
+			s := newSnapshot(all[1], lists[0], homeCounts{defaultCount: 1})
 			for g := range groups {
 				s.homesOf(fmt.Sprintf("group-%d", g))
 			}
 			for i := 0; b.Loop(); i++ {
-				next := newSnapshot(all[1], lists[(i+1)%2], homeCounts{usual: 1})
-				next.carry(s)
+				next := newSnapshot(all[1], lists[(i+1)%2], homeCounts{defaultCount: 1})
+				next.reuseHomes(s)
 				for g := range groups {
 					next.homesOf(fmt.Sprintf("group-%d", g))
 				}
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -2,34 +2,33 @@
 
 import "github.com/topazrock/topazrock/internal/platform"
 
-// Methods that peers call.
+// Peer call methods.
 const (
 	methodPull    = "membership.pull"
 	methodChanged = "membership.changed"
 )
 
-// pullParams say what the caller has: one sum over all, and on the second call
-// the sum of each part.
+// pullParams describe the requester's list: the checksum of the whole list and, in the second
+// call, the checksum of each part.
 type pullParams struct {
-	Root uint64   `json:"root"`
-	Sums []uint64 `json:"sums,omitempty"`
+	Checksum      uint64   `json:"root"`
+	PartChecksums []uint64 `json:"sums,omitempty"`
 }
 
-// pullReply is the answerer's list as far as it differs.
+// pullReply describes the responder's list where it differs from the requester's.
 type pullReply struct {
-	// None says that the answerer has no list.
-	None bool `json:"none,omitempty"`
-	// AgeMS is how long ago the platform gave the answerer's list, in
-	// milliseconds. Ages are passed on instead of times, because the clocks of
-	// two instances need not agree.
+	// NoList means that the responder has no list.
+	NoList bool `json:"none,omitempty"`
+	// AgeMS is the time since the platform returned the responder's list, in milliseconds. Ages
+	// are sent instead of timestamps because the clocks of two instances may differ.
 	AgeMS int64 `json:"age_ms"`
 	Same  bool  `json:"same,omitempty"`
-	// Parts are the parts that differ, and Instances all entries in them.
+	// Parts are the indexes of the parts that differ, and Instances are all entries in them.
 	Parts     []int               `json:"parts,omitempty"`
 	Instances []platform.Instance `json:"instances,omitempty"`
 	// Leaving are the addresses of all leaving upstreams.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// changedParams is empty: the children pull what has changed.
+// changedParams is empty: the children pull the changes.
 type changedParams struct{}
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -6,15 +6,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the package's metrics.
+// Metrics are the metrics of this package.
 type Metrics struct {
-	live      prometheus.Gauge
-	leaving   prometheus.Gauge
-	refreshes *prometheus.CounterVec
-	lastGood  prometheus.Gauge
+	live        prometheus.Gauge
+	leaving     prometheus.Gauge
+	refreshes   *prometheus.CounterVec
+	lastRefresh prometheus.Gauge
 }
 
-// NewMetrics registers the package's metrics; a nil registerer leaves them out.
+// NewMetrics creates the metrics and registers them with r unless r is nil.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		live: prometheus.NewGauge(prometheus.GaugeOpts{Name: "topazrock_membership_live_instances",
@@ -23,21 +23,21 @@
 			Help: "Upstreams that are listed as leaving."}),
 		refreshes: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "topazrock_membership_refreshes_total",
 			Help: "Readings of the platform's instance list by outcome."}, []string{"outcome"}),
-		lastGood: prometheus.NewGauge(prometheus.GaugeOpts{Name: "topazrock_membership_last_refresh_timestamp_seconds",
+		lastRefresh: prometheus.NewGauge(prometheus.GaugeOpts{Name: "topazrock_membership_last_refresh_timestamp_seconds",
 			Help: "When the platform gave the instance list in use, to this instance or to a peer."}),
 	}
 	if r != nil {
-		r.MustRegister(m.live, m.leaving, m.refreshes, m.lastGood)
+		r.MustRegister(m.live, m.leaving, m.refreshes, m.lastRefresh)
 	}
 	return m
 }
 
-func (m *Metrics) observe(s *snapshot) {
+func (m *Metrics) observeSnapshot(s *snapshot) {
 	m.live.Set(float64(len(s.live)))
 	m.leaving.Set(float64(len(s.leaving)))
 }
 
-func (m *Metrics) refreshed(err error) {
+func (m *Metrics) countRefresh(err error) {
 	if err != nil {
 		m.refreshes.WithLabelValues("failed").Inc()
 		return
@@ -45,5 +45,5 @@
 	m.refreshes.WithLabelValues("read").Inc()
 }
 
-// dated records when the platform gave the list in use.
-func (m *Metrics) dated(readAt time.Time) { m.lastGood.Set(float64(readAt.Unix())) }
+// setListTime records when the platform returned the list in use.
+func (m *Metrics) setListTime(readAt time.Time) { m.lastRefresh.Set(float64(readAt.Unix())) }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -10,28 +10,28 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// DefaultRelays is how many instances of each failure domain read the list from
-// the platform. A failure domain with no more instances reads it with all.
+// DefaultRelays is the default number of instances in each failure domain that read the list
+// from the platform. In a failure domain with no more instances than that, all of them read it.
 const DefaultRelays = 3
 
-// Options are what New needs.
+// Options holds the dependencies and settings of Members.
 type Options struct {
 	API   platform.API
 	Clock clock.Clock
 	Rand  *rand.Rand
-	// Self is this instance as its settings describe it.
+	// Self is this instance as configured.
 	Self platform.Instance
-	// PerFailureDomain is the number of homes of a group in each failure domain.
+	// PerFailureDomain is the default number of homes of a group in each failure domain.
 	PerFailureDomain int
-	// Peers calls other instances. When it is nil, the instance reads the list
-	// from the platform alone.
+	// Peers calls other instances. If it is nil, the instance reads the list only from the
+	// platform.
 	Peers peer.Caller
-	// Registry takes the handlers; it may be nil when Peers is.
+	// Registry registers the handlers for calls from peers; it may be nil if Peers is nil.
 	Registry peer.Registry
-	// Seeds are peer addresses that are asked for the list while the platform
-	// has not told who there is. It may be empty.
+	// Seeds are the peer addresses to pull the list from while no other instance is known. It
+	// may be empty.
 	Seeds []string
-	// Relays is how many instances of each failure domain read the list from the
+	// Relays is the number of instances in each failure domain that read the list from the
 	// platform; zero means DefaultRelays.
 	Relays int
 	// Log may be nil.
--- a/internal/membership/pull.go
+++ b/internal/membership/pull.go
@@ -11,90 +11,92 @@
 )
 
 const (
-	// relayDuty is the key by which the instances that read the platform's list
-	// are picked.
-	relayDuty = "membership.relay"
-	// treeKey is the key of the tree by which the others get it from them.
+	// relayKey is the key for picking the instances that read the platform's list.
+	relayKey = "membership.relay"
+	// treeKey is the key of the tree through which the other instances get the list from the
+	// relays.
 	treeKey = "membership"
 	// pullTimeout bounds one call to a peer.
 	pullTimeout = time.Second
 )
 
-// pull brings the list up to that of a peer if the peer's is newer.
-func (m *Members) pull(ctx context.Context, address string) error {
+// pullFrom updates the list from the peer at an address if the peer's list is newer.
+func (m *Members) pullFrom(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	m.mu.Lock()
-	held := m.held
+	current := m.list
 	m.mu.Unlock()
-	r, asked, err := m.ask(ctx, address, pullParams{Root: held.root})
+	r, requestedAt, err := m.requestList(ctx, address, pullParams{Checksum: current.checksum})
 	if err == nil && !r.Same {
-		r, asked, err = m.ask(ctx, address, pullParams{Root: held.root, Sums: held.sums[:]})
+		r, requestedAt, err = m.requestList(ctx, address, pullParams{Checksum: current.checksum, PartChecksums: current.partChecksums[:]})
 	}
 	if err != nil {
 		return err
 	}
-	readAt := asked.Add(-time.Duration(r.AgeMS) * time.Millisecond)
+	readAt := requestedAt.Add(-time.Duration(r.AgeMS) * time.Millisecond)
 	if r.Same {
-		m.renew(held.root, readAt)
+		m.renewList(current.checksum, readAt)
 		return nil
 	}
-	return m.accept(held.merge(r, readAt))
+	return m.applyList(current.mergeReply(r, readAt))
 }
 
-// ask calls a peer and returns its answer and when it was asked: an age is
-// counted from then, so that it is never taken for younger than it is.
-func (m *Members) ask(ctx context.Context, address string, p pullParams) (pullReply, time.Time, error) {
-	asked := m.options.Clock.Now()
+// requestList calls a peer and returns its reply and the time of the request. Subtracting the
+// age in the reply from that time never makes a list appear newer than it is.
+func (m *Members) requestList(ctx context.Context, address string, p pullParams) (pullReply, time.Time, error) {
+	requestedAt := m.options.Clock.Now()
 	var r pullReply
 	if err := m.options.Peers.Call(ctx, address, methodPull, p, &r); err != nil {
-		return r, asked, err
+		return r, requestedAt, err
 	}
-	if r.None || r.AgeMS < 0 {
-		return r, asked, errNoList
+	if r.NoList || r.AgeMS < 0 {
+		return r, requestedAt, errNoList
 	}
-	return r, asked, nil
+	return r, requestedAt, nil
 }
 
-// renew notes that a peer with the same list has it from a later reading.
-func (m *Members) renew(root uint64, readAt time.Time) {
+// renewList advances the time of the list in use after a peer reported the same list from a
+// later read.
+func (m *Members) renewList(checksum uint64, readAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.held.root == root && readAt.After(m.held.readAt) {
-		m.held.readAt = readAt
-		m.metrics.dated(readAt)
+	if m.list.checksum == checksum && readAt.After(m.list.readAt) {
+		m.list.readAt = readAt
+		m.metrics.setListTime(readAt)
 	}
 }
 
-// pullAny pulls from one instance picked at random among the relays of all
-// failure domains, or among the seeds while no other instance is known.
-func (m *Members) pullAny(ctx context.Context) error {
+// pullFromAny pulls from one instance selected at random from the relays of all failure
+// domains, or from the seeds while no other instance is known.
+func (m *Members) pullFromAny(ctx context.Context) error {
 	self := m.Self()
 	var addresses []string
-	for _, i := range m.Pick(relayDuty, m.options.Relays) {
+	for _, i := range m.Pick(relayKey, m.options.Relays) {
 		addresses = append(addresses, i.PeerAddress)
 	}
-	others := func(list []string) []string {
+	excludeSelf := func(list []string) []string {
 		return slices.DeleteFunc(slices.Clone(list), func(a string) bool { return a == self.PeerAddress })
 	}
-	addresses = others(addresses)
+	addresses = excludeSelf(addresses)
 	if len(addresses) == 0 {
-		addresses = others(m.options.Seeds)
+		addresses = excludeSelf(m.options.Seeds)
 	}
 	if len(addresses) == 0 {
 		return errNoPeers
 	}
-	return m.pull(ctx, addresses[m.options.Rand.IntN(len(addresses))])
+	return m.pullFrom(ctx, addresses[m.options.Rand.IntN(len(addresses))])
 }
 
-// tree returns the tree of this instance's failure domain.
-func (m *Members) tree() relaytree.Tree {
+// relayTree returns the tree of this instance's failure domain.
+func (m *Members) relayTree() relaytree.Tree {
 	s := m.current.Load()
-	return relaytree.New(s.self.FailureDomain, m.Pick(relayDuty, m.options.Relays), s.live)
+	return relaytree.New(s.self.FailureDomain, m.Pick(relayKey, m.options.Relays), s.live)
 }
 
-// notify tells the children that the list has changed, without waiting.
-func (m *Members) notify(ctx context.Context, children []platform.Instance, calls *sync.WaitGroup) {
+// notifyChildren notifies the children that the list has changed, without waiting for their
+// replies.
+func (m *Members) notifyChildren(ctx context.Context, children []platform.Instance, calls *sync.WaitGroup) {
 	for _, child := range children {
 		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, pullTimeout)
--- a/internal/membership/relay_test.go
+++ b/internal/membership/relay_test.go
@@ -17,32 +17,32 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// wire carries calls between the views of a test.
-type wire struct {
+// network connects the views of a test.
+type network struct {
 	mu       sync.Mutex
 	handlers map[string]map[string]peer.Handler
 	dead     map[string]bool
 }
 
-// port is one instance's side of a wire.
-type port struct {
-	wire    *wire
+// endpoint is one instance's connection to a network.
+type endpoint struct {
+	network *network
 	address string
 }
 
-func (p port) Handle(method string, h peer.Handler) {
-	p.wire.mu.Lock()
-	defer p.wire.mu.Unlock()
-	if p.wire.handlers[p.address] == nil {
-		p.wire.handlers[p.address] = map[string]peer.Handler{}
+func (p endpoint) Handle(method string, h peer.Handler) {
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	if p.network.handlers[p.address] == nil {
+		p.network.handlers[p.address] = map[string]peer.Handler{}
 	}
-	p.wire.handlers[p.address][method] = h
+	p.network.handlers[p.address][method] = h
 }
 
-func (p port) Call(ctx context.Context, address, method string, params, reply any) error {
-	p.wire.mu.Lock()
-	h, dead := p.wire.handlers[address][method], p.wire.dead[address]
-	p.wire.mu.Unlock()
+func (p endpoint) Call(ctx context.Context, address, method string, params, reply any) error {
+	p.network.mu.Lock()
+	h, dead := p.network.handlers[address][method], p.network.dead[address]
+	p.network.mu.Unlock()
 	if h == nil || dead {
 		<-ctx.Done()
 		return ctx.Err()
@@ -56,53 +56,53 @@
 	return json.Unmarshal(raw, reply)
 }
 
-// bed is a fleet of views over one wire.
-type bed struct {
-	t    *testing.T
-	wire *wire
-	all  []platform.Instance
-	apis []*listAPI
-	view []*Members
-	stop func()
+// harness is a set of instances' views on one network.
+type harness struct {
+	t       *testing.T
+	network *network
+	all     []platform.Instance
+	apis    []*listAPI
+	views   []*Members
+	stop    func()
 }
 
-// newBed starts n instances, with one relay in each of three failure domains.
-func newBed(t *testing.T, n int) *bed {
-	b := &bed{t: t, wire: &wire{handlers: map[string]map[string]peer.Handler{}, dead: map[string]bool{}}, all: fleet(n)}
+// newHarness starts n instances in three failure domains, with one relay each.
+func newHarness(t *testing.T, n int) *harness {
+	h := &harness{t: t, network: &network{handlers: map[string]map[string]peer.Handler{}, dead: map[string]bool{}}, all: newInstances(n)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for i := range n {
-		api := &listAPI{list: platform.Inventory{Instances: b.all}}
-		m := b.newView(i, api, nil)
-		b.apis, b.view = append(b.apis, api), append(b.view, m)
+		api := &listAPI{list: platform.Inventory{Instances: h.all}}
+		m := h.newView(i, api, nil)
+		h.apis, h.views = append(h.apis, api), append(h.views, m)
 		running.Go(func() { _ = m.Run(ctx) })
 	}
-	b.stop = func() { cancel(); running.Wait() }
+	h.stop = func() { cancel(); running.Wait() }
 	time.Sleep(2 * staleAfter)
-	return b
+	return h
 }
 
-func (b *bed) newView(i int, api platform.API, seeds []string) *Members {
-	p := port{b.wire, b.all[i].PeerAddress}
-	return New(Options{API: api, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, uint64(i))), Self: b.all[i],
+func (h *harness) newView(i int, api platform.API, seeds []string) *Members {
+	p := endpoint{h.network, h.all[i].PeerAddress}
+	return New(Options{API: api, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, uint64(i))), Self: h.all[i],
 		PerFailureDomain: 1, Peers: p, Registry: p, Seeds: seeds, Relays: 1})
 }
 
-func (b *bed) list(inventory platform.Inventory, err error) {
-	for _, api := range b.apis {
+func (h *harness) setInventory(inventory platform.Inventory, err error) {
+	for _, api := range h.apis {
 		api.set(inventory, err)
 	}
 }
 
-func (b *bed) relay(i int) bool { return b.view[i].tree().IsRelay(b.all[i].ID) }
+func (h *harness) isRelay(i int) bool { return h.views[i].relayTree().IsRelay(h.all[i].ID) }
 
 func leavingInventory(all []platform.Instance) platform.Inventory {
 	return platform.Inventory{Instances: all, Upstreams: []platform.Upstream{{Address: "u", Leaving: true}, {Address: "v"}}}
 }
 
-func (b *bed) knowing() int {
+func (h *harness) countKnowing() int {
 	n := 0
-	for _, m := range b.view {
+	for _, m := range h.views {
 		if m.Leaving("u") {
 			n++
 		}
@@ -110,107 +110,106 @@
 	return n
 }
 
-// An upstream is listed as leaving in a fleet in which only a relay of each
-// failure domain reads the list. All instances know within two seconds, and
-// the platform gets calls from the relays alone.
-func TestRelaysReadForAll(t *testing.T) {
+// An upstream is listed as leaving where only one relay of each failure domain reads the list.
+// All instances must know it within two seconds, and only the relays may call the platform.
+func TestRelaysReadForAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(t, 90)
-		defer b.stop()
+		h := newHarness(t, 90)
+		defer h.stop()
 		before := 0
-		for _, api := range b.apis {
-			before += api.count()
+		for _, api := range h.apis {
+			before += api.callCount()
 		}
-		b.list(leavingInventory(b.all), nil)
+		h.setInventory(leavingInventory(h.all), nil)
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(b.knowing(), 90)
+		is.Equal(h.countKnowing(), 90)
 		time.Sleep(8500 * time.Millisecond)
 		calls := -before
-		for _, api := range b.apis {
-			calls += api.count()
+		for _, api := range h.apis {
+			calls += api.callCount()
 		}
 		is.True(calls <= 3*14)
 	})
 }
 
-// An inner instance of the tree dies while it is still listed. The instances
-// below it pull from relays instead, and know of a leaving upstream seconds later.
-func TestDeadParent(t *testing.T) {
+// Inner instances of the tree die while they are still listed. The instances below them must
+// pull from relays instead and learn of a leaving upstream within seconds.
+func TestDeadParentIsBypassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(t, 90)
-		defer b.stop()
+		h := newHarness(t, 90)
+		defer h.stop()
 		dead := 0
-		for i := range b.all {
-			if tree := b.view[i].tree(); !b.relay(i) && len(tree.Children(treeKey, b.all[i].ID)) > 0 {
-				b.wire.mu.Lock()
-				b.wire.dead[b.all[i].PeerAddress] = true
-				b.wire.mu.Unlock()
+		for i := range h.all {
+			if tree := h.views[i].relayTree(); !h.isRelay(i) && len(tree.Children(treeKey, h.all[i].ID)) > 0 {
+				h.network.mu.Lock()
+				h.network.dead[h.all[i].PeerAddress] = true
+				h.network.mu.Unlock()
 				if dead++; dead == 3 {
 					break
 				}
 			}
 		}
 		is.Equal(dead, 3)
-		b.list(leavingInventory(b.all), nil)
+		h.setInventory(leavingInventory(h.all), nil)
 		time.Sleep(8 * time.Second)
-		is.Equal(b.knowing(), 90)
+		is.Equal(h.countKnowing(), 90)
 	})
 }
 
-// The relay of a failure domain loses the platform, its peers do not. The
-// failure domain learns of a leaving upstream from the other relays.
-func TestRelayWithoutPlatform(t *testing.T) {
+// The relay of a failure domain loses the platform but not its peers. The failure domain must
+// learn of a leaving upstream from the other relays.
+func TestRelayWithoutPlatformPullsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(t, 30)
-		defer b.stop()
-		b.list(leavingInventory(b.all), nil)
-		for i, api := range b.apis {
-			if b.all[i].FailureDomain == "poa-a" {
+		h := newHarness(t, 30)
+		defer h.stop()
+		h.setInventory(leavingInventory(h.all), nil)
+		for i, api := range h.apis {
+			if h.all[i].FailureDomain == "poa-a" {
 				api.set(platform.Inventory{}, platform.ErrUnavailable)
 			}
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(b.knowing(), 30)
+		is.Equal(h.countKnowing(), 30)
 	})
 }
 
-// An instance starts while the platform is down. It gets the list from a seed,
-// and with it the homes that the others see.
-func TestStartInOutageBySeed(t *testing.T) {
+// An instance starts while the platform is down. It must get the list from a seed and compute
+// the same homes as the others.
+func TestStartDuringOutageUsesSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(t, 9)
-		defer b.stop()
-		b.list(platform.Inventory{}, platform.ErrUnavailable)
-		m := b.newView(4, b.apis[4], []string{b.all[0].PeerAddress})
+		h := newHarness(t, 9)
+		defer h.stop()
+		h.setInventory(platform.Inventory{}, platform.ErrUnavailable)
+		m := h.newView(4, h.apis[4], []string{h.all[0].PeerAddress})
 		is.Equal(len(m.Live()), 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- m.Run(ctx) }()
 		time.Sleep(3 * time.Second)
 		is.Equal(len(m.Live()), 9)
-		is.Equal(m.HomesRanked("orders"), b.view[0].HomesRanked("orders"))
+		is.Equal(m.HomesRanked("orders"), h.views[0].HomesRanked("orders"))
 		cancel()
 		<-done
 	})
 }
 
-// Instances join, leave and change while the view follows a peer part by part.
-// After each exchange it is the list that the peer has.
-func TestPulledListIsThePeersList(t *testing.T) {
+// Instances join, leave and change while a view pulls the changed parts from a peer. After each
+// pull, its list must equal the peer's.
+func TestPulledListMatchesPeersList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := rand.New(rand.NewPCG(5, 5))
-		w := &wire{handlers: map[string]map[string]peer.Handler{}, dead: map[string]bool{}}
-		b := &bed{t: t, wire: w, all: fleet(300)}
+		w := &network{handlers: map[string]map[string]peer.Handler{}, dead: map[string]bool{}}
+		h := &harness{t: t, network: w, all: newInstances(300)}
 		api := &listAPI{}
-		source, follower := b.newView(0, api, nil), b.newView(1, api, nil)
+		source, follower := h.newView(0, api, nil), h.newView(1, api, nil)
 		for range 50 {
 			var listed []platform.Instance
-			for _, i := range b.all {
+			for _, i := range h.all {
 				i.Leaving = r.IntN(50) == 0
 				if r.IntN(50) > 0 {
 					listed = append(listed, i)
@@ -218,9 +217,9 @@
 			}
 			api.set(platform.Inventory{Instances: listed, Upstreams: []platform.Upstream{{Address: fmt.Sprint(r.IntN(9)), Leaving: true}}}, nil)
 			is.NoErr(source.Refresh(t.Context()))
-			is.NoErr(follower.pull(t.Context(), b.all[0].PeerAddress))
-			is.Equal(follower.held.instances, source.held.instances)
-			is.Equal(follower.held.leaving, source.held.leaving)
+			is.NoErr(follower.pullFrom(t.Context(), h.all[0].PeerAddress))
+			is.Equal(follower.list.instances, source.list.instances)
+			is.Equal(follower.list.leaving, source.list.leaving)
 			time.Sleep(time.Second)
 		}
 	})
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -9,15 +9,16 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// ranked is an instance with its score for one key.
-type ranked struct {
+// scoredInstance is an instance with its rendezvous score for one key.
+type scoredInstance struct {
 	instance platform.Instance
 	score    uint64
 }
 
-// score is the rendezvous hash: instances that agree on the list agree on the
-// order, and a joining or leaving instance moves only the keys it wins.
-func score(key, id string) uint64 {
+// rendezvousScore returns the rendezvous hash of a key and an instance. Instances with the same
+// list compute the same order, and an instance that joins or leaves moves only the keys for
+// which it has a high enough score.
+func rendezvousScore(key, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(key)
@@ -26,44 +27,44 @@
 	return d.Sum64()
 }
 
-// before orders by score, highest first.
-func before(a, b ranked) int {
+// compareScores orders by descending score, then by ID.
+func compareScores(a, b scoredInstance) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.instance.ID, b.instance.ID))
 }
 
-// pick returns the first n instances of each failure domain in the order of
-// their score for key. It hashes each instance once and sorts only those taken.
-func pick(key string, domains [][]platform.Instance, n int) []ranked {
-	var picked []ranked
+// pickPerDomain returns the n instances with the highest scores for key in each failure domain,
+// ordered by score. It hashes each instance once and sorts only the instances it returns.
+func pickPerDomain(key string, domains [][]platform.Instance, n int) []scoredInstance {
+	var picked []scoredInstance
 	for _, instances := range domains {
-		picked = append(picked, best(key, instances, n)...)
+		picked = append(picked, topScored(key, instances, n)...)
 	}
-	slices.SortFunc(picked, before)
+	slices.SortFunc(picked, compareScores)
 	return picked
 }
 
-// best returns the n instances with the highest scores for key, in order.
-func best(key string, instances []platform.Instance, n int) []ranked {
-	list := make([]ranked, 0, min(n, len(instances))+1)
+// topScored returns the n instances with the highest scores for key, ordered by score.
+func topScored(key string, instances []platform.Instance, n int) []scoredInstance {
+	list := make([]scoredInstance, 0, min(n, len(instances))+1)
 	for i := range instances {
-		s := score(key, instances[i].ID)
+		s := rendezvousScore(key, instances[i].ID)
 		if len(list) == n && s < list[n-1].score {
 			continue
 		}
-		list = insert(list, ranked{instance: instances[i], score: s}, n)
+		list = insertBounded(list, scoredInstance{instance: instances[i], score: s}, n)
 	}
 	return list
 }
 
-// byDomain parts instances by failure domain.
-func byDomain(instances []platform.Instance) [][]platform.Instance {
-	index := make(map[string]int)
+// groupByDomain partitions instances by failure domain.
+func groupByDomain(instances []platform.Instance) [][]platform.Instance {
+	indexes := make(map[string]int)
 	var domains [][]platform.Instance
 	for _, instance := range instances {
-		i, known := index[instance.FailureDomain]
+		i, known := indexes[instance.FailureDomain]
 		if !known {
 			i = len(domains)
-			index[instance.FailureDomain] = i
+			indexes[instance.FailureDomain] = i
 			domains = append(domains, nil)
 		}
 		domains[i] = append(domains[i], instance)
@@ -71,14 +72,14 @@
 	return domains
 }
 
-// insert puts r into an ordered list of at most n.
-func insert(list []ranked, r ranked, n int) []ranked {
-	at, _ := slices.BinarySearchFunc(list, r, before)
-	list = slices.Insert(list, at, r)
+// insertBounded inserts r into an ordered list and truncates the list to n entries.
+func insertBounded(list []scoredInstance, r scoredInstance, n int) []scoredInstance {
+	position, _ := slices.BinarySearchFunc(list, r, compareScores)
+	list = slices.Insert(list, position, r)
 	return list[:min(len(list), n)]
 }
 
-func instancesOf(list []ranked) []platform.Instance {
+func instancesOf(list []scoredInstance) []platform.Instance {
 	instances := make([]platform.Instance, len(list))
 	for i, r := range list {
 		instances[i] = r.instance
--- /dev/null
+++ b/internal/membership/reuse.go
@@ -0,0 +1,60 @@
+package membership
+
+import "github.com/topazrock/topazrock/internal/platform"
+
+// maxReuseChanges is the largest number of joined and left instances for which the known homes
+// are checked against each change; above it, all homes are computed again.
+const maxReuseChanges = 256
+
+// reuseHomes copies from an older snapshot the homes that the changes since then do not affect.
+// Computing the homes of one group hashes every instance; with thousands of instances and
+// groups that takes about a second of CPU time, and an instance joins or leaves every minute.
+func (s *snapshot) reuseHomes(old *snapshot) {
+	if old == nil || old.self != s.self || !old.homeCounts.equal(s.homeCounts) {
+		return
+	}
+	joined, left := diffInstances(old.live, s.live)
+	if len(joined)+len(left) > maxReuseChanges {
+		return
+	}
+	old.mu.Lock()
+	defer old.mu.Unlock()
+	for group, h := range old.homes {
+		if !homesChanged(group, h, joined, left, s.homeCounts.forGroup(group)) {
+			s.homes[group] = h
+		}
+	}
+}
+
+func homesChanged(group string, h *homeSet, joined, left []platform.Instance, perFailureDomain int) bool {
+	for _, i := range left {
+		if h.contains(i.ID) {
+			return true
+		}
+	}
+	for _, i := range joined {
+		if h.admitsJoining(group, i, perFailureDomain) {
+			return true
+		}
+	}
+	return false
+}
+
+// diffInstances compares two lists ordered by ID. An instance whose entry changed is returned
+// both as left and as joined.
+func diffInstances(old, next []platform.Instance) (joined, left []platform.Instance) {
+	for len(old) > 0 || len(next) > 0 {
+		switch {
+		case len(next) == 0 || (len(old) > 0 && old[0].ID < next[0].ID):
+			left, old = append(left, old[0]), old[1:]
+		case len(old) == 0 || next[0].ID < old[0].ID:
+			joined, next = append(joined, next[0]), next[1:]
+		default:
+			if old[0] != next[0] {
+				left, joined = append(left, old[0]), append(joined, next[0])
+			}
+			old, next = old[1:], next[1:]
+		}
+	}
+	return joined, left
+}
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -9,28 +9,28 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// snapshot is the view at one moment. Apart from the cache of homes it is
-// never changed after it was published.
+// snapshot is the view at one point in time. Except for the cache of homes, it is not modified
+// after it is published.
 type snapshot struct {
 	self platform.Instance
-	// listed are all instances of the list, live those that are not leaving.
-	listed  []platform.Instance
-	live    []platform.Instance
-	domains [][]platform.Instance
-	peers   []platform.Instance
-	leaving map[string]bool
-	counts  homeCounts
+	// listed are all instances on the list, live those that are not leaving.
+	listed     []platform.Instance
+	live       []platform.Instance
+	domains    [][]platform.Instance
+	peers      []platform.Instance
+	leaving    map[string]bool
+	homeCounts homeCounts
 
 	mu sync.Mutex
-	// homes caches the homes of the groups asked for: ranking hashes every
-	// instance, and routing asks for each statement.
+	// homes caches the homes of requested groups: computing them hashes every instance, and
+	// routing needs them for each statement.
 	homes map[string]*homeSet
 }
 
-// newSnapshot builds a view. self says who this instance is; what the list
-// says of its addresses is not used, and its word that it leaves is.
+// newSnapshot builds a snapshot. The configured self takes precedence over this instance's
+// entry on the list, except that the entry can mark the instance as leaving.
 func newSnapshot(self platform.Instance, l list, counts homeCounts) *snapshot {
-	s := &snapshot{counts: counts, listed: l.instances, leaving: make(map[string]bool), homes: make(map[string]*homeSet)}
+	s := &snapshot{homeCounts: counts, listed: l.instances, leaving: make(map[string]bool), homes: make(map[string]*homeSet)}
 	byID := make(map[string]platform.Instance)
 	for _, i := range l.instances {
 		byID[i.ID] = i
@@ -44,7 +44,7 @@
 		}
 	}
 	slices.SortFunc(s.live, func(a, b platform.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	s.domains = byDomain(s.live)
+	s.domains = groupByDomain(s.live)
 	for _, i := range s.live {
 		if i.ID != self.ID {
 			s.peers = append(s.peers, i)
@@ -56,6 +56,6 @@
 	return s
 }
 
-func (s *snapshot) same(o *snapshot) bool {
-	return s.self == o.self && s.counts.same(o.counts) && slices.Equal(s.live, o.live) && slices.Equal(s.listed, o.listed) && maps.Equal(s.leaving, o.leaving)
+func (s *snapshot) equal(other *snapshot) bool {
+	return s.self == other.self && s.homeCounts.equal(other.homeCounts) && slices.Equal(s.live, other.live) && slices.Equal(s.listed, other.listed) && maps.Equal(s.leaving, other.leaving)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,11 +1,11 @@
-// Package registry makes an instance known to the others by an object of its own
-// on the platform, and follows theirs.
+// Package registry publishes an instance's entry on the platform and follows the entries of the
+// other instances.
 //
-// An entry is written when an instance starts and removed when it stops. There is
-// no heartbeat: with many instances, every beat would wake every watch. An instance
-// that died stays listed until one of the two that watch it finds that nobody has
-// answered there for a while; what is sent to it before is sent elsewhere, because
-// it was not taken. One that was only out of reach sees that its entry is gone and
+// An entry is written when an instance starts and removed when it stops. There is no heartbeat:
+// with many instances, each one would wake every watch. The entry of a crashed instance stays
+// until one of the two instances that monitor it finds that it has not answered for
+// removeAfter. Requests sent to it until then are sent to another instance, because they were
+// never accepted. An instance that was only unreachable sees that its entry was removed and
 // writes it again.
 package registry
 
@@ -28,103 +28,105 @@
 )
 
 const (
-	// retryPause is the time between two tries to write the own entry.
-	retryPause = time.Second
-	// settle is the pause before the watch goes on after a change: all instances
-	// start together, and their entries are told in one call.
-	settle = time.Second
-	// lossSettle is how long the own entry must be missing to be taken for removed. An
-	// instance that starts may be told a list by a peer that has not heard of it, which
-	// takes that peer up to two pauses between watches.
-	lossSettle = 3 * settle
+	// retryInterval is the time between two attempts to write this instance's entry.
+	retryInterval = time.Second
+	// watchPause is the pause before watching again after a change: all instances start
+	// together, and the pause lets the watch deliver their entries in one response.
+	watchPause = time.Second
+	// missingDelay is how long this instance's entry must be missing to count as removed. An
+	// instance that starts may get a list from a peer that has not seen the new entry yet,
+	// which takes that peer up to two pauses between watches.
+	missingDelay = 3 * watchPause
 )
 
-// List takes the instances that are known.
+// List receives the known instances.
 type List interface {
-	Adopt(instances []platform.Instance)
+	SetInstances(instances []platform.Instance)
 }
 
-// Config is what a Registry is made of.
+// Config holds the dependencies and settings of a Registry.
 type Config struct {
 	API platform.API
-	// Entries is how the entries of all instances are followed; API if it is not set.
+	// Entries is the API for following the entries of all instances; API if nil.
 	Entries platform.API
 	Self    platform.Instance
 	List    List
 	Clock   clock.Clock
-	// Seed starts the random source that spreads the calls.
+	// Seed seeds the random source that spreads calls over time.
 	Seed uint64
 	Log  hclog.Logger
-	// Peers calls the other instances; nil leaves dead ones listed.
+	// Peers calls the other instances. If it is nil, entries of dead instances stay listed and
+	// a removed own entry is not restored.
 	Peers peer.Caller
 }
 
-// Registry keeps one instance's entry and follows the others'.
+// Registry maintains the entry of one instance and follows those of the others.
 type Registry struct {
 	Config
-	// lost takes a token when the own entry is gone.
-	lost chan struct{}
+	// ownEntryMissing holds a token when this instance's entry is missing.
+	ownEntryMissing chan struct{}
 
-	// mu guards entries and is held for no call.
+	// mu guards entries and is not held across calls.
 	mu      sync.Mutex
 	entries map[string]platform.Instance
 }
 
-// New returns a Registry; Run makes it work.
+// New returns a Registry; Run starts it.
 func New(c Config) *Registry {
 	if c.Entries == nil {
 		c.Entries = c.API
 	}
 	c.Log = c.Log.Named("registry")
-	return &Registry{Config: c, lost: make(chan struct{}, 1), entries: make(map[string]platform.Instance)}
+	return &Registry{Config: c, ownEntryMissing: make(chan struct{}, 1), entries: make(map[string]platform.Instance)}
 }
 
-// Run writes the own entry, follows the others, and watches two of them, until ctx
-// ends.
+// Run writes this instance's entry, follows the others, and monitors two of them, until ctx is
+// done.
 func (r *Registry) Run(ctx context.Context) {
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	spread := rand.New(rand.NewPCG(r.Seed, 3))
-	r.meet(ctx)
-	if err := r.announce(ctx); err != nil {
-		r.Log.Warn("The instance's entry was not written yet.", "error", err)
-		parts.Go(func() { r.write(ctx) })
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	random := rand.New(rand.NewPCG(r.Seed, 3))
+	r.loadStaleList(ctx)
+	if err := r.writeOwnEntry(ctx); err != nil {
+		r.Log.Warn("Writing the instance's entry failed; will retry.", "error", err)
+		loops.Go(func() { r.retryOwnEntry(ctx) })
 	}
-	if !r.knowsOthers() {
-		// A fleet that starts for the first time starts together.
-		_ = clock.Sleep(ctx, r.Clock, settle+time.Duration(spread.Int64N(int64(settle/2))))
-		r.meet(ctx)
+	if !r.knowsOtherInstances() {
+		// All instances of a new deployment start together: give the others time to write their
+		// entries.
+		_ = clock.Sleep(ctx, r.Clock, watchPause+time.Duration(random.Int64N(int64(watchPause/2))))
+		r.loadStaleList(ctx)
 	}
 	if r.Peers != nil {
-		parts.Go(func() { r.keep(ctx) })
-		parts.Go(func() { newSweeper(r).run(ctx) })
+		loops.Go(func() { r.restoreOwnEntry(ctx) })
+		loops.Go(func() { newSweeper(r).run(ctx) })
 	}
 	objectwatch.New(objectwatch.Config{
 		API: r.Entries, Kind: platform.KindInstances, Sink: r, Clock: r.Clock, Log: r.Log,
-		Rand: spread, Settle: settle,
+		Rand: random, Settle: watchPause,
 	}).Run(ctx)
 }
 
-// meet learns the other instances from a list that may be some seconds old. It costs the
-// platform little, and names those that can tell the present one.
-func (r *Registry) meet(ctx context.Context) {
+// loadStaleList loads the other instances from a list that may be some seconds old. It costs
+// the platform little and yields the peers that can provide the current list.
+func (r *Registry) loadStaleList(ctx context.Context) {
 	objects, _, err := r.API.ListStale(ctx, platform.KindInstances)
 	if err != nil {
-		r.Log.Info("The instances were not listed yet.", "error", err)
+		r.Log.Info("Listing the instances failed.", "error", err)
 		return
 	}
 	r.mu.Lock()
 	for _, o := range objects {
-		r.take(o)
+		r.applyObject(o)
 	}
 	r.mu.Unlock()
-	if r.knowsOthers() {
-		r.List.Adopt(r.listed())
+	if r.knowsOtherInstances() {
+		r.List.SetInstances(r.knownInstances())
 	}
 }
 
-// knowsOthers reports whether any other instance is known.
-func (r *Registry) knowsOthers() bool {
+// knowsOtherInstances reports whether any other instance is known.
+func (r *Registry) knowsOtherInstances() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.entries {
@@ -135,48 +137,49 @@
 	return false
 }
 
-// write writes the own entry, as often as it takes.
-func (r *Registry) write(ctx context.Context) {
-	for clock.Sleep(ctx, r.Clock, retryPause) == nil {
-		err := r.announce(ctx)
+// retryOwnEntry writes this instance's entry, retrying until it succeeds or ctx is done.
+func (r *Registry) retryOwnEntry(ctx context.Context) {
+	for clock.Sleep(ctx, r.Clock, retryInterval) == nil {
+		err := r.writeOwnEntry(ctx)
 		if err == nil {
 			return
 		}
-		r.Log.Warn("The instance's entry was not written yet.", "error", err)
+		r.Log.Warn("Writing the instance's entry failed; will retry.", "error", err)
 	}
 }
 
-// keep writes the own entry again whenever it is gone, once a peer can be reached:
-// written before, it would be removed again, and each time homes would change.
-func (r *Registry) keep(ctx context.Context) {
+// restoreOwnEntry writes this instance's entry again whenever it was removed, as soon as a peer
+// is reachable. If it were written earlier, it would be removed again, and homes would change
+// each time.
+func (r *Registry) restoreOwnEntry(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.lost:
+		case <-r.ownEntryMissing:
 		}
-		if clock.Sleep(ctx, r.Clock, lossSettle) != nil {
+		if clock.Sleep(ctx, r.Clock, missingDelay) != nil {
 			return
 		}
-		if r.isListed() {
+		if r.ownEntryListed() {
 			continue
 		}
 		r.Log.Warn("The instance's entry was removed.")
-		for !r.reachesAny(ctx, ring(r.listed(), r.Self.ID)) {
+		for !r.anyAlive(ctx, ringSuccessors(r.knownInstances(), r.Self.ID)) {
 			if clock.Sleep(ctx, r.Clock, sweepInterval) != nil {
 				return
 			}
 		}
-		if err := r.announce(ctx); err != nil {
-			r.Log.Warn("The instance's entry was not written yet.", "error", err)
-			r.write(ctx)
+		if err := r.writeOwnEntry(ctx); err != nil {
+			r.Log.Warn("Writing the instance's entry failed; will retry.", "error", err)
+			r.retryOwnEntry(ctx)
 		}
 	}
 }
 
-// announce writes the own entry over whatever an earlier process of this instance
-// left there.
-func (r *Registry) announce(ctx context.Context) error {
+// writeOwnEntry writes this instance's entry, replacing an entry left by an earlier process of
+// the same instance.
+func (r *Registry) writeOwnEntry(ctx context.Context) error {
 	value, err := json.Marshal(r.Self)
 	if err != nil {
 		return err
@@ -185,24 +188,24 @@
 	if !errors.Is(err, platform.ErrConflict) {
 		return err
 	}
-	if r.isListed() {
+	if r.ownEntryListed() {
 		return nil
 	}
-	held, err := r.API.Get(ctx, platform.KindInstances, r.Self.ID)
-	if err != nil || string(held.Value) == string(value) {
+	stored, err := r.API.Get(ctx, platform.KindInstances, r.Self.ID)
+	if err != nil || string(stored.Value) == string(value) {
 		return err
 	}
-	_, err = r.API.Put(ctx, platform.KindInstances, r.Self.ID, value, held.Version)
+	_, err = r.API.Put(ctx, platform.KindInstances, r.Self.ID, value, stored.Version)
 	return err
 }
 
-// Withdraw removes the own entry.
+// Withdraw removes this instance's entry.
 func (r *Registry) Withdraw(ctx context.Context) error {
-	held, err := r.API.Get(ctx, platform.KindInstances, r.Self.ID)
+	stored, err := r.API.Get(ctx, platform.KindInstances, r.Self.ID)
 	if err != nil {
 		return err
 	}
-	return r.API.Delete(ctx, platform.KindInstances, r.Self.ID, held.Version)
+	return r.API.Delete(ctx, platform.KindInstances, r.Self.ID, stored.Version)
 }
 
 // Listed implements objectwatch.Sink.
@@ -213,45 +216,45 @@
 	r.Changed(objects)
 }
 
-// Changed implements objectwatch.Sink. An entry that cannot be read names nobody.
+// Changed implements objectwatch.Sink. It ignores entries that cannot be decoded.
 func (r *Registry) Changed(objects []platform.Object) {
 	r.mu.Lock()
 	for _, o := range objects {
-		r.take(o)
+		r.applyObject(o)
 	}
 	r.mu.Unlock()
-	if !r.isListed() {
+	if !r.ownEntryListed() {
 		select {
-		case r.lost <- struct{}{}:
+		case r.ownEntryMissing <- struct{}{}:
 		default:
 		}
 	}
-	r.List.Adopt(r.listed())
+	r.List.SetInstances(r.knownInstances())
 }
 
-// isListed reports whether the own entry, as it should be, is among those that are known.
-func (r *Registry) isListed() bool {
+// ownEntryListed reports whether this instance's entry is known with the expected content.
+func (r *Registry) ownEntryListed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.entries[r.Self.ID] == r.Self
 }
 
-// take takes in one object. The caller holds r.mu.
-func (r *Registry) take(o platform.Object) {
+// applyObject applies one changed or removed object. The caller holds r.mu.
+func (r *Registry) applyObject(o platform.Object) {
 	var i platform.Instance
 	err := json.Unmarshal(o.Value, &i)
 	switch {
 	case o.Removed:
 		delete(r.entries, o.Name)
 	case err != nil || i.ID != o.Name || i.PeerAddress == "":
-		r.Log.Warn("Entry of an instance cannot be read.", "instance", o.Name, "error", err)
+		r.Log.Warn("Ignoring invalid instance entry.", "instance", o.Name, "error", err)
 	default:
 		r.entries[o.Name] = i
 	}
 }
 
-// listed returns the instances that are known, by ID.
-func (r *Registry) listed() []platform.Instance {
+// knownInstances returns the known instances ordered by ID.
+func (r *Registry) knownInstances() []platform.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []platform.Instance
@@ -262,5 +265,6 @@
 	return all
 }
 
-// Touch implements objectwatch.Sink. The last list stays in use without touch.
+// Touch implements objectwatch.Sink. It does nothing: the last list stays in use while the
+// platform is unreachable.
 func (r *Registry) Touch(bool) {}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -17,36 +17,36 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// adopted keeps the last list.
-type adopted struct {
+// instanceRecorder records the last list.
+type instanceRecorder struct {
 	mu   sync.Mutex
 	list []platform.Instance
 }
 
-// Adopt implements List.
-func (a *adopted) Adopt(list []platform.Instance) {
+// SetInstances implements List.
+func (a *instanceRecorder) SetInstances(list []platform.Instance) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.list = list
 }
 
 // last returns the last list.
-func (a *adopted) last() []platform.Instance {
+func (a *instanceRecorder) last() []platform.Instance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list
 }
 
-func newRegistry(store platform.API, id, address string) (*Registry, *adopted) {
-	a := &adopted{}
+func newRegistry(store platform.API, id, address string) (*Registry, *instanceRecorder) {
+	a := &instanceRecorder{}
 	return New(Config{
 		API: store, Self: platform.Instance{ID: id, FailureDomain: "a", PeerAddress: address}, List: a,
 		Clock: clock.System{}, Seed: 1, Log: hclog.NewNullLogger(),
 	}), a
 }
 
-// Two instances start, the first over an entry that its last process left at another
-// address. Each learns of both; when one stops, the other is alone.
+// Two instances start, the first with an entry that an earlier process left with another
+// address. Each must list both; after one stops, only the other is listed.
 func TestInstancesLearnOfEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -79,9 +79,9 @@
 	})
 }
 
-// The platform is down when the instance starts. It goes on trying, and what it knew of
-// the others stays.
-func TestStartInAnOutage(t *testing.T) {
+// The platform is down when the instance starts. The instance must keep trying to write its
+// entry until the platform is back.
+func TestStartDuringPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := standin.NewStore()
--- a/internal/registry/sweeper.go
+++ b/internal/registry/sweeper.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// methodAlive asks an instance whether it is the one that is meant.
+	// methodAlive asks the instance at an address for its ID.
 	methodAlive = "registry.alive"
-	// watched is how many instances each one watches: two, so that the loss of a
-	// watcher leaves another one.
-	watched = 2
-	// sweepInterval is the time between two questions to a watched instance, and
-	// aliveTimeout bounds its answer, many times a slow one.
+	// monitoredCount is how many instances each instance monitors: two, so that every instance
+	// still has a monitor when one of its own is lost.
+	monitoredCount = 2
+	// sweepInterval is the time between two probes of a monitored instance. aliveTimeout bounds
+	// one probe and is many times the duration of a slow answer.
 	sweepInterval = 2 * time.Second
 	aliveTimeout  = 500 * time.Millisecond
 )
 
-// alive is the question and the answer: who is meant, and who is there.
-type alive struct {
+// aliveMessage is the request and the reply of a probe: the ID of the instance expected, and of
+// the one that answers.
+type aliveMessage struct {
 	Instance string `json:"instance"`
 }
 
-// Register answers the question of other instances whether this one is there.
+// Register handles the probes of other instances.
 func (r *Registry) Register(s peer.Registry) {
 	s.Handle(methodAlive, func(context.Context, string, json.RawMessage) (any, error) {
-		return alive{Instance: r.Self.ID}, nil
+		return aliveMessage{Instance: r.Self.ID}, nil
 	})
 }
 
-// sweeper removes the entries of instances that died without taking them back, as
-// those of a machine that is removed for good. Left there, they count when homes are
-// chosen and connections are divided: with one dead of eight, three eighths of a
-// failure domain's requests went to a home that was not there.
+// sweeper removes the entries of instances that died without removing them, as when a machine
+// is decommissioned. Such entries would still count when homes are chosen and connections are
+// divided: with one dead instance of eight, three eighths of a failure domain's requests were
+// sent to a home that did not exist.
 type sweeper struct {
 	*Registry
-	silent silences
+	unresponsive unresponsiveSince
 }
 
 func newSweeper(r *Registry) *sweeper {
@@ -54,69 +55,71 @@
 	}
 }
 
-// sweep asks the watched instances once.
+// sweep probes the monitored instances once and removes the entries of those that have been
+// unresponsive for removeAfter.
 func (s *sweeper) sweep(ctx context.Context) {
-	others := ring(s.listed(), s.Self.ID)
-	mine := others[:min(watched, len(others))]
+	others := ringSuccessors(s.knownInstances(), s.Self.ID)
+	monitored := others[:min(monitoredCount, len(others))]
 	unanswered := make(map[platform.Instance]time.Time)
-	for _, i := range mine {
-		asked := s.Clock.Now()
-		if !s.answers(ctx, i) {
-			unanswered[i] = asked
+	for _, i := range monitored {
+		askedAt := s.Clock.Now()
+		if !s.isAlive(ctx, i) {
+			unanswered[i] = askedAt
 		}
 	}
-	s.silent = s.silent.after(unanswered)
-	for _, i := range s.silent.gone(s.Clock.Now()) {
-		if s.reachesAny(ctx, others[len(mine):]) {
-			s.remove(ctx, i)
+	s.unresponsive = s.unresponsive.update(unanswered)
+	for _, i := range s.unresponsive.expired(s.Clock.Now()) {
+		if s.anyAlive(ctx, others[len(monitored):]) {
+			s.removeUnresponsive(ctx, i)
 		}
 	}
 }
 
-// answers reports whether an instance is there.
-func (r *Registry) answers(ctx context.Context, i platform.Instance) bool {
+// isAlive reports whether the expected instance answers at its address.
+func (r *Registry) isAlive(ctx context.Context, i platform.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
 	defer cancel()
-	var a alive
-	err := r.Peers.Call(ctx, i.PeerAddress, methodAlive, alive{Instance: i.ID}, &a)
+	var a aliveMessage
+	err := r.Peers.Call(ctx, i.PeerAddress, methodAlive, aliveMessage{Instance: i.ID}, &a)
 	return err == nil && a.Instance == i.ID
 }
 
-// reachesAny reports whether any of some instances answers. An instance that reaches
-// none may be the one that is cut off, and then knows nothing of the others.
-func (r *Registry) reachesAny(ctx context.Context, instances []platform.Instance) bool {
+// anyAlive reports whether any of the instances answers. An instance that reaches none may
+// itself be isolated and cannot tell whether the others are alive.
+func (r *Registry) anyAlive(ctx context.Context, instances []platform.Instance) bool {
 	for _, i := range instances {
-		if r.answers(ctx, i) {
+		if r.isAlive(ctx, i) {
 			return true
 		}
 	}
 	return false
 }
 
-// remove takes the entry of an instance away, unless it was written anew.
-func (s *sweeper) remove(ctx context.Context, i platform.Instance) {
+// removeUnresponsive removes the entry of an instance unless the entry has changed since, and
+// logs the outcome.
+func (s *sweeper) removeUnresponsive(ctx context.Context, i platform.Instance) {
 	err := s.removeEntry(ctx, i)
 	if err != nil {
-		s.Log.Info("Entry of a silent instance was not removed.", "instance", i.ID, "error", err)
+		s.Log.Info("Removing the entry of an unresponsive instance failed.", "instance", i.ID, "error", err)
 		return
 	}
-	s.Log.Warn("Entry of a silent instance was removed.", "instance", i.ID, "address", i.PeerAddress, "silent", s.Clock.Now().Sub(s.silent[i]).String())
+	s.Log.Warn("Entry of a silent instance was removed.", "instance", i.ID, "address", i.PeerAddress, "silent", s.Clock.Now().Sub(s.unresponsive[i]).String())
 }
 
 func (s *sweeper) removeEntry(ctx context.Context, i platform.Instance) error {
-	held, err := s.API.Get(ctx, platform.KindInstances, i.ID)
+	stored, err := s.API.Get(ctx, platform.KindInstances, i.ID)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	var now platform.Instance
-	if err := json.Unmarshal(held.Value, &now); err != nil {
+	var current platform.Instance
+	if err := json.Unmarshal(stored.Value, &current); err != nil {
 		return err
 	}
-	if now != i {
+	if current != i {
 		return nil
 	}
-	return s.API.Delete(ctx, platform.KindInstances, i.ID, held.Version)
+	return s.API.Delete(ctx, platform.KindInstances, i.ID, stored.Version)
 }
--- a/internal/registry/sweeper_test.go
+++ b/internal/registry/sweeper_test.go
@@ -19,8 +19,9 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// fleet starts registries of n instances; the result lists what each has adopted.
-func fleet(t *testing.T, n int) (*peernet.Net, []*adopted) {
+// startInstances starts the registries of n instances and returns a recorder of the list of
+// each.
+func startInstances(t *testing.T, n int) (*peernet.Net, []*instanceRecorder) {
 	t.Helper()
 	store := standin.NewStore()
 	net := peernet.New()
@@ -30,9 +31,9 @@
 		cancel()
 		running.Wait()
 	})
-	var lists []*adopted
+	var lists []*instanceRecorder
 	for k := range n {
-		a := &adopted{}
+		a := &instanceRecorder{}
 		address := fmt.Sprint("peer-", k)
 		r := New(Config{
 			API: store, Self: platform.Instance{ID: fmt.Sprint("i", k), FailureDomain: "a", PeerAddress: address}, List: a,
@@ -46,29 +47,29 @@
 	return net, lists
 }
 
-// A machine is removed for good and takes nothing back. Callers of its failure domain
-// see a part of their requests wait for a home that is not there, as long as its entry
-// counts. Two others watch it; the entry goes when it has been silent for goneAfter.
-func TestEntryOfADeadInstanceIsRemoved(t *testing.T) {
+// A machine is decommissioned and its entry stays. While the entry counts, part of the requests
+// of its failure domain wait for a home that does not exist. The two instances that monitor it
+// must remove the entry once it has been unresponsive for removeAfter.
+func TestDeadInstanceEntryIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net, lists := fleet(t, 8)
+		net, lists := startInstances(t, 8)
 		is.Equal(len(lists[0].last()), 8)
 		net.SetCut("peer-3", true)
-		time.Sleep(goneAfter - sweepInterval)
+		time.Sleep(removeAfter - sweepInterval)
 		is.Equal(len(lists[0].last()), 8)
 		time.Sleep(3 * sweepInterval)
 		is.Equal(len(lists[0].last()), 7)
 	})
 }
 
-// An instance is cut off from its peers for longer than goneAfter and not from the
-// platform. It loses its entry, must not take away the entries of those it watches,
-// though it hears none of them, and is listed again without a restart.
-func TestCutOffInstanceRemovesNobodyAndComesBack(t *testing.T) {
+// An instance is cut off from its peers, but not from the platform, for longer than
+// removeAfter. Its entry is removed. It must not remove the entries of the instances it
+// monitors, although none of them answers, and must be listed again without a restart.
+func TestIsolatedInstanceRemovesNoEntriesAndIsRelisted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net, lists := fleet(t, 8)
+		net, lists := startInstances(t, 8)
 		net.SetCut("peer-3", true)
 		seen := 8
 		for range 60 {
@@ -82,50 +83,50 @@
 	})
 }
 
-// A whole failure domain of a larger fleet is lost. Every one of its entries goes
-// although some of its instances were watched by each other.
-func TestEntriesOfALostDomainAreRemoved(t *testing.T) {
+// All instances of a failure domain are lost. All their entries must be removed although some
+// of these instances were monitored by each other.
+func TestEntriesOfLostFailureDomainAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		net, lists := fleet(t, 12)
+		net, lists := startInstances(t, 12)
 		for k := range 4 {
 			net.SetCut(fmt.Sprint("peer-", 4+k), true)
 		}
-		time.Sleep(4 * goneAfter)
+		time.Sleep(4 * removeAfter)
 		is.Equal(len(lists[0].last()), 8)
 	})
 }
 
-// putsCounted counts the entries written through it.
-type putsCounted struct {
+// putCounter counts the entries written through it.
+type putCounter struct {
 	platform.API
 	puts atomic.Int64
 }
 
 // Put implements platform.API.
-func (p *putsCounted) Put(ctx context.Context, kind platform.Kind, name string, value []byte, ifVersion int64) (platform.Object, error) {
+func (p *putCounter) Put(ctx context.Context, kind platform.Kind, name string, value []byte, ifVersion int64) (platform.Object, error) {
 	p.puts.Add(1)
 	return p.API.Put(ctx, kind, name, value, ifVersion)
 }
 
-// An instance starts and reads the list of instances from a peer that has not heard of it
-// yet; its own entry is told a second later. It must not take the entry for removed:
-// operators would look for a fault, and each start would cost two calls more.
-func TestOwnEntryThatIsToldLateIsNoLoss(t *testing.T) {
+// A starting instance reads the list of instances from a peer that has not seen its new entry
+// yet; the entry arrives a second later. The instance must not treat it as removed: operators
+// would look for a fault, and each start would cost two more calls.
+func TestDelayedOwnEntryIsNotRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net := peernet.New()
 		other := New(Config{Self: platform.Instance{ID: "i2", PeerAddress: "peer-2"}, Log: hclog.NewNullLogger()})
 		other.Register(net.At("peer-2"))
-		api := &putsCounted{API: standin.NewStore()}
-		r := New(Config{API: api, Self: platform.Instance{ID: "i1", PeerAddress: "peer-1"}, List: &adopted{},
+		api := &putCounter{API: standin.NewStore()}
+		r := New(Config{API: api, Self: platform.Instance{ID: "i1", PeerAddress: "peer-1"}, List: &instanceRecorder{},
 			Clock: clock.System{}, Log: hclog.NewNullLogger(), Peers: net.At("peer-1")})
 		r.Register(net.At("peer-1"))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			r.keep(ctx)
+			r.restoreOwnEntry(ctx)
 		}()
 		entry := func(id, address string) platform.Object {
 			value, err := json.Marshal(platform.Instance{ID: id, PeerAddress: address})
