--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -97,11 +97,11 @@
 
 // Run follows the platform until ctx is done.
 func (d *Directory) Run(ctx context.Context) error {
-	var parts sync.WaitGroup
-	parts.Go(func() { d.newManifestFollower().Run(ctx) })
-	parts.Go(func() { d.newUpstreamFollower().Run(ctx) })
-	parts.Go(func() { d.checkMissing(ctx) })
-	parts.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { d.newManifestFollower().Run(ctx) })
+	loops.Go(func() { d.newUpstreamFollower().Run(ctx) })
+	loops.Go(func() { d.checkMissing(ctx) })
+	loops.Wait()
 	return ctx.Err()
 }
 
@@ -143,7 +143,7 @@
 	}
 }
 
-// publish replaces the view by the current state and calls the subscribers if the state has
+// publish replaces the view with the current state and calls the subscribers if the state has
 // changed.
 func (d *Directory) publish() {
 	d.mu.Lock()
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -44,16 +44,16 @@
 
 // harness is a directory that follows an in-memory platform.
 type harness struct {
-	t     *testing.T
-	is    *is.I
-	store *standin.Store
-	d     *Directory
+	t         *testing.T
+	is        *is.I
+	store     *standin.Store
+	directory *Directory
 }
 
 func withHarness(t *testing.T, f func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &harness{t: t, is: is.New(t), store: standin.NewStore()}
-		h.d = New(Config{API: h.store, Decoder: jsonDecoder{}, Clock: clock.System{}, Seed: 1, Log: hclog.NewNullLogger()})
+		h.directory = New(Config{API: h.store, Decoder: jsonDecoder{}, Clock: clock.System{}, Seed: 1, Log: hclog.NewNullLogger()})
 		h.putManifest(3, "db")
 		for i := range 3 {
 			h.putMember(i, fmt.Sprintf("10.0.0.%d:1", i), false)
@@ -62,7 +62,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			_ = h.d.Run(ctx)
+			_ = h.directory.Run(ctx)
 		}()
 		time.Sleep(time.Second)
 		f(h)
@@ -78,8 +78,8 @@
 }
 
 func (h *harness) putText(kind platform.Kind, name string, text []byte) {
-	held, _ := h.store.Get(context.Background(), kind, name)
-	_, err := h.store.Put(context.Background(), kind, name, text, held.Version)
+	stored, _ := h.store.Get(context.Background(), kind, name)
+	_, err := h.store.Put(context.Background(), kind, name, text, stored.Version)
 	h.is.NoErr(err)
 }
 
@@ -97,13 +97,13 @@
 
 func (h *harness) removeMember(i int) {
 	name := fmt.Sprintf("i-%d", i)
-	held, err := h.store.Get(context.Background(), platform.KindUpstreams, name)
+	stored, err := h.store.Get(context.Background(), platform.KindUpstreams, name)
 	h.is.NoErr(err)
-	h.is.NoErr(h.store.Delete(context.Background(), platform.KindUpstreams, name, held.Version))
+	h.is.NoErr(h.store.Delete(context.Background(), platform.KindUpstreams, name, stored.Version))
 }
 
 func (h *harness) countMembers() int {
-	s, ok := h.d.FindService("g")
+	s, ok := h.directory.FindService("g")
 	if !ok {
 		return 0
 	}
@@ -117,15 +117,15 @@
 	withHarness(t, func(h *harness) {
 		h.putManifest(9, "db", "later")
 		time.Sleep(100 * time.Millisecond)
-		_, ok := h.d.FindDatabase("later")
+		_, ok := h.directory.FindDatabase("later")
 		h.is.True(ok)
 		h.putManifest(8, "db")
 		time.Sleep(3 * time.Second)
-		_, ok = h.d.FindDatabase("later")
+		_, ok = h.directory.FindDatabase("later")
 		h.is.True(ok)
 		h.putText(platform.KindManifest, platform.ManifestName, []byte(`{"Version":`))
 		time.Sleep(3 * time.Second)
-		_, ok = h.d.FindDatabase("later")
+		_, ok = h.directory.FindDatabase("later")
 		h.is.True(ok)
 	})
 }
@@ -137,7 +137,7 @@
 		h.store.SetFaults(standin.Faults{DeafWatches: true})
 		h.putManifest(9, "db", "later")
 		time.Sleep(2500 * time.Millisecond)
-		_, ok := h.d.FindDatabase("later")
+		_, ok := h.directory.FindDatabase("later")
 		h.is.True(ok)
 	})
 }
@@ -147,9 +147,9 @@
 	withHarness(t, func(h *harness) {
 		h.store.SetFaults(standin.Faults{Outage: true})
 		time.Sleep(time.Minute)
-		h.is.True(h.d.Ready())
+		h.is.True(h.directory.Ready())
 		h.is.Equal(h.countMembers(), 3)
-		_, ok := h.d.FindDatabase("db")
+		_, ok := h.directory.FindDatabase("db")
 		h.is.True(ok)
 	})
 }
@@ -168,7 +168,7 @@
 		h.removeMember(2)
 		time.Sleep(4 * time.Second)
 		h.is.Equal(h.countMembers(), 2)
-		s, _ := h.d.FindService("g")
+		s, _ := h.directory.FindService("g")
 		h.is.Equal(s.Groups[0].Size, document.MinMembers)
 	})
 }
@@ -197,11 +197,11 @@
 		h.putMember(7, "10.0.0.1:1", false)
 		h.putMember(1, "10.0.0.1:1", true)
 		time.Sleep(time.Second)
-		id, ok := h.d.FindMember("g", "10.0.0.1:1")
+		id, ok := h.directory.FindMember("g", "10.0.0.1:1")
 		h.is.True(ok)
 		h.is.Equal(id, "i-7")
-		h.is.True(!h.d.Leaving("10.0.0.1:1"))
-		_, ok = h.d.FindMember("other", "10.0.0.1:1")
+		h.is.True(!h.directory.Leaving("10.0.0.1:1"))
+		_, ok = h.directory.FindMember("other", "10.0.0.1:1")
 		h.is.True(!ok)
 	})
 }
--- a/internal/directory/membertable_test.go
+++ b/internal/directory/membertable_test.go
@@ -17,31 +17,31 @@
 func TestMemberThatLeftCleanlyHasNoGracePeriod(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	r := newMemberTable()
-	r.setPlatformReachable(true, start)
-	r.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 1)
-	r.update(platform.Upstream{ID: "lost", Address: "2"}, 2)
+	table := newMemberTable()
+	table.setPlatformReachable(true, start)
+	table.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 1)
+	table.update(platform.Upstream{ID: "lost", Address: "2"}, 2)
 	present := func(at time.Time) (addresses string) {
-		for _, u := range r.present(at) {
+		for _, u := range table.present(at) {
 			addresses += u.Address
 		}
 		return addresses
 	}
 	is.Equal(present(start), "12")
 
-	gone := start.Add(time.Minute)
-	r.markMissing("left", gone)
-	r.markMissing("lost", gone)
-	is.Equal(present(gone), "2")
-	is.Equal(present(gone.Add(missingGrace)), "2")
-	is.Equal(present(gone.Add(missingGrace+1)), "")
+	removedAt := start.Add(time.Minute)
+	table.markMissing("left", removedAt)
+	table.markMissing("lost", removedAt)
+	is.Equal(present(removedAt), "2")
+	is.Equal(present(removedAt.Add(missingGrace)), "2")
+	is.Equal(present(removedAt.Add(missingGrace+1)), "")
 
-	r.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 3)
-	r.setPlatformReachable(false, gone)
-	back := gone.Add(time.Minute)
-	r.setPlatformReachable(true, back)
-	r.markMissing("left", back.Add(missingGrace))
-	is.Equal(present(back.Add(missingGrace)), "12")
-	r.setPlatformReachable(false, back)
-	is.Equal(present(back.Add(time.Hour)), "12")
+	table.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 3)
+	table.setPlatformReachable(false, removedAt)
+	reachableAgain := removedAt.Add(time.Minute)
+	table.setPlatformReachable(true, reachableAgain)
+	table.markMissing("left", reachableAgain.Add(missingGrace))
+	is.Equal(present(reachableAgain.Add(missingGrace)), "12")
+	table.setPlatformReachable(false, reachableAgain)
+	is.Equal(present(reachableAgain.Add(time.Hour)), "12")
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -19,9 +19,9 @@
 
 func (c *byteCounter) Call(ctx context.Context, address, method string, params, reply any) error {
 	err := c.endpoint.Call(ctx, address, method, params, reply)
-	asked, _ := json.Marshal(params)
-	answered, _ := json.Marshal(reply)
-	c.bytes += len(asked) + len(answered)
+	request, _ := json.Marshal(params)
+	response, _ := json.Marshal(reply)
+	c.bytes += len(request) + len(response)
 	return err
 }
 
@@ -34,8 +34,8 @@
 				all := newInstances(n + 1)
 				lists := []list{newList(all[:n], nil, time.Now()), newList(all[1:], nil, time.Now())}
 				w := &network{handlers: map[string]map[string]peer.Handler{}, dead: map[string]bool{}}
-				d := &harness{network: w, all: all}
-				source, follower := d.newView(1, nil, nil), d.newView(2, nil, nil)
+				h := &harness{network: w, all: all}
+				source, follower := h.newView(1, nil, nil), h.newView(2, nil, nil)
 				c := &byteCounter{endpoint: endpoint{w, all[2].PeerAddress}}
 				follower.options.Peers = c
 				source.list, follower.list = lists[0], lists[0]
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -39,8 +39,8 @@
 	missingDelay = 3 * watchPause
 )
 
-// List receives the known instances.
-type List interface {
+// InstanceSink receives the list of known instances.
+type InstanceSink interface {
 	SetInstances(instances []platform.Instance)
 }
 
@@ -50,7 +50,7 @@
 	// Entries is the API for following the entries of all instances; API if nil.
 	Entries platform.API
 	Self    platform.Instance
-	List    List
+	List    InstanceSink
 	Clock   clock.Clock
 	// Seed seeds the random source that spreads calls over time.
 	Seed uint64
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -23,7 +23,7 @@
 	list []platform.Instance
 }
 
-// SetInstances implements List.
+// SetInstances implements InstanceSink.
 func (a *instanceRecorder) SetInstances(list []platform.Instance) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
