--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -182,20 +182,20 @@
 // Leaving reports whether the member at an address is leaving and must get no new work.
 func (d *Directory) Leaving(address string) bool { return d.current.Load().leaving[address] }
 
-// Leader returns the address of the group's member that reports itself as primary, or an empty
+// PrimaryAddress returns the address of the group's member that reports itself as primary, or an empty
 // string if none or several do.
-func (d *Directory) Leader(group string) string {
-	leader := ""
+func (d *Directory) PrimaryAddress(group string) string {
+	primary := ""
 	for address, u := range d.current.Load().upstreams {
 		if u.Group != group || !u.Leads {
 			continue
 		}
-		if leader != "" {
+		if primary != "" {
 			return ""
 		}
-		leader = address
+		primary = address
 	}
-	return leader
+	return primary
 }
 
 // Ready reports whether a manifest is in force and at least one group has members.
