--- a/internal/objectwatch/current_test.go
+++ b/internal/objectwatch/changessince_test.go
@@ -42,47 +42,47 @@
 }
 
 // answering is a peer with one answer.
-type answering struct {
-	told answer
-	err  error
+type fakePeer struct {
+	response response
+	err      error
 }
 
 // Call implements peer.Caller.
-func (a *answering) Call(_ context.Context, _, _ string, _, reply any) error {
-	*reply.(*answer) = a.told
-	return a.err
+func (p *fakePeer) Call(_ context.Context, _, _ string, _, reply any) error {
+	*reply.(*response) = p.response
+	return p.err
 }
 
 // Handle implements peer.Registry.
-func (*answering) Handle(string, peer.Handler) {}
+func (*fakePeer) Handle(string, peer.Handler) {}
 
 // An instance asks a peer in place of the platform. It looks itself whenever the peer's
 // word does not prove that what it holds is in force.
 func TestPeersSpareThePlatform(t *testing.T) {
-	near, far := platform.Instance{ID: "n", FailureDomain: "a"}, platform.Instance{ID: "f", FailureDomain: "b"}
+	localReader, remoteReader := platform.Instance{ID: "n", FailureDomain: "a"}, platform.Instance{ID: "f", FailureDomain: "b"}
 	self := platform.Instance{ID: "s", FailureDomain: "a"}
 	const maxAge = 2300 * time.Millisecond
 	// none stands for no answer that proves anything.
-	const none = int64(-1)
+	const noRevision = int64(-1)
 	for name, c := range map[string]struct {
 		self    platform.Instance
 		readers []platform.Instance
-		peer    answering
+		peer    fakePeer
 		want    int64
 	}{
-		"same revision, fresh":   {self, []platform.Instance{near, far}, answering{told: answer{Revision: 5, AgeMS: 900}}, 5},
-		"later revision":         {self, []platform.Instance{near}, answering{told: answer{Revision: 6, AgeMS: 900}}, 6},
-		"old look":               {self, []platform.Instance{near}, answering{told: answer{Revision: 5, AgeMS: 9000}}, none},
-		"cannot tell":            {self, []platform.Instance{near}, answering{err: errNoFeed}, none},
-		"no answer":              {self, []platform.Instance{near}, answering{err: peer.ErrNotSent}, none},
-		"reader itself":          {near, []platform.Instance{near, far}, answering{told: answer{Revision: 5, AgeMS: 1}}, none},
-		"none in the own domain": {self, []platform.Instance{far}, answering{told: answer{Revision: 5, AgeMS: 1}}, none},
-		"no readers are known":   {self, nil, answering{told: answer{Revision: 5, AgeMS: 1}}, none},
-		"peer has an older one":  {self, []platform.Instance{near}, answering{told: answer{Revision: 4, AgeMS: 1}}, 5},
+		"same revision, fresh":   {self, []platform.Instance{localReader, remoteReader}, fakePeer{response: response{Revision: 5, AgeMS: 900}}, 5},
+		"later revision":         {self, []platform.Instance{localReader}, fakePeer{response: response{Revision: 6, AgeMS: 900}}, 6},
+		"old look":               {self, []platform.Instance{localReader}, fakePeer{response: response{Revision: 5, AgeMS: 9000}}, noRevision},
+		"cannot tell":            {self, []platform.Instance{localReader}, fakePeer{err: errFeedUnavailable}, noRevision},
+		"no answer":              {self, []platform.Instance{localReader}, fakePeer{err: peer.ErrNotSent}, noRevision},
+		"reader itself":          {localReader, []platform.Instance{localReader, remoteReader}, fakePeer{response: response{Revision: 5, AgeMS: 1}}, noRevision},
+		"none in the own domain": {self, []platform.Instance{remoteReader}, fakePeer{response: response{Revision: 5, AgeMS: 1}}, noRevision},
+		"no readers are known":   {self, nil, fakePeer{response: response{Revision: 5, AgeMS: 1}}, noRevision},
+		"peer has an older one":  {self, []platform.Instance{localReader}, fakePeer{response: response{Revision: 4, AgeMS: 1}}, 5},
 	} {
 		s := NewSharing(SharingConfig{Fleet: fakeFleet{c.self, c.readers}, Caller: &c.peer, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger()}, &c.peer)
-		_, got, err := s.API(platform.KindManifest, maxAge).Since(context.Background(), 5)
-		if (err == nil) != (c.want != none) || err == nil && got != c.want {
+		_, got, err := s.API(platform.KindManifest, maxAge).ChangesSince(context.Background(), 5)
+		if (err == nil) != (c.want != noRevision) || err == nil && got != c.want {
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
 	}
--- a/internal/objectwatch/packing_test.go
+++ b/internal/objectwatch/encoding_test.go
@@ -41,43 +41,43 @@
 }
 
 // Guards against answers that unpack to something else than was packed.
-func TestPackedObjectsComeBackWhole(t *testing.T) {
+func TestEncodedObjectsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	small := platform.Object{Kind: platform.KindUpstreams, Name: "m", Revision: 3, Value: []byte(`{"a":1}`)}
-	gone := platform.Object{Kind: platform.KindUpstreams, Name: "n", Revision: 4, Removed: true}
+	removed := platform.Object{Kind: platform.KindUpstreams, Name: "n", Revision: 4, Removed: true}
 	first, second := largeObject(1), largeObject(2)
-	for _, objects := range [][]platform.Object{{small, gone}, {first}, {second, small}, {}} {
+	for _, objects := range [][]platform.Object{{small, removed}, {first}, {second, small}, {}} {
 		for _, base := range [][]byte{nil, first.Value, second.Value} {
-			packed, err := pack(objects, base)
+			encoded, err := encodeObjects(objects, base)
 			is.NoErr(err)
-			back, err := unpack(packed, base)
+			decoded, err := decodeObjects(encoded, base)
 			is.NoErr(err)
 			want, _ := json.Marshal(objects)
-			got, _ := json.Marshal(back)
+			got, _ := json.Marshal(decoded)
 			is.Equal(strings.ReplaceAll(string(got), `"value":""`, `"value":null`), strings.ReplaceAll(string(want), `"value":""`, `"value":null`))
 		}
 	}
-	_, err := unpack([]byte("no answer"), nil)
+	_, err := decodeObjects([]byte("no answer"), nil)
 	is.True(err != nil)
-	_, err = unpack([]byte("no answer"), first.Value)
+	_, err = decodeObjects([]byte("no answer"), first.Value)
 	is.True(err != nil)
 }
 
 // Guards against a change of one route that costs as much as the whole manifest.
-func TestChangeOfALargeManifestIsSmall(t *testing.T) {
+func TestDeltaOfALargeManifestIsSmall(t *testing.T) {
 	is := is.New(t)
 	first, second := largeObject(1), largeObject(2)
-	whole, err := pack([]platform.Object{second}, nil)
+	full, err := encodeObjects([]platform.Object{second}, nil)
 	is.NoErr(err)
-	change, err := pack([]platform.Object{second}, first.Value)
+	delta, err := encodeObjects([]platform.Object{second}, first.Value)
 	is.NoErr(err)
-	t.Logf("a manifest of %d bytes: whole %d, its change %d", len(second.Value), len(whole), len(change))
-	is.True(len(change) < len(whole)/20)
+	t.Logf("a manifest of %d bytes: whole %d, its change %d", len(second.Value), len(full), len(delta))
+	is.True(len(delta) < len(full)/20)
 }
 
 // narrowLinks sums up what readers send, and gives the time that it takes over a link of
 // 10 Mbit/s.
-const narrowLink = 10_000_000 / 8
+const narrowLinkRate = 10_000_000 / 8
 
 // The load pattern is ten changes of a large manifest in quick succession, at a reader with 49
 // followers on a link of 10 Mbit/s. Guards against a spread that takes longer than half of the
@@ -85,29 +85,29 @@
 func TestReaderSpreadsChangesOverANarrowLink(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed([]platform.Object{largeObject(1)}, 1, time.Now())
-	var held heldObject
-	held.note([]platform.Object{largeObject(1)})
+	f.applyList([]platform.Object{largeObject(1)}, 1, time.Now())
+	var known deltaBase
+	known.update([]platform.Object{largeObject(1)})
 	sent := 0
 	for version := 2; version <= 11; version++ {
-		f.watched([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
-		base := held.get()
-		q := question{Kind: platform.KindManifest, After: int64(version - 1), Base: &baseRef{Name: base.Name, Revision: base.Revision}}
-		var got answer
+		f.applyWatch([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
+		base := known.get()
+		req := request{Kind: platform.KindManifest, After: int64(version - 1), DeltaBase: &versionRef{Name: base.Name, Revision: base.Revision}}
+		var got response
 		for range 49 {
-			objects, revision, err := f.after(context.Background(), q.After)
+			objects, revision, err := f.waitForChanges(context.Background(), req.After)
 			is.NoErr(err)
-			got, err = f.packed(objects, q.After, revision, q)
+			got, err = f.encodeResponse(objects, req.After, revision, req)
 			is.NoErr(err)
-			sent += len(got.Packed) * 4 / 3
+			sent += len(got.Encoded) * 4 / 3
 		}
-		is.True(got.OnBase)
-		objects, err := unpack(got.Packed, base.Value)
+		is.True(got.Delta)
+		objects, err := decodeObjects(got.Encoded, base.Value)
 		is.NoErr(err)
 		is.Equal(string(objects[0].Value), string(largeValue(version)))
-		held.note(objects)
+		known.update(objects)
 	}
-	needed := time.Duration(float64(sent) / narrowLink * float64(time.Second))
+	needed := time.Duration(float64(sent) / narrowLinkRate * float64(time.Second))
 	t.Logf("%d bytes, %v", sent, needed)
 	is.True(needed < 2500*time.Millisecond)
 }
@@ -117,37 +117,37 @@
 func TestFollowerFarBehindGetsTheWholeObject(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed([]platform.Object{largeObject(1)}, 1, time.Now())
+	f.applyList([]platform.Object{largeObject(1)}, 1, time.Now())
 	for version := 2; version <= 4; version++ {
-		f.watched([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
+		f.applyWatch([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
 	}
-	objects, revision, err := f.after(context.Background(), 1)
+	objects, revision, err := f.waitForChanges(context.Background(), 1)
 	is.NoErr(err)
-	got, err := f.packed(objects, 1, revision, question{After: 1, Base: &baseRef{Name: platform.ManifestName, Revision: 1}})
+	got, err := f.encodeResponse(objects, 1, revision, request{After: 1, DeltaBase: &versionRef{Name: platform.ManifestName, Revision: 1}})
 	is.NoErr(err)
-	is.True(!got.OnBase)
-	back, err := unpack(got.Packed, nil)
+	is.True(!got.Delta)
+	decoded, err := decodeObjects(got.Encoded, nil)
 	is.NoErr(err)
-	is.Equal(len(back), 3)
+	is.Equal(len(decoded), 3)
 }
 
 // Guards against a feed that keeps hundreds of versions of a large manifest.
 func TestFeedBoundsItsHistoryInBytes(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed([]platform.Object{largeObject(1)}, 1, time.Now())
+	f.applyList([]platform.Object{largeObject(1)}, 1, time.Now())
 	for version := 2; version <= 60; version++ {
-		f.watched([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
+		f.applyWatch([]platform.Object{largeObject(version)}, int64(version-1), int64(version))
 	}
 	size := 0
 	for _, c := range f.changes {
 		size += len(c.object.Value)
 	}
-	is.Equal(size, f.historySize)
-	is.True(size <= feedHistorySize)
-	_, _, err := f.after(context.Background(), 2)
+	is.Equal(size, f.historyBytes)
+	is.True(size <= maxFeedBytes)
+	_, _, err := f.waitForChanges(context.Background(), 2)
 	is.Equal(err, platform.ErrCompacted)
-	objects, _, err := f.after(context.Background(), 59)
+	objects, _, err := f.waitForChanges(context.Background(), 59)
 	is.NoErr(err)
 	is.Equal(len(objects), 1)
 }
--- a/internal/objectwatch/rescue_test.go
+++ b/internal/objectwatch/fallback_test.go
@@ -18,18 +18,18 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// lateSink notes when it was told of an object.
-type lateSink struct{ at chan time.Time }
+// timingSink notes when it was told of an object.
+type timingSink struct{ deliveredAt chan time.Time }
 
 // Listed implements Sink.
-func (n lateSink) Listed(objects []platform.Object) { n.Changed(objects) }
+func (s timingSink) Listed(objects []platform.Object) { s.Changed(objects) }
 
 // Changed implements Sink.
-func (n lateSink) Changed(objects []platform.Object) {
+func (s timingSink) Changed(objects []platform.Object) {
 	for _, o := range objects {
 		if o.Name == "late" {
 			select {
-			case n.at <- time.Now():
+			case s.deliveredAt <- time.Now():
 			default:
 			}
 		}
@@ -37,7 +37,7 @@
 }
 
 // Touch implements Sink.
-func (lateSink) Touch(bool) {}
+func (timingSink) Touch(bool) {}
 
 // cutAPI is the platform as an instance reaches it whose packets are lost while it is cut: each
 // call takes a second to fail.
@@ -46,7 +46,7 @@
 	cut *atomic.Bool
 }
 
-func (a cutAPI) lost(ctx context.Context) error {
+func (a cutAPI) failIfCut(ctx context.Context) error {
 	if !a.cut.Load() {
 		return nil
 	}
@@ -58,7 +58,7 @@
 
 // List implements platform.API.
 func (a cutAPI) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
-	if err := a.lost(ctx); err != nil {
+	if err := a.failIfCut(ctx); err != nil {
 		return nil, 0, err
 	}
 	return a.API.List(ctx, kind)
@@ -66,11 +66,11 @@
 
 // Watch implements platform.API.
 func (a cutAPI) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
-	if err := a.lost(ctx); err != nil {
+	if err := a.failIfCut(ctx); err != nil {
 		return nil, after, err
 	}
 	objects, next, err := a.API.Watch(ctx, kind, after)
-	if lost := a.lost(ctx); lost != nil {
+	if lost := a.failIfCut(ctx); lost != nil {
 		return nil, after, lost
 	}
 	return objects, next, err
@@ -96,7 +96,7 @@
 // A failure domain is cut off with its readers; an instance of it comes back first, and the
 // platform refuses it still. Guards against a change that it learns only when its readers are
 // back, or it may ask the platform again: longer than a change may take behind a cut.
-func TestInstanceBackFromACutLearnsFromReadersElsewhere(t *testing.T) {
+func TestReconnectedInstanceUsesReadersOfOtherDomains(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -104,9 +104,9 @@
 			instance := func(id, domain string) platform.Instance {
 				return platform.Instance{ID: id, FailureDomain: domain, PeerAddress: id}
 			}
-			near := []platform.Instance{instance("n1", "a"), instance("n2", "a")}
-			far := []platform.Instance{instance("f1", "b"), instance("f2", "b")}
-			all := append(slices.Clone(near), far...)
+			local := []platform.Instance{instance("n1", "a"), instance("n2", "a")}
+			remote := []platform.Instance{instance("f1", "b"), instance("f2", "b")}
+			all := append(slices.Clone(local), remote...)
 			ctx, cancel := context.WithCancel(context.Background())
 			follow := func(self platform.Instance, cut *atomic.Bool, sink Sink) {
 				s := NewSharing(SharingConfig{API: cutAPI{store, cut}, Fleet: largeFleet{fakeFleet{self, all}}, Caller: net.At(self.ID), Clock: clock.System{},
@@ -117,14 +117,14 @@
 				go f.Run(ctx)
 			}
 			cut := new(atomic.Bool)
-			for _, i := range near {
-				follow(i, cut, lateSink{make(chan time.Time, 1)})
+			for _, i := range local {
+				follow(i, cut, timingSink{make(chan time.Time, 1)})
 			}
-			for _, i := range far {
-				follow(i, new(atomic.Bool), lateSink{make(chan time.Time, 1)})
+			for _, i := range remote {
+				follow(i, new(atomic.Bool), timingSink{make(chan time.Time, 1)})
 			}
-			told := lateSink{make(chan time.Time, 1)}
-			follow(instance("s", "a"), cut, told)
+			sink := timingSink{make(chan time.Time, 1)}
+			follow(instance("s", "a"), cut, sink)
 			time.Sleep(5 * time.Second)
 			for _, id := range []string{"n1", "n2", "s"} {
 				net.SetCut(id, true)
@@ -137,10 +137,10 @@
 			net.SetCut("s", false)
 			healed := time.Now()
 			time.Sleep(12 * time.Second)
-			is.Equal(len(told.at), 1)
-			late := (<-told.at).Sub(healed)
-			t.Logf("seed %d: %v behind the end of the cut", seed, late)
-			is.True(late <= 5*time.Second)
+			is.Equal(len(sink.deliveredAt), 1)
+			delay := (<-sink.deliveredAt).Sub(healed)
+			t.Logf("seed %d: %v behind the end of the cut", seed, delay)
+			is.True(delay <= 5*time.Second)
 			cancel()
 			time.Sleep(time.Minute)
 		})
--- a/internal/objectwatch/feed.go
+++ b/internal/objectwatch/feed.go
@@ -10,237 +10,243 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// feedHistory is how many changes a feed keeps: those of some minutes, so that whoever
-// follows it is told what changed and need not list all again.
-const feedHistory = 512
+// minFeedChanges is the number of changes that a feed keeps at least. They cover some minutes,
+// so that followers can usually resume from their revision and need not list all objects again.
+const minFeedChanges = 512
 
-// feedHistorySize bounds the values of the changes that a feed keeps, in bytes. A manifest may
-// have a megabyte, and changes often.
-const feedHistorySize = 4 << 20
+// maxFeedBytes limits the total size of the values in a feed's history, in bytes. A manifest can
+// be a megabyte in size and change often.
+const maxFeedBytes = 4 << 20
 
-// change is one object's change and the revision that the platform told with it.
+// change is a change of one object, with the revision of the platform's response that contained
+// it.
 type change struct {
 	object   platform.Object
 	revision int64
 }
 
-// feed is what an instance has learned of one kind from the platform's lists and
-// watches, for other instances to follow.
+// feed holds the objects and recent changes of one kind, as received from the platform's lists
+// and watches, and serves them to other instances.
 type feed struct {
 	mu sync.Mutex
-	// known says that the objects were listed, inTouch that the last call was answered.
-	known, inTouch bool
-	objects        map[string]platform.Object
-	// revision is that of the last change that is known.
+	// loaded reports whether the objects were listed, reachable whether the last call to the
+	// platform succeeded.
+	loaded, reachable bool
+	objects           map[string]platform.Object
+	// revision is the revision of the last known change.
 	revision int64
-	// provenAt is when the last list was asked for that the platform answered. A watch
-	// proves nothing: it may hear of no change for seconds.
-	provenAt time.Time
-	// changes are the last ones, oldest first, all after the revision since.
-	changes []change
-	since   int64
-	// changed is closed and replaced when the revision rises.
-	changed chan struct{}
-	// before holds the value of each large object in front of its last change.
-	before map[string]platform.Object
-	// historySize is the size of the values of changes, in bytes.
-	historySize int
+	// asOf is the send time of the latest request for a list that the platform answered. Watches
+	// do not advance it: a watch may miss changes for seconds.
+	asOf time.Time
+	// changes is the history, oldest first. It holds all changes after the revision
+	// historyStart.
+	changes      []change
+	historyStart int64
+	// advanced is closed and replaced when revision increases.
+	advanced chan struct{}
+	// previous holds the preceding version of each large object.
+	previous map[string]platform.Object
+	// historyBytes is the total size of the values in changes, in bytes.
+	historyBytes int
 
-	// packing guards packs. It is not held together with mu.
-	packing sync.Mutex
-	packs   packs
+	// cacheMu guards cache. It is not held together with mu.
+	cacheMu sync.Mutex
+	cache   responseCache
 }
 
 func newFeed() *feed {
-	return &feed{objects: make(map[string]platform.Object), before: make(map[string]platform.Object), changed: make(chan struct{})}
+	return &feed{objects: make(map[string]platform.Object), previous: make(map[string]platform.Object), advanced: make(chan struct{})}
 }
 
-// listed takes in a list of all objects that was asked for at a time.
-func (f *feed) listed(objects []platform.Object, revision int64, asked time.Time) {
+// applyList updates the feed with a list of all objects that was requested at requestedAt.
+func (f *feed) applyList(objects []platform.Object, revision int64, requestedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inTouch = true
-	if asked.After(f.provenAt) {
-		f.provenAt = asked
+	f.reachable = true
+	if requestedAt.After(f.asOf) {
+		f.asOf = requestedAt
 	}
-	if !f.known {
-		f.begin(objects, revision)
+	if !f.loaded {
+		f.reset(objects, revision)
 		return
 	}
 	if revision > f.revision {
-		f.catchUp(objects, revision)
+		f.applyListDiff(objects, revision)
 	}
 }
 
-// begin starts the feed with a list. The caller holds f.mu.
-func (f *feed) begin(objects []platform.Object, revision int64) {
-	f.known = true
+// reset starts the feed anew from a list. The caller holds f.mu.
+func (f *feed) reset(objects []platform.Object, revision int64) {
+	f.loaded = true
 	clear(f.objects)
 	for _, o := range objects {
 		f.objects[o.Name] = o
 	}
-	f.changes, f.since, f.historySize = nil, revision, 0
-	f.rise(revision)
+	f.changes, f.historyStart, f.historyBytes = nil, revision, 0
+	f.advanceRevision(revision)
 }
 
-// catchUp takes in what a list shows and no watch has told. A list that shows nothing new
-// changes nothing, so that followers are not woken by it. The caller holds f.mu.
-func (f *feed) catchUp(objects []platform.Object, revision int64) {
+// applyListDiff records the changes that a list shows and no watch has reported. A list without
+// changes leaves the revision as it is, so that followers are not woken. The caller holds f.mu.
+func (f *feed) applyListDiff(objects []platform.Object, revision int64) {
 	listed := make(map[string]bool, len(objects))
-	var news []platform.Object
+	var changes []platform.Object
 	for _, o := range objects {
 		listed[o.Name] = true
-		if held, ok := f.objects[o.Name]; !ok || held.Revision != o.Revision {
-			news = append(news, o)
+		if current, ok := f.objects[o.Name]; !ok || current.Revision != o.Revision {
+			changes = append(changes, o)
 		}
 	}
-	for name, held := range f.objects {
+	for name, current := range f.objects {
 		if !listed[name] {
-			news = append(news, platform.Object{Kind: held.Kind, Name: name, Revision: revision, Removed: true})
+			changes = append(changes, platform.Object{Kind: current.Kind, Name: name, Revision: revision, Removed: true})
 		}
 	}
-	if len(news) == 0 {
+	if len(changes) == 0 {
 		return
 	}
-	for _, o := range news {
-		f.take(o, revision)
+	for _, o := range changes {
+		f.applyChange(o, revision)
 	}
-	f.rise(revision)
+	f.advanceRevision(revision)
 }
 
-// watched takes in the answer of a watch from a revision on.
-func (f *feed) watched(objects []platform.Object, after, revision int64) {
+// applyWatch updates the feed with the response to a watch that resumed from the
+// revision after.
+func (f *feed) applyWatch(objects []platform.Object, after, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inTouch = true
+	f.reachable = true
 	if after > f.revision {
-		// It does not follow what is known; the next list will.
-		f.known = false
+		// There is a gap between the known revision and this response; wait for the next list.
+		f.loaded = false
 	}
-	if !f.known || revision < f.revision {
+	if !f.loaded || revision < f.revision {
 		return
 	}
-	// Changes that a list has shown before are told once more, in their order, and
-	// end at the same objects.
+	// Changes that a list has already shown are recorded again, in their order, and lead to the
+	// same objects.
 	for _, o := range objects {
-		f.take(o, revision)
+		f.applyChange(o, revision)
 	}
-	f.rise(revision)
+	f.advanceRevision(revision)
 }
 
-// take takes in one change. The caller holds f.mu.
-func (f *feed) take(o platform.Object, revision int64) {
-	if held, ok := f.objects[o.Name]; ok && len(held.Value) >= leastBase && held.Revision != o.Revision {
-		f.before[o.Name] = held
+// applyChange records one change. The caller holds f.mu.
+func (f *feed) applyChange(o platform.Object, revision int64) {
+	if current, ok := f.objects[o.Name]; ok && len(current.Value) >= minBaseBytes && current.Revision != o.Revision {
+		f.previous[o.Name] = current
 	}
 	if o.Removed {
 		delete(f.objects, o.Name)
-		delete(f.before, o.Name)
+		delete(f.previous, o.Name)
 	} else {
 		f.objects[o.Name] = o
 	}
 	f.changes = append(f.changes, change{o, revision})
-	f.historySize += len(o.Value)
-	for len(f.changes) > f.historyLength() || f.historySize > feedHistorySize && len(f.changes) > 1 {
+	f.historyBytes += len(o.Value)
+	for len(f.changes) > f.maxChanges() || f.historyBytes > maxFeedBytes && len(f.changes) > 1 {
 		f.dropOldest()
 	}
 }
 
-// historyLength is how many changes are kept: those of some minutes, and as many as there are
-// objects, which may all change within seconds.
-func (f *feed) historyLength() int { return max(feedHistory, len(f.objects)) }
+// maxChanges returns how many changes the history holds: enough for some minutes, and at least
+// one for each object, since all objects may change within seconds.
+func (f *feed) maxChanges() int { return max(minFeedChanges, len(f.objects)) }
 
-// dropOldest drops the oldest changes. A batch has one revision, and goes as a whole. The caller
-// holds f.mu.
+// dropOldest drops the oldest changes. All changes of one revision are dropped together. The
+// caller holds f.mu.
 func (f *feed) dropOldest() {
-	f.since = f.changes[0].revision
+	f.historyStart = f.changes[0].revision
 	dropped := 0
-	for dropped < len(f.changes) && f.changes[dropped].revision <= f.since {
-		f.historySize -= len(f.changes[dropped].object.Value)
+	for dropped < len(f.changes) && f.changes[dropped].revision <= f.historyStart {
+		f.historyBytes -= len(f.changes[dropped].object.Value)
 		dropped++
 	}
 	f.changes = slices.Delete(f.changes, 0, dropped)
 }
 
-// rise tells those who wait of a new revision. The caller holds f.mu.
-func (f *feed) rise(revision int64) {
+// advanceRevision sets the revision if it is a later one, and wakes the waiting requests. The
+// caller holds f.mu.
+func (f *feed) advanceRevision(revision int64) {
 	if revision <= f.revision {
 		return
 	}
 	f.revision = revision
-	close(f.changed)
-	f.changed = make(chan struct{})
+	close(f.advanced)
+	f.advanced = make(chan struct{})
 }
 
-// lost notes that the platform did not answer.
-func (f *feed) lost() {
+// markUnreachable records that the platform did not respond.
+func (f *feed) markUnreachable() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inTouch = false
+	f.reachable = false
 }
 
-// age returns how long ago the platform showed that there is no more than what is known.
+// age returns the time since the last list on which the feed is based was requested.
 func (f *feed) age(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now.Sub(f.provenAt)
+	return now.Sub(f.asOf)
 }
 
-// list returns all objects; none are known while the platform does not answer.
-func (f *feed) list() knownList {
+// snapshot returns all objects. The snapshot is not valid while the platform is unreachable.
+func (f *feed) snapshot() snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.known || !f.inTouch {
-		return knownList{}
+	if !f.loaded || !f.reachable {
+		return snapshot{}
 	}
-	return newKnownList(f.objects, f.revision, f.provenAt)
+	return newSnapshot(f.objects, f.revision, f.asOf)
 }
 
-// awaitKnown waits until the objects are known here, or learned is closed, for a time at most.
-func (f *feed) awaitKnown(ctx context.Context, k clock.Clock, limit time.Duration, learned <-chan struct{}) {
+// waitForList waits until the feed is loaded, relayedCh is closed, or the limit has passed.
+func (f *feed) waitForList(ctx context.Context, c clock.Clock, limit time.Duration, relayedCh <-chan struct{}) {
 	f.mu.Lock()
-	known, changed := f.known, f.changed
+	loaded, advanced := f.loaded, f.advanced
 	f.mu.Unlock()
-	if known {
+	if loaded {
 		return
 	}
-	timer := k.NewTimer(limit)
+	timer := c.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-changed:
-	case <-learned:
+	case <-advanced:
+	case <-relayedCh:
 	}
 }
 
-// after waits until there are changes after a revision or ctx ends, and returns them.
-// Its errors are ErrUnavailable and ErrCompacted of the platform package.
-func (f *feed) after(ctx context.Context, revision int64) ([]platform.Object, int64, error) {
+// waitForChanges waits until there are changes after a revision, and returns them. It returns
+// none if ctx ends first. Its errors are platform.ErrUnavailable and platform.ErrCompacted.
+func (f *feed) waitForChanges(ctx context.Context, revision int64) ([]platform.Object, int64, error) {
 	for {
-		objects, next, changed, err := f.look(revision)
+		objects, next, advanced, err := f.changesAfter(revision)
 		if err != nil || next > revision {
 			return objects, next, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, revision, nil
-		case <-changed:
+		case <-advanced:
 		}
 	}
 }
 
-// look returns the changes after a revision, and what is closed when there are more.
-func (f *feed) look(revision int64) ([]platform.Object, int64, <-chan struct{}, error) {
+// changesAfter returns the changes after a revision. If there are none yet, it returns a channel
+// that is closed when the revision advances.
+func (f *feed) changesAfter(revision int64) ([]platform.Object, int64, <-chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case !f.known || !f.inTouch:
+	case !f.loaded || !f.reachable:
 		return nil, 0, nil, platform.ErrUnavailable
 	case f.revision <= revision:
-		// Whoever asks may know more than this feed.
-		return nil, revision, f.changed, nil
-	case revision < f.since:
+		// The requester may have a later revision than this feed.
+		return nil, revision, f.advanced, nil
+	case revision < f.historyStart:
 		return nil, 0, nil, platform.ErrCompacted
 	}
 	var objects []platform.Object
@@ -252,15 +258,15 @@
 	return objects, f.revision, nil, nil
 }
 
-// valueOf returns the value of one version of an object, the present one or the one before it;
-// nil if it is not held.
-func (f *feed) valueOf(r *baseRef) []byte {
+// baseValue returns the value of the given version of an object if it is the current or the
+// previous one, and nil otherwise.
+func (f *feed) baseValue(r *versionRef) []byte {
 	if r == nil {
 		return nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range []platform.Object{f.objects[r.Name], f.before[r.Name]} {
+	for _, o := range []platform.Object{f.objects[r.Name], f.previous[r.Name]} {
 		if o.Name == r.Name && o.Revision == r.Revision {
 			return o.Value
 		}
@@ -268,18 +274,19 @@
 	return nil
 }
 
-// packed returns objects packed for whoever asks with a question, from a revision to another.
-func (f *feed) packed(objects []platform.Object, from, to int64, q question) (answer, error) {
-	k := packKey{from: from, to: to}
-	base := f.valueOf(q.Base)
+// encodeResponse returns a response to req with the objects that changed between two revisions,
+// delta-encoded if the feed has the requester's base.
+func (f *feed) encodeResponse(objects []platform.Object, from, to int64, req request) (response, error) {
+	key := responseKey{from: from, to: to}
+	base := f.baseValue(req.DeltaBase)
 	if len(base) > 0 {
-		k.base = *q.Base
+		key.base = *req.DeltaBase
 	}
-	f.packing.Lock()
-	defer f.packing.Unlock()
-	bytes, err := f.packs.get(k, objects, base)
+	f.cacheMu.Lock()
+	defer f.cacheMu.Unlock()
+	encoded, err := f.cache.getOrEncode(key, objects, base)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{Packed: bytes, OnBase: len(base) > 0, Revision: to}, nil
+	return response{Encoded: encoded, Delta: len(base) > 0, Revision: to}, nil
 }
--- a/internal/objectwatch/feed_test.go
+++ b/internal/objectwatch/feed_test.go
@@ -15,32 +15,32 @@
 // A follower was away for so long that the feed has forgotten the changes that it asks
 // for. It is told so and lists anew; an answer with the later ones alone would leave what
 // was removed meanwhile in its list for good.
-func TestFeedSaysWhatItHasForgotten(t *testing.T) {
+func TestFeedReportsCompactedHistory(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed(nil, 10, time.Time{})
-	for k := range int64(feedHistory + 20) {
-		f.watched([]platform.Object{{Name: fmt.Sprint("m", k%3)}}, 10+k, 11+k)
+	f.applyList(nil, 10, time.Time{})
+	for k := range int64(minFeedChanges + 20) {
+		f.applyWatch([]platform.Object{{Name: fmt.Sprint("m", k%3)}}, 10+k, 11+k)
 	}
-	_, _, err := f.after(context.Background(), 10)
+	_, _, err := f.waitForChanges(context.Background(), 10)
 	is.True(errors.Is(err, platform.ErrCompacted))
-	objects, next, err := f.after(context.Background(), 10+feedHistory)
+	objects, next, err := f.waitForChanges(context.Background(), 10+minFeedChanges)
 	is.NoErr(err)
-	is.Equal(next, int64(10+feedHistory+20))
+	is.Equal(next, int64(10+minFeedChanges+20))
 	is.Equal(len(objects), 20)
 }
 
 // A watch's answer does not follow what the feed knows: another list has come between.
 // The feed tells nothing until it is listed again, rather than a list with a gap.
-func TestFeedTellsNothingBehindAGap(t *testing.T) {
+func TestFeedReturnsNothingAfterAGap(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed([]platform.Object{{Name: "a"}}, 10, time.Time{})
-	f.watched([]platform.Object{{Name: "c"}}, 12, 13)
-	is.True(!f.list().known)
-	f.listed([]platform.Object{{Name: "a"}, {Name: "b"}, {Name: "c"}}, 13, time.Time{})
-	list := f.list()
-	is.True(list.known)
+	f.applyList([]platform.Object{{Name: "a"}}, 10, time.Time{})
+	f.applyWatch([]platform.Object{{Name: "c"}}, 12, 13)
+	is.True(!f.snapshot().valid)
+	f.applyList([]platform.Object{{Name: "a"}, {Name: "b"}, {Name: "c"}}, 13, time.Time{})
+	list := f.snapshot()
+	is.True(list.valid)
 	is.Equal(len(list.objects), 3)
 	is.Equal(list.revision, int64(13))
 }
@@ -52,14 +52,14 @@
 	is := is.New(t)
 	f := newFeed()
 	first := time.Unix(100, 0)
-	f.listed([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}, {Name: "c", Revision: 5}}, 10, first)
-	f.listed([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}, {Name: "c", Revision: 5}}, 20, first.Add(time.Second))
-	_, revision, _, err := f.look(10)
+	f.applyList([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}, {Name: "c", Revision: 5}}, 10, first)
+	f.applyList([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}, {Name: "c", Revision: 5}}, 20, first.Add(time.Second))
+	_, revision, _, err := f.changesAfter(10)
 	is.NoErr(err)
 	is.Equal(revision, int64(10))
 	is.Equal(f.age(first.Add(3*time.Second)), 2*time.Second)
-	f.listed([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 25}}, 30, first.Add(2*time.Second))
-	objects, next, err := f.after(context.Background(), 10)
+	f.applyList([]platform.Object{{Name: "a", Revision: 3}, {Name: "b", Revision: 25}}, 30, first.Add(2*time.Second))
+	objects, next, err := f.waitForChanges(context.Background(), 10)
 	is.NoErr(err)
 	is.Equal(next, int64(30))
 	is.Equal(len(objects), 2)
@@ -70,14 +70,14 @@
 
 // A list overtakes a watch that was under way. What the watch tells beyond the list is
 // taken in, and what it tells again does no harm.
-func TestFeedTakesAWatchThatAListOvertook(t *testing.T) {
+func TestFeedAppliesWatchOvertakenByList(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
-	f.listed([]platform.Object{{Name: "a", Revision: 3}}, 10, time.Time{})
-	f.listed([]platform.Object{{Name: "a", Revision: 12}}, 12, time.Time{})
-	f.watched([]platform.Object{{Name: "a", Revision: 12}, {Name: "b", Revision: 14}}, 10, 14)
-	list := f.list()
-	is.True(list.known)
+	f.applyList([]platform.Object{{Name: "a", Revision: 3}}, 10, time.Time{})
+	f.applyList([]platform.Object{{Name: "a", Revision: 12}}, 12, time.Time{})
+	f.applyWatch([]platform.Object{{Name: "a", Revision: 12}, {Name: "b", Revision: 14}}, 10, 14)
+	list := f.snapshot()
+	is.True(list.valid)
 	is.Equal(list.revision, int64(14))
 	is.Equal(len(list.objects), 2)
 }
--- a/internal/objectwatch/fleet.go
+++ b/internal/objectwatch/fleet.go
@@ -2,26 +2,26 @@
 
 import "github.com/topazrock/topazrock/internal/platform"
 
-// Fleet is the view of the other instances; membership.Members implements it.
+// Fleet provides the list of instances; membership.Members implements it.
 type Fleet interface {
 	Self() platform.Instance
-	// Known reports whether the others have been learned once.
+	// Known reports whether the list of instances has been loaded at least once.
 	Known() bool
 	// Live returns the instances that are not leaving.
 	Live() []platform.Instance
-	// Pick returns n instances of each failure domain for a duty.
+	// Pick selects n instances of each failure domain for a duty.
 	Pick(duty string, n int) []platform.Instance
 }
 
-// OnDuty returns those of n instances of each failure domain that have a duty in this
-// instance's domain, and whether this one is among them.
-func OnDuty(f Fleet, duty string, n int) (near []platform.Instance, self bool) {
-	me := f.Self()
+// OnDuty selects n instances of each failure domain for a duty. It returns those in this
+// instance's own failure domain, and whether this instance was selected.
+func OnDuty(f Fleet, duty string, n int) (local []platform.Instance, self bool) {
+	instance := f.Self()
 	for _, i := range f.Pick(duty, n) {
-		if i.FailureDomain == me.FailureDomain {
-			near = append(near, i)
+		if i.FailureDomain == instance.FailureDomain {
+			local = append(local, i)
 		}
-		self = self || i.ID == me.ID
+		self = self || i.ID == instance.ID
 	}
-	return near, self
+	return local, self
 }
--- a/internal/objectwatch/follower.go
+++ b/internal/objectwatch/follower.go
@@ -1,8 +1,9 @@
-// Package objectwatch follows the objects of one kind on the platform: it lists
-// them, watches from there, and lists again whenever the watch's history is gone.
+// Package objectwatch follows the objects of one kind on the platform: it lists them, watches
+// for changes from the list's revision on, and lists them again when the platform has compacted
+// the revision to resume from.
 //
-// The platform may be down, slow or silent for any time. What was learned stays
-// valid for whoever holds it; a Follower only says when it is out of touch.
+// The platform may be down, slow or unresponsive for any length of time. Objects that were
+// received stay valid for their users; a Follower only reports that the platform is unreachable.
 package objectwatch
 
 import (
@@ -19,69 +20,69 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause after a call that failed. Every
-	// call is paid for, and the platform needs some of its rate for its return.
+	// minBackoff and maxBackoff bound the pause after a failed call. Every call is billed, and a
+	// platform that recovers needs part of its capacity for the recovery.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Sink takes what a Follower learns, one call at a time.
+// Sink receives what a Follower learns. Its methods are never called concurrently.
 type Sink interface {
-	// Listed takes all objects of the kind.
+	// Listed receives all objects of the kind.
 	Listed(objects []platform.Object)
-	// Changed takes objects that changed or were removed.
+	// Changed receives objects that were changed or removed.
 	Changed(objects []platform.Object)
-	// Touch says whether the platform answers.
+	// Touch reports whether the platform is reachable.
 	Touch(inTouch bool)
 }
 
-// Peers are other instances that follow the kind.
+// Peers are other instances that follow the same kind.
 type Peers interface {
-	// Since returns what changed after a revision until now, and the revision up to which that
-	// goes. An error says that no peer could prove lately that it knows all.
-	Since(ctx context.Context, after int64) ([]platform.Object, int64, error)
+	// ChangesSince returns the changes after a revision and the revision that they lead to. It
+	// returns an error if no peer can prove that its state is recent enough.
+	ChangesSince(ctx context.Context, after int64) ([]platform.Object, int64, error)
 }
 
-// Config is what a Follower is made of.
+// Config configures a Follower.
 type Config struct {
 	API   platform.API
 	Kind  platform.Kind
 	Sink  Sink
 	Clock clock.Clock
-	// Rand spreads the pauses; nothing else may use it.
+	// Rand adds jitter to the backoff. It must not be shared.
 	Rand *rand.Rand
 	Log  hclog.Logger
-	// Settle is the pause before watching on after a change. Changes that come
-	// in bursts and are in no hurry are then told in one call.
+	// Settle is the pause after a change before the next watch. Bursts of changes that are not
+	// urgent then arrive in a single call.
 	Settle time.Duration
-	// Check is how often the objects are listed besides the watch; zero is never. A
-	// watch may hear nothing for seconds while objects change, and nothing in its
-	// answers shows it; only a list bounds how late a change is learned.
+	// Check is the interval at which the objects are listed in addition to the watch; zero
+	// disables it. A watch can miss changes for seconds without any sign of it in its responses,
+	// so only a list bounds the delay of a change.
 	Check time.Duration
-	// Stale says that such a list may be some seconds old, which the platform charges
-	// less for.
+	// Stale allows these lists to be some seconds old. The platform charges less for such a
+	// list.
 	Stale bool
-	// Peers, if set, are asked before each such list and may spare it.
+	// Peers, if set, is asked before each of these lists. If it responds, the list is skipped.
 	Peers Peers
 }
 
-// Follower follows one kind.
+// Follower follows the objects of one kind.
 type Follower struct {
 	Config
-	// backoff is the last pause of the watch's loop.
+	// backoff is the previous pause after a failed list or watch.
 	backoff time.Duration
 
-	// mu serialises the calls of Sink and guards the fields below.
-	mu      sync.Mutex
-	inTouch bool
-	// revision is the last one up to which the sink was told.
-	revision int64
-	// failingSince is when the first of the present failures was met, and answeredAt when the
-	// platform or a peer answered last.
-	failingSince, answeredAt time.Time
+	// mu serializes the calls to Sink and guards the fields below.
+	mu        sync.Mutex
+	reachable bool
+	// delivered is the latest revision that was delivered to the sink.
+	delivered int64
+	// failingSince is the time of the first failure in the current series of failures; zero if
+	// there is none. lastAnswer is the time of the last response from the platform or a peer.
+	failingSince, lastAnswer time.Time
 }
 
-// New returns a Follower; Run makes it work.
+// New returns a Follower. Call Run to start it.
 func New(c Config) *Follower {
 	c.Log = c.Log.Named("objectwatch").With("kind", c.Kind)
 	return &Follower{Config: c}
@@ -89,188 +90,190 @@
 
 // Run follows the kind until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	var parts sync.WaitGroup
+	var loops sync.WaitGroup
 	if f.Check > 0 {
-		parts.Go(func() { f.check(ctx) })
+		loops.Go(func() { f.runChecks(ctx) })
 	}
-	f.follow(ctx)
-	parts.Wait()
+	f.listAndWatch(ctx)
+	loops.Wait()
 }
 
-// check lists the objects at an interval. A list that fails is left to the watch,
-// which finds out as well.
-func (f *Follower) check(ctx context.Context) {
+// runChecks lists the objects at the interval Check. It does not handle a failed list, because
+// the watch detects the failure as well.
+func (f *Follower) runChecks(ctx context.Context) {
 	for clock.Sleep(ctx, f.Clock, f.Check) == nil {
-		if f.caughtUp(ctx) {
+		if f.applyPeerChanges(ctx) {
 			continue
 		}
-		objects, revision, err := f.list(ctx)
+		objects, revision, err := f.listForCheck(ctx)
 		if err != nil {
-			f.Log.Debug("The objects were not listed.", "error", err)
+			f.Log.Debug("Listing the objects failed.", "error", err)
 			continue
 		}
-		f.answered()
-		f.tellList(objects, revision)
+		f.markReachable()
+		f.deliverList(objects, revision)
 	}
 }
 
-// caughtUp has peers tell what the watch may have missed, and reports whether they could. A list
-// of all objects in its place, from each of a hundred followers, takes the links of those who
-// read for them, and then their answers come too late for all.
-func (f *Follower) caughtUp(ctx context.Context) bool {
+// applyPeerChanges delivers the changes that peers know of and the watch may have missed, and
+// reports whether a peer responded. If each of a hundred followers listed all objects instead,
+// the lists would saturate the links of the readers, whose responses would then be late for all
+// followers.
+func (f *Follower) applyPeerChanges(ctx context.Context) bool {
 	if f.Peers == nil {
 		return false
 	}
-	objects, revision, err := f.Peers.Since(ctx, f.toldUpTo())
+	objects, revision, err := f.Peers.ChangesSince(ctx, f.deliveredRevision())
 	if err != nil {
-		f.Log.Debug("Peers did not tell what changed.", "error", err)
+		f.Log.Debug("No peer returned recent changes.", "error", err)
 		return false
 	}
-	f.tellChanges(objects, revision)
+	f.deliverChanges(objects, revision)
 	return true
 }
 
-// list lists the objects for a check.
-func (f *Follower) list(ctx context.Context) ([]platform.Object, int64, error) {
+// listForCheck lists the objects for runChecks.
+func (f *Follower) listForCheck(ctx context.Context) ([]platform.Object, int64, error) {
 	if f.Stale {
 		return f.API.ListStale(ctx, f.Kind)
 	}
 	return f.API.List(ctx, f.Kind)
 }
 
-// tellList passes on a list, unless the sink knows of later changes. A list that was
-// answered slowly, or that may be old, shows the objects as they were before a change that
-// the watch has told meanwhile: passed on, it would take that change back until the next
-// list. What is in it has been told.
-func (f *Follower) tellList(objects []platform.Object, revision int64) {
+// deliverList passes a list to the sink unless the sink already has a later revision. A list
+// that was answered slowly or is stale may predate a change that the watch has delivered;
+// delivering the list would revert that change until the next list. The sink already has
+// everything in such a list.
+func (f *Follower) deliverList(objects []platform.Object, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision < f.revision {
-		f.Log.Debug("A list is older than what is known.", "revision", revision, "known", f.revision)
+	if revision < f.delivered {
+		f.Log.Debug("Ignored a list that is older than the known revision.", "revision", revision, "known", f.delivered)
 		return
 	}
-	f.revision = revision
+	f.delivered = revision
 	f.Sink.Listed(objects)
 }
 
-// tellChanges passes on changes up to a revision, unless the sink knows of later ones. What
-// came late has been told with those, and would take them back.
-func (f *Follower) tellChanges(objects []platform.Object, revision int64) {
+// deliverChanges passes the changes up to a revision to the sink unless the sink already has
+// that revision. Late changes are part of what the sink has, and would revert later ones.
+func (f *Follower) deliverChanges(objects []platform.Object, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(objects) == 0 || revision <= f.revision {
+	if len(objects) == 0 || revision <= f.delivered {
 		return
 	}
-	f.revision = revision
+	f.delivered = revision
 	f.Sink.Changed(objects)
 }
 
-// toldUpTo returns the revision up to which the sink was told.
-func (f *Follower) toldUpTo() int64 {
+// deliveredRevision returns the latest revision that was delivered to the sink.
+func (f *Follower) deliveredRevision() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.revision
+	return f.delivered
 }
 
-func (f *Follower) follow(ctx context.Context) {
+func (f *Follower) listAndWatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		objects, revision, err := f.API.List(ctx, f.Kind)
 		if err != nil {
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
 		f.backoff = 0
-		f.answered()
-		f.tellList(objects, revision)
-		// A list that was not passed on lacks changes that the sink knows.
-		f.watch(ctx, f.toldUpTo())
+		f.markReachable()
+		f.deliverList(objects, revision)
+		// Resume from the delivered revision: if the list was too old to be delivered, its own
+		// revision is an earlier one.
+		f.watch(ctx, f.deliveredRevision())
 	}
 }
 
-// watch passes on changes until the history is gone or ctx ends.
+// watch delivers changes until its revision is compacted or ctx ends.
 func (f *Follower) watch(ctx context.Context, revision int64) {
 	for ctx.Err() == nil {
 		objects, next, err := f.API.Watch(ctx, f.Kind, revision)
 		switch {
 		case errors.Is(err, platform.ErrCompacted):
-			f.Log.Info("History is gone; the objects are listed again.", "revision", revision)
+			f.Log.Info("Revision was compacted; the objects are listed again.", "revision", revision)
 			return
-		case errors.Is(err, errQuiet):
-			f.quiet()
+		case errors.Is(err, errWatchExpired):
+			f.watchExpired()
 			continue
 		case err != nil:
-			f.failed(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
 		f.backoff = 0
-		f.answered()
+		f.markReachable()
 		revision = next
 		if len(objects) > 0 {
-			f.tellChanges(objects, revision)
+			f.deliverChanges(objects, revision)
 			_ = clock.Sleep(ctx, f.Clock, f.Settle)
 		}
 	}
 }
 
-// answered notes that the platform answered. A list says so at once; a watch only when
-// something changes or it ends, which may be half a minute after an outage.
-func (f *Follower) answered() {
+// markReachable records a response from the platform or a peer. Lists call it too, because a
+// watch returns only on a change or at its end, which may be half a minute after an outage.
+func (f *Follower) markReachable() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	failing := f.failingSince
-	f.failingSince, f.answeredAt = time.Time{}, f.Clock.Now()
-	if f.inTouch {
+	failingSince := f.failingSince
+	f.failingSince, f.lastAnswer = time.Time{}, f.Clock.Now()
+	if f.reachable {
 		return
 	}
-	f.inTouch = true
-	f.Log.Info("The platform answers.", "failing_for", f.since(failing).String())
+	f.reachable = true
+	f.Log.Info("The platform answers.", "failing_for", f.elapsedSince(failingSince).String())
 	f.Sink.Touch(true)
 }
 
-// since is the time from a moment until now; zero for none.
-func (f *Follower) since(moment time.Time) time.Duration {
+// elapsedSince returns the time since moment, or zero if moment is the zero time.
+func (f *Follower) elapsedSince(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return 0
 	}
 	return f.Clock.Now().Sub(moment)
 }
 
-// mostQuiet is how long nothing may answer before the platform is taken for silent: a little longer
-// than it holds a watch that has nothing to tell.
-const mostQuiet = 30 * time.Second
+// maxSilence is how long the platform may send no response before it counts as unreachable. It
+// is slightly longer than the platform holds a watch without changes.
+const maxSilence = 30 * time.Second
 
-// quiet notes a watch that was given up with nothing heard.
-func (f *Follower) quiet() {
+// watchExpired handles a watch that timed out on this side without a response.
+func (f *Follower) watchExpired() {
 	f.mu.Lock()
-	silent := f.Clock.Now().Sub(f.answeredAt) > mostQuiet
+	unresponsive := f.Clock.Now().Sub(f.lastAnswer) > maxSilence
 	f.mu.Unlock()
-	if silent {
-		f.lost(errQuiet)
+	if unresponsive {
+		f.markUnreachable(errWatchExpired)
 	}
 }
 
-// failed notes a call of the watch's loop that failed and pauses before the next.
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleFailure records a failed list or watch and pauses before the next attempt.
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	f.lost(err)
+	f.markUnreachable(err)
 	f.backoff = min(max(2*f.backoff, minBackoff), maxBackoff)
 	half := f.backoff / 2
 	_ = clock.Sleep(ctx, f.Clock, half+time.Duration(f.Rand.Int64N(int64(half)+1)))
 }
 
-// lost notes that the platform did not answer.
-func (f *Follower) lost(err error) {
+// markUnreachable records that the platform did not respond.
+func (f *Follower) markUnreachable(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.failingSince.IsZero() {
 		f.failingSince = f.Clock.Now()
 	}
-	if !f.inTouch {
+	if !f.reachable {
 		return
 	}
-	f.inTouch = false
+	f.reachable = false
 	f.Log.Warn("The platform does not answer.", "error", err)
 	f.Sink.Touch(false)
 }
--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -17,35 +17,35 @@
 )
 
 // noted keeps what a sink is told.
-type noted struct {
-	values  map[string]string
-	lists   int
-	touches []bool
+type recordingSink struct {
+	values       map[string]string
+	lists        int
+	reachability []bool
 }
 
 // Listed implements Sink.
-func (n *noted) Listed(objects []platform.Object) {
-	n.lists++
-	clear(n.values)
-	n.Changed(objects)
+func (s *recordingSink) Listed(objects []platform.Object) {
+	s.lists++
+	clear(s.values)
+	s.Changed(objects)
 }
 
 // Changed implements Sink.
-func (n *noted) Changed(objects []platform.Object) {
+func (s *recordingSink) Changed(objects []platform.Object) {
 	for _, o := range objects {
-		n.values[o.Name] = string(o.Value)
+		s.values[o.Name] = string(o.Value)
 		if o.Removed {
-			delete(n.values, o.Name)
+			delete(s.values, o.Name)
 		}
 	}
 }
 
 // Touch implements Sink.
-func (n *noted) Touch(inTouch bool) { n.touches = append(n.touches, inTouch) }
+func (s *recordingSink) Touch(inTouch bool) { s.reachability = append(s.reachability, inTouch) }
 
-func follow(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *noted)) {
+func runFollower(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *recordingSink)) {
 	synctest.Test(t, func(t *testing.T) {
-		store, n := standin.NewStore(), &noted{values: make(map[string]string)}
+		store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 		w := New(Config{API: store, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 			Log: hclog.NewNullLogger(), Check: check})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -54,7 +54,7 @@
 			defer close(done)
 			w.Run(ctx)
 		}()
-		pass(time.Second)
+		advance(time.Second)
 		f(is.New(t), store, n)
 		cancel()
 		<-done
@@ -62,55 +62,55 @@
 }
 
 func put(is *is.I, s *standin.Store, name, value string) {
-	held, _ := s.Get(context.Background(), platform.KindGroup, name)
-	_, err := s.Put(context.Background(), platform.KindGroup, name, []byte(value), held.Version)
+	current, _ := s.Get(context.Background(), platform.KindGroup, name)
+	_, err := s.Put(context.Background(), platform.KindGroup, name, []byte(value), current.Version)
 	is.NoErr(err)
 }
 
 // Objects change, one is removed, and the history is dropped behind a change that was
 // not heard. All is told, by the watch or by a new list.
-func TestChangesAreToldPastALostHistory(t *testing.T) {
-	follow(t, 0, func(is *is.I, s *standin.Store, n *noted) {
+func TestChangesAreDeliveredAfterCompaction(t *testing.T) {
+	runFollower(t, 0, func(is *is.I, s *standin.Store, n *recordingSink) {
 		put(is, s, "a", "1")
 		put(is, s, "b", "1")
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(fmt.Sprint(n.values), "map[a:1 b:1]")
 		is.NoErr(s.Delete(context.Background(), platform.KindGroup, "b", 1))
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(fmt.Sprint(n.values), "map[a:1]")
 		s.SetFaults(standin.Faults{Outage: true})
-		pass(time.Second)
+		advance(time.Second)
 		s.SetFaults(standin.Faults{})
 		put(is, s, "a", "2")
 		s.Compact(platform.KindGroup)
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		is.Equal(fmt.Sprint(n.values), "map[a:2]")
 		is.Equal(n.lists, 2)
-		is.Equal(n.touches, []bool{true, false, true})
+		is.Equal(n.reachability, []bool{true, false, true})
 	})
 }
 
 // The watch is deaf. Without a check nothing is told; with one, a change is told within
 // its interval.
-func TestChecksBoundADeafWatch(t *testing.T) {
+func TestChecksBoundTheDelayOfASilentWatch(t *testing.T) {
 	for _, check := range []time.Duration{0, 2 * time.Second} {
-		follow(t, check, func(is *is.I, s *standin.Store, n *noted) {
+		runFollower(t, check, func(is *is.I, s *standin.Store, n *recordingSink) {
 			s.SetFaults(standin.Faults{DeafWatches: true})
 			put(is, s, "a", "1")
-			pass(check + 100*time.Millisecond)
+			advance(check + 100*time.Millisecond)
 			is.Equal(n.values["a"] == "1", check > 0)
 		})
 	}
 }
 
-// slowLists answers lists some time after they were read.
-type slowLists struct {
+// delayedLists answers lists some time after they were read.
+type delayedLists struct {
 	platform.API
 	delay time.Duration
 }
 
 // List implements platform.API.
-func (s slowLists) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+func (s delayedLists) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
 	objects, revision, err := s.API.List(ctx, kind)
 	time.Sleep(s.delay)
 	return objects, revision, err
@@ -121,8 +121,8 @@
 func TestListThatIsOlderTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, n := standin.NewStore(), &noted{values: make(map[string]string)}
-		w := New(Config{API: slowLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{},
+		store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+		w := New(Config{API: delayedLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{},
 			Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger(), Check: 2 * time.Second})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -131,11 +131,11 @@
 			w.Run(ctx)
 		}()
 		// The check reads its list at two seconds and has it half a second later.
-		pass(2100 * time.Millisecond)
+		advance(2100 * time.Millisecond)
 		put(is, store, "a", "1")
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		is.Equal(n.values["a"], "1")
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(n.values["a"], "1")
 		cancel()
 		<-done
@@ -143,11 +143,11 @@
 }
 
 // The platform is away for a minute. It is asked about once a second, not in a loop.
-func TestCallsArePacedInAnOutage(t *testing.T) {
-	follow(t, 0, func(is *is.I, s *standin.Store, _ *noted) {
+func TestCallsBackOffInAnOutage(t *testing.T) {
+	runFollower(t, 0, func(is *is.I, s *standin.Store, _ *recordingSink) {
 		s.SetFaults(standin.Faults{Outage: true})
 		before := s.Calls()[standin.CallWatch]
-		pass(time.Minute)
+		advance(time.Minute)
 		calls := s.Calls()[standin.CallWatch] - before
 		is.True(calls < 130)
 		is.True(calls > 50)
@@ -156,28 +156,28 @@
 
 // pass lets virtual time pass and everything come to rest, so that what the sink was
 // told may be read.
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 // knowing are peers that know of some changes up to a revision, or cannot tell.
-type knowing struct {
-	changes []platform.Object
-	upTo    int64
-	err     error
+type fakePeers struct {
+	changes  []platform.Object
+	revision int64
+	err      error
 }
 
 // Since implements Peers.
-func (k *knowing) Since(context.Context, int64) ([]platform.Object, int64, error) {
-	return k.changes, k.upTo, k.err
+func (p *fakePeers) ChangesSince(context.Context, int64) ([]platform.Object, int64, error) {
+	return p.changes, p.revision, p.err
 }
 
-// deafAPI is a platform whose watches hear nothing.
-type deafAPI struct{ platform.API }
+// silentWatchAPI is a platform whose watches hear nothing.
+type silentWatchAPI struct{ platform.API }
 
 // Watch implements platform.API.
-func (deafAPI) Watch(ctx context.Context, _ platform.Kind, after int64) ([]platform.Object, int64, error) {
+func (silentWatchAPI) Watch(ctx context.Context, _ platform.Kind, after int64) ([]platform.Object, int64, error) {
 	<-ctx.Done()
 	return nil, after, ctx.Err()
 }
@@ -186,19 +186,19 @@
 // all objects for each change that peers heard of first.
 func TestPeersTellWhatTheWatchMissed(t *testing.T) {
 	for name, c := range map[string]struct {
-		peers knowing
+		peers fakePeers
 		lists int
 	}{
-		"they know of a change": {knowing{changes: []platform.Object{{Name: "a", Value: []byte("2"), Revision: 50}}, upTo: 50}, 1},
-		"they know of none":     {knowing{upTo: 1}, 1},
-		"they go back less far": {knowing{err: platform.ErrCompacted}, 2},
-		"they cannot tell":      {knowing{err: errNoFeed}, 2},
+		"they know of a change": {fakePeers{changes: []platform.Object{{Name: "a", Value: []byte("2"), Revision: 50}}, revision: 50}, 1},
+		"they know of none":     {fakePeers{revision: 1}, 1},
+		"they go back less far": {fakePeers{err: platform.ErrCompacted}, 2},
+		"they cannot tell":      {fakePeers{err: errFeedUnavailable}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			store, n := standin.NewStore(), &noted{values: make(map[string]string)}
+			store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 			put(is, store, "a", "1")
-			w := New(Config{API: deafAPI{store}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
+			w := New(Config{API: silentWatchAPI{store}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 				Log: hclog.NewNullLogger(), Check: 2 * time.Second, Peers: &c.peers})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
--- a/internal/objectwatch/narrow_test.go
+++ b/internal/objectwatch/narrowlink_test.go
@@ -16,30 +16,30 @@
 )
 
 // links are the instances' links to the network; each sends one answer after the other, at
-// narrowLink.
-type links struct {
-	mu   sync.Mutex
-	busy map[string]time.Time
-	sent map[string]int
+// narrowLinkRate.
+type narrowLinks struct {
+	mu        sync.Mutex
+	busyUntil map[string]time.Time
+	sent      map[string]int
 }
 
 // take lets an instance send a number of bytes, and returns when they are there.
-func (l *links) take(address string, bytes int) time.Time {
+func (l *narrowLinks) send(address string, bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from := time.Now()
-	if l.busy[address].After(from) {
-		from = l.busy[address]
+	if l.busyUntil[address].After(from) {
+		from = l.busyUntil[address]
 	}
-	l.busy[address] = from.Add(time.Duration(float64(bytes) / narrowLink * float64(time.Second)))
+	l.busyUntil[address] = from.Add(time.Duration(float64(bytes) / narrowLinkRate * float64(time.Second)))
 	l.sent[address] += bytes
-	return l.busy[address]
+	return l.busyUntil[address]
 }
 
 // narrowCaller has answers take the time of a narrow link.
 type narrowCaller struct {
 	peer.Caller
-	links    *links
+	links    *narrowLinks
 	received *receivedBytes
 }
 
@@ -56,7 +56,7 @@
 		return err
 	}
 	c.received.n.Add(int64(len(text)))
-	timer := time.NewTimer(time.Until(c.links.take(address, len(text))))
+	timer := time.NewTimer(time.Until(c.links.send(address, len(text))))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -72,16 +72,16 @@
 func TestLargeManifestReachesAWholeDomainOverNarrowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newSharedDomain(100)
+		d := newTestDomain(100)
 		_, err := d.store.Put(context.Background(), platform.KindUpstreams, "m", largeValue(1), 0)
 		is.NoErr(err)
-		l := &links{busy: make(map[string]time.Time), sent: make(map[string]int)}
+		l := &narrowLinks{busyUntil: make(map[string]time.Time), sent: make(map[string]int)}
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		began := time.Now()
-		d.knownFrom = began.Add(freshFleetWait)
+		start := time.Now()
+		d.fleetKnownAt = start.Add(newFleetWait)
 		for k, i := range d.instances {
-			f := d.follower(k, i.view, 0, 0)
+			f := d.newFollower(k, i.view, 0, 0)
 			s := f.API.(*SharedAPI).sharing
 			s.Caller = narrowCaller{s.Caller, l, &receivedBytes{}}
 			running.Go(func() { f.Run(ctx) })
@@ -94,7 +94,7 @@
 					known++
 				}
 			}
-			if time.Since(began) > 20*time.Second {
+			if time.Since(start) > 20*time.Second {
 				t.Fatalf("%d of %d know it after 20 s", known, len(d.instances))
 			}
 		}
@@ -102,8 +102,8 @@
 		for _, n := range l.sent {
 			most = max(most, n)
 		}
-		t.Logf("all know it after %v; most sent by one %d bytes", time.Since(began), most)
-		is.True(time.Since(began) <= 5*time.Second)
+		t.Logf("all know it after %v; most sent by one %d bytes", time.Since(start), most)
+		is.True(time.Since(start) <= 5*time.Second)
 		is.True(most <= 1<<20)
 		cancel()
 		running.Wait()
--- a/internal/objectwatch/growth_test.go
+++ b/internal/objectwatch/scaling_test.go
@@ -17,78 +17,78 @@
 )
 
 const (
-	// entriesEach is how many members' entries there are for each instance of a failure domain:
+	// entriesPerInstance is how many members' entries there are for each instance of a failure domain:
 	// three failure domains, two databases an instance, three members each.
-	entriesEach = 18
-	// changesEach is how many of them change a second for each instance of a failure domain.
-	changesEach = 0.1
-	// controlBytes is what an instance may receive a second for control.
-	controlBytes = 6000
+	entriesPerInstance = 18
+	// changesPerInstance is how many of them change a second for each instance of a failure domain.
+	changesPerInstance = 0.1
+	// maxControlBytes is what an instance may receive a second for control.
+	maxControlBytes = 6000
 )
 
-// ownCalls counts the lists and watches that reach the platform.
-type ownCalls struct {
+// countingAPI counts the lists and watches that reach the platform.
+type countingAPI struct {
 	platform.API
-	n atomic.Int64
+	calls atomic.Int64
 }
 
 // List implements platform.API.
-func (o *ownCalls) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
-	o.n.Add(1)
-	return o.API.List(ctx, k)
+func (c *countingAPI) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
+	c.calls.Add(1)
+	return c.API.List(ctx, k)
 }
 
 // ListStale implements platform.API.
-func (o *ownCalls) ListStale(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
-	o.n.Add(1)
-	return o.API.ListStale(ctx, k)
+func (c *countingAPI) ListStale(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
+	c.calls.Add(1)
+	return c.API.ListStale(ctx, k)
 }
 
 // Watch implements platform.API.
-func (o *ownCalls) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
-	o.n.Add(1)
-	return o.API.Watch(ctx, k, after)
+func (c *countingAPI) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
+	c.calls.Add(1)
+	return c.API.Watch(ctx, k, after)
 }
 
-// growingDomain is a failure domain of a size whose instances follow members' entries over
+// entryDomain is a failure domain of a size whose instances follow members' entries over
 // links of 10 Mbit/s.
-type growingDomain struct {
-	*sharedDomain
+type entryDomain struct {
+	*testDomain
 	is       *is.I
 	random   *rand.Rand
-	links    *links
-	own      []*ownCalls
+	links    *narrowLinks
+	apis     []*countingAPI
 	received []*receivedBytes
 }
 
-// entryValue is an entry of about 160 bytes, hardly any of which is like those of others.
-func (d *growingDomain) entryValue() []byte {
+// newEntryValue is an entry of about 160 bytes, hardly any of which is like those of others.
+func (d *entryDomain) newEntryValue() []byte {
 	r := d.random
 	return fmt.Appendf(nil, `{"Service":"%016x","Addr":"10.%d.%d.%d:8028","Zone":"poa-a","Version":"%08x","Slots":3,"State":"ready","DbRole":"replica","Seq":%d,"Id":"i-%016x"}`,
 		r.Uint64(), r.IntN(256), r.IntN(256), r.IntN(256), r.Uint32(), r.IntN(1000), r.Uint64())
 }
 
-func newGrowingDomain(t *testing.T, n int) *growingDomain {
-	d := &growingDomain{sharedDomain: newSharedDomain(n), is: is.New(t), random: rand.New(rand.NewPCG(1, uint64(n)))}
-	d.knownFrom = time.Now().Add(freshFleetWait)
-	for k := range entriesEach * n {
-		d.write(fmt.Sprint("m", k), 0)
+func newEntryDomain(t *testing.T, n int) *entryDomain {
+	d := &entryDomain{testDomain: newTestDomain(n), is: is.New(t), random: rand.New(rand.NewPCG(1, uint64(n)))}
+	d.fleetKnownAt = time.Now().Add(newFleetWait)
+	for k := range entriesPerInstance * n {
+		d.putEntry(fmt.Sprint("m", k), 0)
 	}
 	return d
 }
 
-func (d *growingDomain) write(name string, version int64) {
-	_, err := d.store.Put(context.Background(), platform.KindUpstreams, name, d.entryValue(), version)
+func (d *entryDomain) putEntry(name string, version int64) {
+	_, err := d.store.Put(context.Background(), platform.KindUpstreams, name, d.newEntryValue(), version)
 	d.is.NoErr(err)
 }
 
 // start has every instance follow until ctx ends.
-func (d *growingDomain) start(ctx context.Context, running *sync.WaitGroup) {
-	d.links = &links{busy: make(map[string]time.Time), sent: make(map[string]int)}
+func (d *entryDomain) start(ctx context.Context, running *sync.WaitGroup) {
+	d.links = &narrowLinks{busyUntil: make(map[string]time.Time), sent: make(map[string]int)}
 	for k, i := range d.instances {
-		own, received := &ownCalls{API: i.view}, &receivedBytes{}
-		d.own, d.received = append(d.own, own), append(d.received, received)
-		f := d.follower(k, own, 3*time.Second, 3300*time.Millisecond)
+		api, received := &countingAPI{API: i.view}, &receivedBytes{}
+		d.apis, d.received = append(d.apis, api), append(d.received, received)
+		f := d.newFollower(k, api, 3*time.Second, 3300*time.Millisecond)
 		s := f.API.(*SharedAPI).sharing
 		s.Caller = narrowCaller{s.Caller, d.links, received}
 		running.Go(func() { f.Run(ctx) })
@@ -96,30 +96,30 @@
 }
 
 // change changes entries evenly over a time.
-func (d *growingDomain) change(length time.Duration) {
+func (d *entryDomain) changeEntries(length time.Duration) {
 	n := len(d.instances)
-	changes := int(changesEach * float64(n) * length.Seconds())
+	changes := int(changesPerInstance * float64(n) * length.Seconds())
 	for range changes {
 		time.Sleep(length / time.Duration(changes))
-		name := fmt.Sprint("m", d.random.IntN(entriesEach*n))
+		name := fmt.Sprint("m", d.random.IntN(entriesPerInstance*n))
 		o, err := d.store.Get(context.Background(), platform.KindUpstreams, name)
 		d.is.NoErr(err)
-		d.write(name, o.Version)
+		d.putEntry(name, o.Version)
 	}
 }
 
 // cost returns what the instance in the middle has received, in bytes, and how many calls those
 // that are no readers have sent to the platform.
-func (d *growingDomain) cost() (middle int, own int64) {
+func (d *entryDomain) traffic() (middle int, direct int64) {
 	var all []int
 	for k := range d.instances {
 		all = append(all, int(d.received[k].n.Load()))
 		if k >= readersPerDomain {
-			own += d.own[k].n.Load()
+			direct += d.apis[k].calls.Load()
 		}
 	}
 	slices.Sort(all)
-	return all[len(all)/2], own
+	return all[len(all)/2], direct
 }
 
 // The load pattern is a failure domain of a hundred instances whose members' entries change ten
@@ -129,18 +129,18 @@
 	for _, n := range domainSizes {
 		synctest.Test(t, func(t *testing.T) {
 			const first, steady = 6 * time.Second, 12 * time.Second
-			d := newGrowingDomain(t, n)
+			d := newEntryDomain(t, n)
 			ctx, cancel := context.WithCancel(context.Background())
 			var running sync.WaitGroup
 			d.start(ctx, &running)
-			d.change(first)
-			before, _ := d.cost()
-			d.change(steady)
-			after, own := d.cost()
+			d.changeEntries(first)
+			before, _ := d.traffic()
+			d.changeEntries(steady)
+			after, direct := d.traffic()
 			rate := float64(after-before) / steady.Seconds()
-			t.Logf("%d instances: %.0f bytes a second in the middle, %d calls of followers", n, rate, own)
-			d.is.True(rate <= controlBytes)
-			d.is.Equal(own, int64(0))
+			t.Logf("%d instances: %.0f bytes a second in the middle, %d calls of followers", n, rate, direct)
+			d.is.True(rate <= maxControlBytes)
+			d.is.Equal(direct, int64(0))
 			cancel()
 			running.Wait()
 		})
@@ -150,11 +150,11 @@
 // The load pattern is a failure domain of a hundred instances that follow one large manifest, and
 // two readers whose links are taken by something else for three seconds. Guards against followers
 // that list everything because the readers are slow, which keeps them slow for good.
-func TestFollowersOutliveACongestedReader(t *testing.T) {
+func TestFollowersRecoverFromCongestedReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const n, taken, settled, steady = 100, 3 * time.Second, 8 * time.Second, 10 * time.Second
-		d := &growingDomain{sharedDomain: newSharedDomain(n), is: is.New(t), random: rand.New(rand.NewPCG(1, n))}
-		d.knownFrom = time.Now().Add(freshFleetWait)
+		const n, congested, settled, steady = 100, 3 * time.Second, 8 * time.Second, 10 * time.Second
+		d := &entryDomain{testDomain: newTestDomain(n), is: is.New(t), random: rand.New(rand.NewPCG(1, n))}
+		d.fleetKnownAt = time.Now().Add(newFleetWait)
 		_, err := d.store.Put(context.Background(), platform.KindUpstreams, "m", largeValue(1), 0)
 		d.is.NoErr(err)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -162,16 +162,16 @@
 		d.start(ctx, &running)
 		time.Sleep(settled)
 		for _, reader := range []string{"i0", "i1"} {
-			d.links.take(reader, int(taken.Seconds()*narrowLink))
+			d.links.send(reader, int(congested.Seconds()*narrowLinkRate))
 		}
 		time.Sleep(settled)
-		before, ownBefore := d.cost()
+		before, directBefore := d.traffic()
 		time.Sleep(steady)
-		after, own := d.cost()
+		after, direct := d.traffic()
 		rate := float64(after-before) / steady.Seconds()
-		t.Logf("%.0f bytes a second in the middle, %d calls of followers", rate, own-ownBefore)
-		d.is.True(rate <= controlBytes)
-		d.is.Equal(own, ownBefore)
+		t.Logf("%.0f bytes a second in the middle, %d calls of followers", rate, direct-directBefore)
+		d.is.True(rate <= maxControlBytes)
+		d.is.Equal(direct, directBefore)
 		cancel()
 		running.Wait()
 	})
--- a/internal/objectwatch/sharedapi.go
+++ b/internal/objectwatch/sharedapi.go
@@ -11,49 +11,51 @@
 )
 
 const (
-	// listTimeout bounds a reader's answer: many times a slow one, at a machine with a narrow
-	// link.
-	listTimeout = time.Second
-	// afterGrace is what the answer to a question that was held may take beside.
-	afterGrace = 500 * time.Millisecond
-	// firstTimeout bounds a reader's first list for an instance that returns to a fleet, and
-	// firstWait, a part of it, is how long a reader waits for the platform's own answer.
-	firstTimeout = 80 * time.Millisecond
-	firstWait    = 60 * time.Millisecond
-	// freshFleetWait is how long the list of instances is awaited at least by a fleet that
-	// starts for the first time.
-	freshFleetWait = 500 * time.Millisecond
-	// readerRounds is how often a follower asks its readers before it asks the platform
-	// itself, and readerPause the longest pause between two rounds. Readers that start
-	// with their followers have the platform's answer within it.
-	readerRounds = 3
-	readerPause  = 400 * time.Millisecond
-	// parentTimeout bounds the first list from the parent in the tree: the time that the parent
-	// may wait for its own, parentWait, and that of a large list over a narrow link that it
-	// sends to all its children.
+	// readerTimeout bounds a call to a reader. It is many times a slow response time on a
+	// machine with a narrow link.
+	readerTimeout = time.Second
+	// longPollGrace is the time that the response to a long poll may take in addition to its
+	// wait.
+	longPollGrace = 500 * time.Millisecond
+	// startupListTimeout bounds the call for a reader's first list when an instance returns to a
+	// running fleet. Within it, startupListWait is how long the reader waits for the platform's
+	// response.
+	startupListTimeout = 80 * time.Millisecond
+	startupListWait    = 60 * time.Millisecond
+	// newFleetWait is the shortest wait for the list of instances by which an instance
+	// recognizes that the whole fleet is starting for the first time.
+	newFleetWait = 500 * time.Millisecond
+	// readerRounds is how often a follower asks all its readers before it calls the platform
+	// itself, and readerRoundPause the longest pause between two rounds. Readers that start at
+	// the same time as their followers have the platform's response by then.
+	readerRounds     = 3
+	readerRoundPause = 400 * time.Millisecond
+	// parentTimeout bounds the request for the first list from the parent in the relay tree. It
+	// covers parentWait, which the parent may wait for its own list, and the transfer of a large
+	// list to all children over a narrow link.
 	parentTimeout = 4 * time.Second
 	parentWait    = 2500 * time.Millisecond
-	// rescueWidth is how many readers of any failure domain an instance asks that the
-	// platform does not answer.
-	rescueWidth = 3
+	// fallbackReaderCount is how many readers of any failure domain an instance asks if the
+	// platform does not answer it.
+	fallbackReaderCount = 3
 )
 
-// SharedAPI is the platform as one Follower of a kind sees it.
+// SharedAPI is the platform API for one Follower of a kind, with calls shared between instances.
 type SharedAPI struct {
 	platform.API
-	sharing *Sharing
-	kind    platform.Kind
-	feed    *feed
-	copy    *listCopy
-	maxAge  time.Duration
-	own     ownTries
-	// informed says that a list was answered once.
-	informed atomic.Bool
-	held     heldObject
+	sharing     *Sharing
+	kind        platform.Kind
+	feed        *feed
+	relayed     *relayedList
+	maxAge      time.Duration
+	directCalls directCallLimiter
+	// hasList reports whether a list was received at least once.
+	hasList atomic.Bool
+	base    deltaBase
 }
 
-// listing asks the platform for a list in one of its ways.
-type listing func(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error)
+// listFunc is one of the platform's list calls.
+type listFunc func(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error)
 
 // List implements platform.API.
 func (a *SharedAPI) List(ctx context.Context, _ platform.Kind) ([]platform.Object, int64, error) {
@@ -65,255 +67,259 @@
 	return a.list(ctx, a.API.ListStale)
 }
 
-func (a *SharedAPI) list(ctx context.Context, ask listing) ([]platform.Object, int64, error) {
-	got, err := a.listOfReaders(ctx)
+func (a *SharedAPI) list(ctx context.Context, listPlatform listFunc) ([]platform.Object, int64, error) {
+	got, err := a.listFromReaders(ctx)
 	if err == nil {
-		a.informed.Store(true)
+		a.hasList.Store(true)
 		return got.objects, got.Revision, nil
 	}
-	// Readers elsewhere are asked before the platform by those whose own do not answer: an
-	// instance that comes back from a cut must not wait until it may ask the platform again.
-	follows := a.informed.Load() && len(a.sharing.readers()) > 0
-	if follows {
-		if got, ok := a.rescue(ctx, 1, a.listFrom); ok {
+	// If its own readers do not answer, the instance asks readers in other failure domains
+	// before it calls the platform. After a network partition it must not wait until a direct
+	// call is allowed again.
+	isFollower := a.hasList.Load() && len(a.sharing.readers()) > 0
+	if isFollower {
+		if got, ok := a.askFallbackReaders(ctx, 1, a.listFromReader); ok {
 			return got.objects, got.Revision, nil
 		}
 	}
-	if !errors.Is(err, errReadsItself) {
+	if !errors.Is(err, errNoReader) {
 		return nil, 0, err
 	}
-	asked := a.sharing.Clock.Now()
-	objects, revision, err := ask(ctx, a.kind)
+	requestedAt := a.sharing.Clock.Now()
+	objects, revision, err := listPlatform(ctx, a.kind)
 	if err == nil {
-		a.feed.listed(objects, revision, asked)
-		a.held.note(objects)
-		a.informed.Store(true)
+		a.feed.applyList(objects, revision, requestedAt)
+		a.base.update(objects)
+		a.hasList.Store(true)
 		return objects, revision, nil
 	}
-	a.failed()
-	if follows {
+	a.directCallFailed()
+	if isFollower {
 		return nil, 0, err
 	}
-	if got, ok := a.rescue(ctx, rescueWidth, a.listFrom); ok {
+	if got, ok := a.askFallbackReaders(ctx, fallbackReaderCount, a.listFromReader); ok {
 		return got.objects, got.Revision, nil
 	}
 	return nil, 0, err
 }
 
-// listOfReaders asks the readers for a list. Its errors are those of follow.
+// listFromReaders requests a list from the readers. Its errors are those of askReaders.
 //
-// An instance that returns to a fleet has callers who wait until it knows the objects. Its
-// readers may return later than it does, and all the domain would wait for them: it asks
-// each once, and then the platform. A fleet that starts for the first time has no callers
+// An instance that returns to a running fleet has callers that wait until it has the objects.
+// Its readers may return later than it does and would delay the whole failure domain, so it asks
+// each reader once and then the platform. A fleet that starts for the first time has no callers
 // yet, and its instances wait for the readers.
-func (a *SharedAPI) listOfReaders(ctx context.Context) (answer, error) {
-	began := a.sharing.Clock.Now()
-	a.sharing.awaitFleet(ctx, a.kind)
-	// The instances themselves are known from an older list by now.
-	mayWait := a.informed.Load() || a.kind == platform.KindInstances
-	if mayWait || a.sharing.Clock.Now().Sub(began) >= freshFleetWait {
-		got, parented, ok := a.listOfParent(ctx)
+func (a *SharedAPI) listFromReaders(ctx context.Context) (response, error) {
+	start := a.sharing.Clock.Now()
+	a.sharing.waitForFleet(ctx, a.kind)
+	// For KindInstances, an older list is already known at this point.
+	canWait := a.hasList.Load() || a.kind == platform.KindInstances
+	if canWait || a.sharing.Clock.Now().Sub(start) >= newFleetWait {
+		got, hasParent, ok := a.listFromParent(ctx)
 		switch {
 		case ok:
 			return got, nil
-		case parented && a.own.allowed(a.sharing.Clock.Now()):
-			// The readers serve as many others as the parent could not; one more list of
-			// theirs would hold up all.
-			return answer{}, errReadsItself
+		case hasParent && a.directCalls.allowed(a.sharing.Clock.Now()):
+			// The readers serve every instance whose parent failed to respond; one more list
+			// from them would delay all of these.
+			return response{}, errNoReader
 		}
-		return a.follow(ctx, a.listFrom)
+		return a.askReaders(ctx, a.listFromReader)
 	}
 	for _, reader := range a.sharing.readers() {
-		got, err := a.call(ctx, reader, methodList, question{Kind: a.kind}, firstTimeout)
-		if err == nil && a.young(got) {
+		got, err := a.callPeer(ctx, reader, methodList, request{Kind: a.kind}, startupListTimeout)
+		if err == nil && a.freshEnough(got) {
 			return got, nil
 		}
 	}
-	return answer{}, errReadsItself
+	return response{}, errNoReader
 }
 
-// listOfParent asks the parent in the tree for the first list, if there is a parent.
-func (a *SharedAPI) listOfParent(ctx context.Context) (got answer, parented, ok bool) {
-	parent, parented := a.sharing.parent(a.kind)
-	if !parented || a.informed.Load() || len(a.sharing.readers()) == 0 {
-		return answer{}, false, false
+// listFromParent requests the first list from the parent in the relay tree, if there is one.
+func (a *SharedAPI) listFromParent(ctx context.Context) (got response, hasParent, ok bool) {
+	parent, hasParent := a.sharing.parent(a.kind)
+	if !hasParent || a.hasList.Load() || len(a.sharing.readers()) == 0 {
+		return response{}, false, false
 	}
-	got, err := a.call(ctx, parent, methodList, question{Kind: a.kind, Waits: true}, parentTimeout)
-	return got, true, err == nil && a.young(got)
+	got, err := a.callPeer(ctx, parent, methodList, request{Kind: a.kind, WaitForList: true}, parentTimeout)
+	return got, true, err == nil && a.freshEnough(got)
 }
 
 // Watch implements platform.API.
 func (a *SharedAPI) Watch(ctx context.Context, _ platform.Kind, after int64) ([]platform.Object, int64, error) {
-	watch := func(ctx context.Context, reader platform.Instance) (answer, bool) {
-		return a.ask(ctx, reader, methodAfter, question{Kind: a.kind, After: after}, afterWait+afterGrace)
+	watch := func(ctx context.Context, reader platform.Instance) (response, bool) {
+		return a.askReader(ctx, reader, methodAfter, request{Kind: a.kind, After: after}, longPollWait+longPollGrace)
 	}
-	got, err := a.follow(ctx, watch)
+	got, err := a.askReaders(ctx, watch)
 	if err == nil {
-		return told(got, after)
+		return watchResult(got, after)
 	}
-	if !errors.Is(err, errReadsItself) {
+	if !errors.Is(err, errNoReader) {
 		return nil, after, err
 	}
-	objects, next, err := a.watchItself(ctx, after)
+	objects, next, err := a.watchPlatform(ctx, after)
 	if err == nil {
-		a.feed.watched(objects, after, next)
-		a.held.note(objects)
+		a.feed.applyWatch(objects, after, next)
+		a.base.update(objects)
 		return objects, next, nil
 	}
-	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, errQuiet) {
+	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, errWatchExpired) {
 		return nil, after, err
 	}
-	a.failed()
-	a.feed.lost()
-	if got, ok := a.rescue(ctx, rescueWidth, watch); ok {
-		return told(got, after)
+	a.directCallFailed()
+	a.feed.markUnreachable()
+	if got, ok := a.askFallbackReaders(ctx, fallbackReaderCount, watch); ok {
+		return watchResult(got, after)
 	}
 	return nil, after, err
 }
 
-// ownWatch bounds one watch of the platform by an instance that has readers: several of their
-// changes later it asks them again. The platform tells each such instance a large object in
-// full, and a reader by what differs.
-const ownWatch = 2 * time.Second
+// directWatchTimeout bounds one direct watch of an instance that has readers; it asks them again
+// afterwards, a few changes later. The platform sends a large object in full to each such
+// instance, while a reader sends only a delta.
+const directWatchTimeout = 2 * time.Second
 
-// errQuiet ends a watch that was given up with nothing heard. It says nothing of the platform, which
-// may be silent or have nothing to tell.
-var errQuiet = errors.New("objectwatch: nothing was heard for a while")
+// errWatchExpired reports that a direct watch ended on this side without a response. It does not
+// tell whether the platform is unresponsive or has no changes.
+var errWatchExpired = errors.New("objectwatch: direct watch ended without a response")
 
-// watchItself watches the platform, for a while only where there are readers.
-func (a *SharedAPI) watchItself(ctx context.Context, after int64) ([]platform.Object, int64, error) {
+// watchPlatform watches the platform directly, for directWatchTimeout at most if the instance
+// has readers.
+func (a *SharedAPI) watchPlatform(ctx context.Context, after int64) ([]platform.Object, int64, error) {
 	if len(a.sharing.readers()) == 0 {
 		return a.API.Watch(ctx, a.kind, after)
 	}
-	bounded, cancel := context.WithTimeout(ctx, ownWatch)
+	bounded, cancel := context.WithTimeout(ctx, directWatchTimeout)
 	defer cancel()
 	objects, next, err := a.API.Watch(bounded, a.kind, after)
 	if err != nil && ctx.Err() == nil && errors.Is(bounded.Err(), context.DeadlineExceeded) {
-		return nil, after, errQuiet
+		return nil, after, errWatchExpired
 	}
 	return objects, next, err
 }
 
-// told turns an answer into that of a watch.
-func told(got answer, after int64) ([]platform.Object, int64, error) {
+// watchResult converts a response to the result of a watch.
+func watchResult(got response, after int64) ([]platform.Object, int64, error) {
 	if got.Compacted {
 		return nil, after, platform.ErrCompacted
 	}
 	return got.objects, max(after, got.Revision), nil
 }
 
-// Since implements Peers. Readers of the own failure domain are asked, and one elsewhere where
-// those do not answer.
-func (a *SharedAPI) Since(ctx context.Context, after int64) ([]platform.Object, int64, error) {
+// ChangesSince implements Peers. It asks the readers in this failure domain, and then one in
+// another failure domain if none of them answers.
+func (a *SharedAPI) ChangesSince(ctx context.Context, after int64) ([]platform.Object, int64, error) {
 	readers := a.sharing.readers()
 	if len(readers) == 0 {
-		return nil, after, errReadsItself
+		return nil, after, errNoReader
 	}
-	q := question{Kind: a.kind, After: after}
-	for _, reader := range append(a.sharing.answering(readers), a.sharing.rescuers(1)...) {
-		got, ok := a.ask(ctx, reader, methodSince, q, listTimeout)
-		if ok && a.young(got) {
-			return told(got, after)
+	req := request{Kind: a.kind, After: after}
+	for _, reader := range append(a.sharing.responsive(readers), a.sharing.pickFallbackReaders(1)...) {
+		got, ok := a.askReader(ctx, reader, methodSince, req, readerTimeout)
+		if ok && a.freshEnough(got) {
+			return watchResult(got, after)
 		}
 	}
-	return nil, after, errNoFeed
+	return nil, after, errFeedUnavailable
 }
 
-// young reports whether the platform has shown an answer lately enough.
-func (a *SharedAPI) young(got answer) bool { return a.maxAge == 0 || got.age() <= a.maxAge }
+// freshEnough reports whether a response is based on a list that is at most maxAge old.
+func (a *SharedAPI) freshEnough(got response) bool { return a.maxAge == 0 || got.age() <= a.maxAge }
 
-// errReadsItself says that this instance asks the platform itself now.
-var errReadsItself = errors.New("objectwatch: no reader serves this instance")
+// errNoReader reports that the instance has to call the platform itself.
+var errNoReader = errors.New("objectwatch: no reader serves this instance")
 
-// follow asks the readers, some rounds if need be. Its errors are errReadsItself, and
-// ErrUnavailable where the platform is not to be asked yet.
-func (a *SharedAPI) follow(ctx context.Context, ask func(context.Context, platform.Instance) (answer, bool)) (answer, error) {
+// askReaders asks the readers, in several rounds if necessary. Its errors are errNoReader,
+// platform.ErrUnavailable if a direct call to the platform is not allowed yet, and the error of
+// ctx.
+func (a *SharedAPI) askReaders(ctx context.Context, ask func(context.Context, platform.Instance) (response, bool)) (response, error) {
 	for range readerRounds {
 		readers := a.sharing.readers()
 		if len(readers) == 0 {
-			return answer{}, errReadsItself
+			return response{}, errNoReader
 		}
-		asked := a.sharing.answering(readers)
-		if len(asked) == 0 {
+		responsive := a.sharing.responsive(readers)
+		if len(responsive) == 0 {
 			break
 		}
-		for _, reader := range asked {
+		for _, reader := range responsive {
 			if got, ok := ask(ctx, reader); ok {
-				// Nobody keeps this instance's own feed up to date any more.
-				a.feed.lost()
+				// From now on nothing keeps this instance's own feed up to date.
+				a.feed.markUnreachable()
 				return got, nil
 			}
 		}
-		if clock.Sleep(ctx, a.sharing.Clock, a.sharing.jitter(readerPause)) != nil {
-			return answer{}, ctx.Err()
+		if clock.Sleep(ctx, a.sharing.Clock, a.sharing.jitter(readerRoundPause)) != nil {
+			return response{}, ctx.Err()
 		}
 	}
-	if !a.own.allowed(a.sharing.Clock.Now()) {
-		return answer{}, platform.ErrUnavailable
+	if !a.directCalls.allowed(a.sharing.Clock.Now()) {
+		return response{}, platform.ErrUnavailable
 	}
-	return answer{}, errReadsItself
+	return response{}, errNoReader
 }
 
-// rescue asks some readers elsewhere: the platform may refuse this instance and serve others.
-func (a *SharedAPI) rescue(ctx context.Context, width int, ask func(context.Context, platform.Instance) (answer, bool)) (answer, bool) {
-	for _, reader := range a.sharing.rescuers(width) {
+// askFallbackReaders asks readers that this instance does not normally follow: the platform may
+// refuse this instance and serve others.
+func (a *SharedAPI) askFallbackReaders(ctx context.Context, count int, ask func(context.Context, platform.Instance) (response, bool)) (response, bool) {
+	for _, reader := range a.sharing.pickFallbackReaders(count) {
 		if got, ok := ask(ctx, reader); ok {
 			return got, true
 		}
 	}
-	return answer{}, false
+	return response{}, false
 }
 
-// failed notes that the platform did not answer this instance.
-func (a *SharedAPI) failed() {
-	a.own.failed(a.sharing.Clock.Now(), a.sharing.jitter(ownPause))
+// directCallFailed records that the platform did not answer this instance.
+func (a *SharedAPI) directCallFailed() {
+	a.directCalls.recordFailure(a.sharing.Clock.Now(), a.sharing.jitter(directCallPause))
 }
 
-// listFrom asks a reader for its list.
-func (a *SharedAPI) listFrom(ctx context.Context, reader platform.Instance) (answer, bool) {
-	got, ok := a.ask(ctx, reader, methodList, question{Kind: a.kind}, listTimeout)
-	return got, ok && a.young(got)
+// listFromReader requests a list from a reader.
+func (a *SharedAPI) listFromReader(ctx context.Context, reader platform.Instance) (response, bool) {
+	got, ok := a.askReader(ctx, reader, methodList, request{Kind: a.kind}, readerTimeout)
+	return got, ok && a.freshEnough(got)
 }
 
-// ask asks a reader, and keeps in mind whether it answers.
-func (a *SharedAPI) ask(ctx context.Context, reader platform.Instance, method string, q question, timeout time.Duration) (answer, bool) {
-	got, err := a.call(ctx, reader, method, q, timeout)
-	a.sharing.noteAnswer(reader, err)
+// askReader sends a request to a reader and records whether the reader responds.
+func (a *SharedAPI) askReader(ctx context.Context, reader platform.Instance, method string, req request, timeout time.Duration) (response, bool) {
+	got, err := a.callPeer(ctx, reader, method, req, timeout)
+	a.sharing.recordResponse(reader, err)
 	return got, err == nil
 }
 
-// call sends a question to a reader.
-func (a *SharedAPI) call(ctx context.Context, reader platform.Instance, method string, q question, timeout time.Duration) (answer, error) {
+// callPeer sends a request to an instance and decodes the response.
+func (a *SharedAPI) callPeer(ctx context.Context, reader platform.Instance, method string, req request, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	base := a.held.get()
+	base := a.base.get()
 	if base.Name != "" {
-		q.Base = &baseRef{Name: base.Name, Revision: base.Revision}
+		req.DeltaBase = &versionRef{Name: base.Name, Revision: base.Revision}
 	}
-	var got answer
-	if err := a.sharing.Caller.Call(ctx, reader.PeerAddress, method, q, &got); err != nil {
+	var got response
+	if err := a.sharing.Caller.Call(ctx, reader.PeerAddress, method, req, &got); err != nil {
 		return got, err
 	}
 	var dictionary []byte
-	if got.OnBase {
+	if got.Delta {
 		dictionary = base.Value
 	}
-	objects, err := unpack(got.Packed, dictionary)
+	objects, err := decodeObjects(got.Encoded, dictionary)
 	if err != nil {
 		return got, err
 	}
-	got.objects, got.Packed = objects, nil
-	a.held.note(objects)
-	a.keepCopy(method, q, got)
+	got.objects, got.Encoded = objects, nil
+	a.base.update(objects)
+	a.updateRelayed(method, req, got)
 	return got, nil
 }
 
-// keepCopy keeps what an answer told for those behind this instance in the tree.
-func (a *SharedAPI) keepCopy(method string, q question, got answer) {
+// updateRelayed updates the list that this instance serves to its children in the relay tree.
+func (a *SharedAPI) updateRelayed(method string, req request, got response) {
 	switch {
 	case method == methodList:
-		a.copy.listed(got.objects, got.Revision, a.sharing.Clock.Now().Add(-got.age()))
+		a.relayed.applyList(got.objects, got.Revision, a.sharing.Clock.Now().Add(-got.age()))
 	case !got.Compacted:
-		a.copy.changed(got.objects, q.After, got.Revision)
+		a.relayed.applyChanges(got.objects, req.After, got.Revision)
 	}
 }
--- a/internal/objectwatch/sharing.go
+++ b/internal/objectwatch/sharing.go
@@ -22,58 +22,59 @@
 )
 
 const (
-	// readDuty is the key by which readers are picked, and readersPerDomain how many of
-	// each failure domain there are: two, because one of them may be dead and listed.
-	readDuty         = "objectwatch.read"
+	// readerDuty is the key by which readers are selected. There are readersPerDomain in each
+	// failure domain: two, because one of them may be dead and still listed.
+	readerDuty       = "objectwatch.read"
 	readersPerDomain = 2
-	// ownReading is up to how many instances of a failure domain all read for
-	// themselves: with so few there is nothing to save.
-	ownReading = 4
-	// fleetWait is how long a kind waits at the start for the list of instances, which
-	// names the readers, and fleetPoll the time between two looks. A whole fleet that starts
-	// for the first time takes most of it to be listed.
+	// maxDirectReaders is the largest number of instances in a failure domain that all read from
+	// the platform directly: sharing saves nothing there.
+	maxDirectReaders = 4
+	// fleetWait is how long the first list of a kind waits for the list of instances, which
+	// determines the readers, and fleetPoll the polling interval. When a whole fleet starts for
+	// the first time, that list takes most of fleetWait to become complete.
 	fleetWait = 3 * time.Second
 	fleetPoll = 20 * time.Millisecond
-	// afterWait is how long a reader holds a question while nothing changes. A reader that
-	// has gone silent is found out by its end.
-	afterWait = 5 * time.Second
-	// silentFor is how long a reader that did not answer is not asked.
-	silentFor = 5 * time.Second
+	// longPollWait is how long a reader holds a request while nothing changes. Its end bounds
+	// the time until an unresponsive reader is detected.
+	longPollWait = 5 * time.Second
+	// unresponsivePause is how long a reader is not asked after it did not respond.
+	unresponsivePause = 5 * time.Second
 )
 
-// Sharing spares the platform most calls: two instances of each failure domain list and
-// watch a kind there, and the others ask one of those, for lists, changes and proofs that
-// nothing has changed alike. What is asked of the platform so grows with failure domains
-// and changes, and not with instances.
+// Sharing reduces the calls to the platform: two instances of each failure domain, the readers,
+// list and watch a kind, and the others get lists, changes and proofs that nothing has changed
+// from them. The load on the platform thus grows with failure domains and changes, and not with
+// instances.
 //
-// What readers pass on are the platform's own revisions, so that a follower may change
-// from one reader to another or to the platform at any moment. The states of a reader:
+// Readers relay the platform's own revisions, so that a follower can switch between readers and
+// the platform at any time. A reader can fail in these ways:
 //
-//   - It has lost the platform: it says so, and its followers ask the other reader, and after
-//     a while the platform themselves, seldom (ownTries).
-//   - Dead, frozen or cut off: it does not answer, and the same follows.
-//   - It hears of no change and does not know it: what it tells a follower that checks carries
-//     the age of its last list, which bounds how old a follower's knowledge may be.
-//   - Refused by a platform that serves others: it asks readers of all failure domains.
+//   - It has lost the platform. It says so; its followers ask the other reader and, after a
+//     while, the platform itself at a limited rate (directCallLimiter).
+//   - It is dead, frozen or partitioned. It does not respond, and its followers do the same.
+//   - Its watch misses changes without notice. Its responses to checks carry the age of its last
+//     list, which bounds how stale a follower can be.
+//   - The platform refuses it but serves others. It asks readers of all failure domains.
 type Sharing struct {
 	SharingConfig
 
 	mu    sync.Mutex
 	feeds map[platform.Kind]*feed
-	// copies holds what this instance learned from others.
-	copies map[platform.Kind]*listCopy
-	// silent is until when readers that did not answer are not asked, by instance.
-	silent map[string]time.Time
+	// relayed holds the lists received from other instances.
+	relayed map[platform.Kind]*relayedList
+	// unresponsiveUntil holds the time until which each reader that did not respond is not
+	// asked, by instance ID.
+	unresponsiveUntil map[string]time.Time
 }
 
-// SharingConfig is what a Sharing is made of.
+// SharingConfig configures a Sharing.
 type SharingConfig struct {
 	API    platform.API
 	Fleet  Fleet
 	Caller peer.Caller
 	Clock  clock.Clock
-	// Rand spreads the calls of instances that have lost their readers. It is used under
-	// the lock of the Sharing only, and must not be shared.
+	// Rand adds jitter to the calls of instances that have lost their readers. It is guarded by
+	// the lock of the Sharing and must not be shared.
 	Rand *rand.Rand
 	Log  hclog.Logger
 }
@@ -81,37 +82,38 @@
 // NewSharing returns a Sharing and registers its methods.
 func NewSharing(c SharingConfig, r peer.Registry) *Sharing {
 	c.Log = c.Log.Named("objectwatch")
-	s := &Sharing{SharingConfig: c, feeds: make(map[platform.Kind]*feed), copies: make(map[platform.Kind]*listCopy), silent: make(map[string]time.Time)}
+	s := &Sharing{SharingConfig: c, feeds: make(map[platform.Kind]*feed), relayed: make(map[platform.Kind]*relayedList), unresponsiveUntil: make(map[string]time.Time)}
 	r.Handle(methodList, s.serveList)
 	r.Handle(methodAfter, s.serveAfter)
 	r.Handle(methodSince, s.serveSince)
 	return s
 }
 
-// API returns the platform with the calls for one kind shared. What a reader says counts
-// only if the platform has shown it within maxAge; zero sets no bound.
+// API returns the platform API with shared calls for one kind. A reader's response is accepted
+// only if it is based on a list that is at most maxAge old; zero means no limit.
 func (s *Sharing) API(kind platform.Kind, maxAge time.Duration) *SharedAPI {
 	f := newFeed()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feeds[kind] = f
-	s.copies[kind] = newListCopy()
-	return &SharedAPI{API: s.SharingConfig.API, sharing: s, kind: kind, feed: f, copy: s.copies[kind], maxAge: maxAge}
+	s.relayed[kind] = newRelayedList()
+	return &SharedAPI{API: s.SharingConfig.API, sharing: s, kind: kind, feed: f, relayed: s.relayed[kind], maxAge: maxAge}
 }
 
-func (s *Sharing) copyOf(kind platform.Kind) *listCopy {
+func (s *Sharing) relayedList(kind platform.Kind) *relayedList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.copies[kind]
+	return s.relayed[kind]
 }
 
-// parent returns the instance that this one takes its first list from: its parent in a tree with
-// the readers at its root. A reader that sent a list of some hundred kilobytes to fifty followers
-// at once over a narrow link would take longer than they wait, and each would ask again.
+// parent returns the instance from which this one requests its first list: its parent in a relay
+// tree with the readers at the root. A reader that sent a list of some hundred kilobytes to
+// fifty followers at once over a narrow link would exceed their timeout, and each of them would
+// ask again.
 func (s *Sharing) parent(kind platform.Kind) (platform.Instance, bool) {
 	self := s.Fleet.Self()
-	readers, reads := OnDuty(s.Fleet, readDuty, readersPerDomain)
-	if reads || kind == platform.KindInstances {
+	readers, isReader := OnDuty(s.Fleet, readerDuty, readersPerDomain)
+	if isReader || kind == platform.KindInstances {
 		return platform.Instance{}, false
 	}
 	return relaytree.New(self.FailureDomain, readers, s.Fleet.Live()).Parent(string(kind), self.ID)
@@ -123,19 +125,19 @@
 	return s.feeds[kind]
 }
 
-// jitter returns a time between half of d and d.
+// jitter returns a random duration between d/2 and d.
 func (s *Sharing) jitter(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return d/2 + time.Duration(s.Rand.Int64N(int64(d)/2+1))
 }
 
-// awaitFleet waits until the instances are known, or for a time at most. Without the list
-// every instance would take itself for a reader, and all that start together would ask the
-// platform for everything.
-func (s *Sharing) awaitFleet(ctx context.Context, kind platform.Kind) {
+// waitForFleet waits until the list of instances is known, for fleetWait at most. Without the
+// list every instance would consider itself a reader, and instances that start together would
+// all request everything from the platform.
+func (s *Sharing) waitForFleet(ctx context.Context, kind platform.Kind) {
 	if kind == platform.KindInstances {
-		// This is what names the readers.
+		// This kind is the list of instances itself.
 		return
 	}
 	for deadline := s.Clock.Now().Add(fleetWait); !s.Fleet.Known() && s.Clock.Now().Before(deadline); {
@@ -145,57 +147,59 @@
 	}
 }
 
-// readers returns the readers of this instance's failure domain; none if it reads for
-// itself.
+// readers returns the readers of this instance's failure domain, or none if this instance calls
+// the platform directly.
 func (s *Sharing) readers() []platform.Instance {
-	if near, _ := OnDuty(s.Fleet, readDuty, ownReading+1); len(near) <= ownReading {
+	if local, _ := OnDuty(s.Fleet, readerDuty, maxDirectReaders+1); len(local) <= maxDirectReaders {
 		return nil
 	}
-	readers, self := OnDuty(s.Fleet, readDuty, readersPerDomain)
-	if self {
+	readers, isReader := OnDuty(s.Fleet, readerDuty, readersPerDomain)
+	if isReader {
 		return nil
 	}
-	return inOwnOrder(readers, s.Fleet.Self().ID)
+	return orderReaders(readers, s.Fleet.Self().ID)
 }
 
-// inOwnOrder returns readers in an order of the instance's own, so that each of them serves a part of
-// the failure domain. In one order for all, the first would tell every change to everyone.
-func inOwnOrder(readers []platform.Instance, self string) []platform.Instance {
-	rank := func(i platform.Instance) uint64 { return xxhash.Sum64String(self + "\x00" + i.ID) }
+// orderReaders sorts readers in an order that depends on the instance, so that each reader
+// serves part of the failure domain. With one order for all instances, the first reader would
+// send every change to all of them.
+func orderReaders(readers []platform.Instance, selfID string) []platform.Instance {
+	rank := func(i platform.Instance) uint64 { return xxhash.Sum64String(selfID + "\x00" + i.ID) }
 	ordered := slices.Clone(readers)
 	slices.SortFunc(ordered, func(a, b platform.Instance) int { return cmp.Compare(rank(a), rank(b)) })
 	return ordered
 }
 
-// answering returns those readers that have not been silent of late.
-func (s *Sharing) answering(readers []platform.Instance) []platform.Instance {
+// responsive returns the readers without those that recently failed to respond.
+func (s *Sharing) responsive(readers []platform.Instance) []platform.Instance {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(readers), func(i platform.Instance) bool { return now.Before(s.silent[i.ID]) })
+	return slices.DeleteFunc(slices.Clone(readers), func(i platform.Instance) bool { return now.Before(s.unresponsiveUntil[i.ID]) })
 }
 
-// noteAnswer keeps in mind whether a reader answers. One that says that it cannot tell does.
-func (s *Sharing) noteAnswer(reader platform.Instance, err error) {
+// recordResponse records whether a reader responds. An error with a result code is a response
+// too.
+func (s *Sharing) recordResponse(reader platform.Instance, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.Log.Debug("Reader did not serve a question.", "reader", reader.ID, "error", err)
+		s.Log.Debug("Reader did not serve a request.", "reader", reader.ID, "error", err)
 	}
-	if _, answered := result.As(err); err == nil || answered {
-		delete(s.silent, reader.ID)
+	if _, replied := result.As(err); err == nil || replied {
+		delete(s.unresponsiveUntil, reader.ID)
 		return
 	}
-	s.silent[reader.ID] = s.Clock.Now().Add(silentFor)
+	s.unresponsiveUntil[reader.ID] = s.Clock.Now().Add(unresponsivePause)
 }
 
-// rescuers returns some readers: of other failure domains for an instance that follows readers of
-// its own, of any for one that reads itself.
-func (s *Sharing) rescuers(n int) []platform.Instance {
-	self, follows := s.Fleet.Self(), len(s.readers()) > 0
+// pickFallbackReaders returns up to n random readers. For an instance that follows readers they
+// are of other failure domains; for one that reads directly, of any.
+func (s *Sharing) pickFallbackReaders(n int) []platform.Instance {
+	self, hasReaders := s.Fleet.Self(), len(s.readers()) > 0
 	var all []platform.Instance
-	for _, i := range s.Fleet.Pick(readDuty, readersPerDomain) {
-		if i.ID != self.ID && !(follows && i.FailureDomain == self.FailureDomain) {
+	for _, i := range s.Fleet.Pick(readerDuty, readersPerDomain) {
+		if i.ID != self.ID && !(hasReaders && i.FailureDomain == self.FailureDomain) {
 			all = append(all, i)
 		}
 	}
@@ -205,64 +209,65 @@
 	return all[:min(n, len(all))]
 }
 
-// asked returns the feed that a question is about, and the question.
-func (s *Sharing) asked(params json.RawMessage) (*feed, question, error) {
-	var q question
-	if err := json.Unmarshal(params, &q); err != nil {
-		return nil, q, fmt.Errorf("objectwatch: question: %w", err)
+// decodeRequest decodes a request and returns it with the feed that it refers to.
+func (s *Sharing) decodeRequest(params json.RawMessage) (*feed, request, error) {
+	var req request
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, req, fmt.Errorf("objectwatch: decode request: %w", err)
 	}
-	f := s.feed(q.Kind)
+	f := s.feed(req.Kind)
 	if f == nil {
-		return nil, q, errNoFeed
+		return nil, req, errFeedUnavailable
 	}
-	return f, q, nil
+	return f, req, nil
 }
 
 func (s *Sharing) serveList(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	f, q, err := s.asked(params)
+	f, req, err := s.decodeRequest(params)
 	if err != nil {
 		return nil, err
 	}
-	var list knownList
-	if q.Waits {
-		list = s.anyList(ctx, f, s.copyOf(q.Kind))
+	var list snapshot
+	if req.WaitForList {
+		list = s.availableList(ctx, f, s.relayedList(req.Kind))
 	} else {
-		list = s.ownList(ctx, f)
+		list = s.directList(ctx, f)
 	}
-	if !list.known {
-		return nil, errNoFeed
+	if !list.valid {
+		return nil, errFeedUnavailable
 	}
-	got, err := f.packed(list.objects, wholeList, list.revision, q)
+	got, err := f.encodeResponse(list.objects, fullList, list.revision, req)
 	if err != nil {
 		return nil, err
 	}
-	got.AgeMS = s.Clock.Now().Sub(list.provenAt).Milliseconds()
+	got.AgeMS = s.Clock.Now().Sub(list.asOf).Milliseconds()
 	return got, nil
 }
 
-// ownList returns what this instance has listed itself, and waits a little for its first list.
-func (s *Sharing) ownList(ctx context.Context, f *feed) knownList {
-	f.awaitKnown(ctx, s.Clock, firstWait, nil)
-	return f.list()
+// directList returns the list that this instance received from the platform. It waits briefly
+// for the first one.
+func (s *Sharing) directList(ctx context.Context, f *feed) snapshot {
+	f.waitForList(ctx, s.Clock, startupListWait, nil)
+	return f.snapshot()
 }
 
-// anyList returns what this instance has listed itself or learned from others, and waits until
-// it has.
-func (s *Sharing) anyList(ctx context.Context, f *feed, c *listCopy) knownList {
-	f.awaitKnown(ctx, s.Clock, parentWait, c.learned)
-	if list := f.list(); list.known {
+// availableList returns the list that this instance received from the platform or from another
+// instance. It waits for the first one.
+func (s *Sharing) availableList(ctx context.Context, f *feed, relayed *relayedList) snapshot {
+	f.waitForList(ctx, s.Clock, parentWait, relayed.loadedCh)
+	if list := f.snapshot(); list.valid {
 		return list
 	}
-	return c.list()
+	return relayed.snapshot()
 }
 
 func (s *Sharing) serveSince(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	f, q, err := s.asked(params)
+	f, req, err := s.decodeRequest(params)
 	if err != nil {
 		return nil, err
 	}
-	objects, revision, _, err := f.look(q.After)
-	got, err := s.changed(f, objects, revision, q, err)
+	objects, revision, _, err := f.changesAfter(req.After)
+	got, err := s.changesResponse(f, objects, revision, req, err)
 	if err != nil {
 		return nil, err
 	}
@@ -271,26 +276,27 @@
 }
 
 func (s *Sharing) serveAfter(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	f, q, err := s.asked(params)
+	f, req, err := s.decodeRequest(params)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, afterWait)
+	ctx, cancel := context.WithTimeout(ctx, longPollWait)
 	defer cancel()
-	objects, revision, err := f.after(ctx, q.After)
-	return s.changed(f, objects, revision, q, err)
+	objects, revision, err := f.waitForChanges(ctx, req.After)
+	return s.changesResponse(f, objects, revision, req, err)
 }
 
-// changed answers a question for what came after a revision with what the feed holds.
-func (s *Sharing) changed(f *feed, objects []platform.Object, revision int64, q question, err error) (answer, error) {
+// changesResponse builds the response with the changes after a revision from the results of the
+// feed.
+func (s *Sharing) changesResponse(f *feed, objects []platform.Object, revision int64, req request, err error) (response, error) {
 	switch {
 	case errors.Is(err, platform.ErrCompacted):
-		return answer{Compacted: true}, nil
+		return response{Compacted: true}, nil
 	case err != nil:
-		return answer{}, errNoFeed
+		return response{}, errFeedUnavailable
 	}
 	if len(objects) == 0 {
-		return answer{Revision: revision}, nil
+		return response{Revision: revision}, nil
 	}
-	return f.packed(objects, q.After, revision, q)
+	return f.encodeResponse(objects, req.After, revision, req)
 }
--- a/internal/objectwatch/sharing_test.go
+++ b/internal/objectwatch/sharing_test.go
@@ -17,13 +17,13 @@
 
 // Twenty entries change one after the other in a failure domain of eight instances. All
 // learn each at once, and only two of them watch the platform.
-func TestTwoOfADomainWatchForAll(t *testing.T) {
-	inSharedDomain(t, 8, func(is *is.I, d *sharedDomain) {
-		before := d.watches()
+func TestTwoReadersWatchForTheDomain(t *testing.T) {
+	runInDomain(t, 8, func(is *is.I, d *testDomain) {
+		before := d.watchCount()
 		for k := range 20 {
-			is.Equal(d.put(is, fmt.Sprint("m", k), 200*time.Millisecond), 8)
+			is.Equal(d.putAndCount(is, fmt.Sprint("m", k), 200*time.Millisecond), 8)
 		}
-		is.True(d.watches()-before <= 2*21)
+		is.True(d.watchCount()-before <= 2*21)
 		is.NoErr(d.store.Delete(context.Background(), platform.KindUpstreams, "m3", 1))
 		time.Sleep(200 * time.Millisecond)
 		for _, i := range d.instances {
@@ -33,11 +33,11 @@
 }
 
 // With four instances there is nothing to save, and each watches for itself.
-func TestFewInstancesWatchForThemselves(t *testing.T) {
-	inSharedDomain(t, 4, func(is *is.I, d *sharedDomain) {
-		is.Equal(d.put(is, "m", 200*time.Millisecond), 4)
+func TestSmallDomainWatchesDirectly(t *testing.T) {
+	runInDomain(t, 4, func(is *is.I, d *testDomain) {
+		is.Equal(d.putAndCount(is, "m", 200*time.Millisecond), 4)
 		for _, i := range d.instances {
-			is.True(i.calls.Load() > 0)
+			is.True(i.watchCalls.Load() > 0)
 		}
 	})
 }
@@ -46,27 +46,27 @@
 // learn of a change by the other reader, as it does itself. With both refused, the others
 // learn by themselves.
 func TestReaderWithoutThePlatformIsPassedBy(t *testing.T) {
-	inSharedDomain(t, 8, func(is *is.I, d *sharedDomain) {
+	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.instances[0].view.SetAway(true)
 		time.Sleep(30 * time.Second)
-		is.Equal(d.put(is, "m", time.Second), 8)
+		is.Equal(d.putAndCount(is, "m", time.Second), 8)
 		d.instances[1].view.SetAway(true)
 		time.Sleep(30 * time.Second)
-		is.Equal(d.put(is, "n", time.Second), 6)
+		is.Equal(d.putAndCount(is, "n", time.Second), 6)
 		d.instances[0].view.SetAway(false)
 		d.instances[1].view.SetAway(false)
 		time.Sleep(5 * time.Second)
-		is.Equal(d.put(is, "o", time.Second), 8)
+		is.Equal(d.putAndCount(is, "o", time.Second), 8)
 	})
 }
 
 // A reader dies while all wait for its answer. They find out when the answer is overdue,
 // and follow the other one.
-func TestDeadReaderIsPassedBy(t *testing.T) {
-	inSharedDomain(t, 8, func(is *is.I, d *sharedDomain) {
+func TestFollowersSwitchFromADeadReader(t *testing.T) {
+	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.net.SetCut("i0", true)
-		time.Sleep(2 * (afterWait + afterGrace))
-		is.True(d.put(is, "m", afterWait+2*afterGrace) >= 7)
+		time.Sleep(2 * (longPollWait + longPollGrace))
+		is.True(d.putAndCount(is, "m", longPollWait+2*longPollGrace) >= 7)
 		d.net.SetCut("i0", false)
 	})
 }
@@ -75,12 +75,12 @@
 // hear of changes at once from the other one: asked first again each time, the dead one would
 // hold up every change by as long as a question may wait.
 func TestDeadReaderHoldsNobodyUpTwice(t *testing.T) {
-	inSharedDomain(t, 8, func(is *is.I, d *sharedDomain) {
+	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.net.SetCut("i0", true)
 		// A question that it held when it died is answered yet; the next one is not.
-		time.Sleep(2*(afterWait+afterGrace) - time.Second)
+		time.Sleep(2*(longPollWait+longPollGrace) - time.Second)
 		for k := range 3 {
-			is.True(d.put(is, fmt.Sprint("m", k), 500*time.Millisecond) >= 7)
+			is.True(d.putAndCount(is, fmt.Sprint("m", k), 500*time.Millisecond) >= 7)
 		}
 		d.net.SetCut("i0", false)
 	})
@@ -105,29 +105,29 @@
 func TestDomainAsksForTwoThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newSharedDomain(40)
+		d := newTestDomain(40)
 		var lists atomic.Int64
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		for k, i := range d.instances {
 			const check = 2 * time.Second
-			follower := d.follower(k, countedLists{countedAPI{i.view, i}, &lists}, check, check+300*time.Millisecond)
+			follower := d.newFollower(k, countedLists{countedAPI{i.view, i}, &lists}, check, check+300*time.Millisecond)
 			running.Go(func() { follower.Run(ctx) })
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(d.put(is, "before", time.Second), 40)
-		calm, watches := lists.Load(), d.watches()
+		is.Equal(d.putAndCount(is, "before", time.Second), 40)
+		listsBefore, watchesBefore := lists.Load(), d.watchCount()
 		// Two readers list once at the start and every two seconds.
-		is.True(calm <= 2*(1+6))
+		is.True(listsBefore <= 2*(1+6))
 		d.store.SetFaults(standin.Faults{Outage: true})
 		time.Sleep(10 * time.Second)
-		inOutage := lists.Load() - calm + d.watches() - watches
-		t.Logf("%d lists before the outage, %d lists and watches in it", calm, inOutage)
+		inOutage := lists.Load() - listsBefore + d.watchCount() - watchesBefore
+		t.Logf("%d lists before the outage, %d lists and watches in it", listsBefore, inOutage)
 		// Two readers list and watch about once a second each, and the others do either once
 		// in three in the mean.
 		is.True(inOutage <= 2*2*10+38*10/3)
 		d.store.SetFaults(standin.Faults{})
-		is.Equal(d.put(is, "behind", 4*time.Second), 40)
+		is.Equal(d.putAndCount(is, "behind", 4*time.Second), 40)
 		cancel()
 		running.Wait()
 	})
@@ -136,12 +136,12 @@
 // A failure domain of sixty instances returns from a power cut, one after the other within
 // half a second and the readers among the last. Callers wait until an instance knows the
 // objects: each knows them within 300 ms of its start, wherever it learns them.
-func TestDomainThatReturnsKnowsSoon(t *testing.T) {
+func TestRestartedDomainLoadsObjectsQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const n, spread, within = 60, 500 * time.Millisecond, 300 * time.Millisecond
-		d := newSharedDomain(n)
-		is.Equal(d.put(is, "m", 0), 0)
+		d := newTestDomain(n)
+		is.Equal(d.putAndCount(is, "m", 0), 0)
 		var lists atomic.Int64
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -150,7 +150,7 @@
 			running.Go(func() {
 				// The readers are the first of the list, and start last.
 				time.Sleep(spread - spread*time.Duration(k)/n)
-				follower := d.follower(k, countedLists{countedAPI{i.view, i}, &lists}, 2*time.Second, 3*time.Second)
+				follower := d.newFollower(k, countedLists{countedAPI{i.view, i}, &lists}, 2*time.Second, 3*time.Second)
 				running.Go(func() { follower.Run(ctx) })
 				time.Sleep(within)
 				if !i.knows("m") {
@@ -187,14 +187,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		const check = 3 * time.Second
 		is := is.New(t)
-		d := newSharedDomain(10)
+		d := newTestDomain(10)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		var open []*openWatches
 		for k, i := range d.instances {
 			api := &openWatches{API: i.view}
 			open = append(open, api)
-			f := d.follower(k, api, check, check+300*time.Millisecond)
+			f := d.newFollower(k, api, check, check+300*time.Millisecond)
 			running.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(2 * time.Second)
@@ -215,7 +215,7 @@
 		is.True(most > 0)
 		d.instances[0].view.SetAway(false)
 		d.instances[1].view.SetAway(false)
-		time.Sleep(check + ownWatch + time.Second)
+		time.Sleep(check + directWatchTimeout + time.Second)
 		is.Equal(watching(), int64(0))
 		cancel()
 		running.Wait()
@@ -223,13 +223,13 @@
 }
 
 // mute is a platform that takes calls and, from some moment on, answers none.
-type mute struct {
+type unresponsiveAPI struct {
 	platform.API
-	silent atomic.Bool
+	unresponsive atomic.Bool
 }
 
-func (m *mute) await(ctx context.Context) error {
-	if !m.silent.Load() {
+func (u *unresponsiveAPI) blockIfUnresponsive(ctx context.Context) error {
+	if !u.unresponsive.Load() {
 		return nil
 	}
 	<-ctx.Done()
@@ -237,63 +237,63 @@
 }
 
 // List implements platform.API.
-func (m *mute) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+func (u *unresponsiveAPI) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if err := m.await(ctx); err != nil {
+	if err := u.blockIfUnresponsive(ctx); err != nil {
 		return nil, 0, err
 	}
-	return m.API.List(ctx, kind)
+	return u.API.List(ctx, kind)
 }
 
 // Watch implements platform.API.
-func (m *mute) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
+func (u *unresponsiveAPI) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 26*time.Second)
 	defer cancel()
-	if err := m.await(ctx); err != nil {
+	if err := u.blockIfUnresponsive(ctx); err != nil {
 		return nil, after, err
 	}
-	return m.API.Watch(ctx, kind, after)
+	return u.API.Watch(ctx, kind, after)
 }
 
 // touched keeps what a follower says of the platform.
-type touched struct {
+type reachabilitySink struct {
 	Sink
-	in atomic.Bool
+	reachable atomic.Bool
 }
 
 // Touch implements Sink.
-func (s *touched) Touch(in bool) { s.in.Store(in) }
+func (s *reachabilitySink) Touch(in bool) { s.reachable.Store(in) }
 
 // Guards against a follower that takes a platform which answers nothing for one that has nothing
 // to tell, because it watches for a while only.
-func TestFollowerNoticesASilentPlatform(t *testing.T) {
+func TestFollowerDetectsAnUnresponsivePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newSharedDomain(8)
+		d := newTestDomain(8)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		var apis []*mute
-		var sinks []*touched
+		var apis []*unresponsiveAPI
+		var sinks []*reachabilitySink
 		for k, i := range d.instances {
-			api, sink := &mute{API: i.view}, &touched{Sink: i}
+			api, sink := &unresponsiveAPI{API: i.view}, &reachabilitySink{Sink: i}
 			apis, sinks = append(apis, api), append(sinks, sink)
-			f := d.follower(k, api, 0, 0)
+			f := d.newFollower(k, api, 0, 0)
 			f.Sink = sink
 			running.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(2 * time.Second)
-		is.True(sinks[7].in.Load())
+		is.True(sinks[7].reachable.Load())
 		for _, api := range apis {
-			api.silent.Store(true)
+			api.unresponsive.Store(true)
 		}
 		time.Sleep(2 * time.Minute)
-		is.True(!sinks[7].in.Load())
+		is.True(!sinks[7].reachable.Load())
 		for _, api := range apis {
-			api.silent.Store(false)
+			api.unresponsive.Store(false)
 		}
 		time.Sleep(time.Minute)
-		is.True(sinks[7].in.Load())
+		is.True(sinks[7].reachable.Load())
 		cancel()
 		running.Wait()
 	})
--- a/internal/objectwatch/shareddomain_test.go
+++ b/internal/objectwatch/testdomain_test.go
@@ -19,50 +19,50 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// sharedInstance is one of the instances of a failure domain that follow a kind.
-type sharedInstance struct {
-	domain *sharedDomain
-	id     string
-	view   *standin.View
-	calls  atomic.Int64
+// testInstance is one of the instances of a failure domain that follow a kind.
+type testInstance struct {
+	domain     *testDomain
+	id         string
+	view       *standin.View
+	watchCalls atomic.Int64
 
 	mu    sync.Mutex
 	names map[string]bool
 }
 
-// sharedDomain is a failure domain with a store; it is the fleet of its instances.
-type sharedDomain struct {
+// testDomain is a failure domain with a store; it is the fleet of its instances.
+type testDomain struct {
 	store     *standin.Store
 	net       *peernet.Net
-	instances []*sharedInstance
-	// knownFrom is when the instances know each other.
-	knownFrom time.Time
+	instances []*testInstance
+	// fleetKnownAt is when the instances know each other.
+	fleetKnownAt time.Time
 }
 
 // Watch counts the watches that reach the platform.
-func (i *sharedInstance) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
-	i.calls.Add(1)
+func (i *testInstance) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
+	i.watchCalls.Add(1)
 	return i.view.Watch(ctx, kind, after)
 }
 
 // countedAPI is an instance's view of the platform with its watches counted.
 type countedAPI struct {
 	platform.API
-	*sharedInstance
+	*testInstance
 }
 
 // Watch implements platform.API.
 func (c countedAPI) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
-	return c.sharedInstance.Watch(ctx, kind, after)
+	return c.testInstance.Watch(ctx, kind, after)
 }
 
 // Self implements Fleet.
-func (i *sharedInstance) Self() platform.Instance {
+func (i *testInstance) Self() platform.Instance {
 	return platform.Instance{ID: i.id, FailureDomain: "a", PeerAddress: i.id}
 }
 
 // Pick implements Fleet: the first ones have every duty.
-func (i *sharedInstance) Pick(_ string, n int) []platform.Instance {
+func (i *testInstance) Pick(_ string, n int) []platform.Instance {
 	var all []platform.Instance
 	for _, o := range i.domain.instances[:min(n, len(i.domain.instances))] {
 		all = append(all, o.Self())
@@ -71,7 +71,7 @@
 }
 
 // Live implements Fleet.
-func (i *sharedInstance) Live() []platform.Instance {
+func (i *testInstance) Live() []platform.Instance {
 	var all []platform.Instance
 	for _, o := range i.domain.instances {
 		all = append(all, o.Self())
@@ -80,10 +80,10 @@
 }
 
 // Known implements Fleet.
-func (i *sharedInstance) Known() bool { return !time.Now().Before(i.domain.knownFrom) }
+func (i *testInstance) Known() bool { return !time.Now().Before(i.domain.fleetKnownAt) }
 
 // Listed implements Sink.
-func (i *sharedInstance) Listed(objects []platform.Object) {
+func (i *testInstance) Listed(objects []platform.Object) {
 	i.mu.Lock()
 	i.names = make(map[string]bool)
 	i.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // Changed implements Sink.
-func (i *sharedInstance) Changed(objects []platform.Object) {
+func (i *testInstance) Changed(objects []platform.Object) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, o := range objects {
@@ -100,19 +100,19 @@
 }
 
 // Touch implements Sink.
-func (i *sharedInstance) Touch(bool) {}
+func (i *testInstance) Touch(bool) {}
 
-func (i *sharedInstance) knows(name string) bool {
+func (i *testInstance) knows(name string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.names[name]
 }
 
-// newSharedDomain returns a failure domain of instances that do not follow anything yet.
-func newSharedDomain(n int) *sharedDomain {
-	d := &sharedDomain{store: standin.NewStore(), net: peernet.New()}
+// newTestDomain returns a failure domain of instances that do not follow anything yet.
+func newTestDomain(n int) *testDomain {
+	d := &testDomain{store: standin.NewStore(), net: peernet.New()}
 	for k := range n {
-		d.instances = append(d.instances, &sharedInstance{domain: d, id: fmt.Sprint("i", k), view: standin.NewView(d.store),
+		d.instances = append(d.instances, &testInstance{domain: d, id: fmt.Sprint("i", k), view: standin.NewView(d.store),
 			names: make(map[string]bool)})
 	}
 	return d
@@ -120,7 +120,7 @@
 
 // follower makes an instance's follower of members' entries, which shares its calls to api. It
 // lists them each check, if that is not zero, unless a reader's proof is no older than maxAge.
-func (d *sharedDomain) follower(k int, api platform.API, check, maxAge time.Duration) *Follower {
+func (d *testDomain) newFollower(k int, api platform.API, check, maxAge time.Duration) *Follower {
 	i := d.instances[k]
 	s := NewSharing(SharingConfig{API: api, Fleet: i, Caller: d.net.At(i.id), Clock: clock.System{},
 		Rand: rand.New(rand.NewPCG(uint64(k), 2)), Log: hclog.NewNullLogger()}, d.net.At(i.id))
@@ -133,14 +133,14 @@
 	return New(c)
 }
 
-// inSharedDomain runs f with a number of instances that follow members' entries.
-func inSharedDomain(t *testing.T, n int, f func(is *is.I, d *sharedDomain)) {
+// runInDomain runs f with a number of instances that follow members' entries.
+func runInDomain(t *testing.T, n int, f func(is *is.I, d *testDomain)) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newSharedDomain(n)
+		d := newTestDomain(n)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		for k, i := range d.instances {
-			follower := d.follower(k, countedAPI{i.view, i}, 0, 0)
+			follower := d.newFollower(k, countedAPI{i.view, i}, 0, 0)
 			running.Go(func() { follower.Run(ctx) })
 		}
 		time.Sleep(time.Second)
@@ -151,7 +151,7 @@
 }
 
 // put writes an object, and returns how many instances know of it some time later.
-func (d *sharedDomain) put(is *is.I, name string, later time.Duration) int {
+func (d *testDomain) putAndCount(is *is.I, name string, later time.Duration) int {
 	_, err := d.store.Put(context.Background(), platform.KindUpstreams, name, []byte(`{}`), 0)
 	is.NoErr(err)
 	time.Sleep(later)
@@ -165,10 +165,10 @@
 }
 
 // watches returns how many watches reached the platform.
-func (d *sharedDomain) watches() int64 {
+func (d *testDomain) watchCount() int64 {
 	var sum int64
 	for _, i := range d.instances {
-		sum += i.calls.Load()
+		sum += i.watchCalls.Load()
 	}
 	return sum
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -15,73 +15,73 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a peer.
+	// dialTimeout bounds the dial of a connection to a peer.
 	dialTimeout = time.Second
-	// connectWait is how long a call waits for a connection: several round trips
-	// between regions. The machine of a dead peer answers nothing, and a call that
-	// waited for the dial's own bound would have no time left for another peer. The
-	// dial goes on for later calls.
+	// connectWait is how long a call waits for a connection: several round trips between
+	// regions. The machine of a dead peer sends no response at all, and a call that
+	// waited for the full dialTimeout would have no time left to try another peer. The
+	// dial continues for later calls.
 	connectWait = 250 * time.Millisecond
 )
 
-// Client calls peers over one kept connection each.
+// Client calls peers over one persistent connection each.
 //
-// Lock order: Client.mu, link.mu, channel.mu. None is held across I/O.
+// Lock order: Client.mu, link.mu, connection.mu. None is held across I/O.
 type Client struct {
-	// Metrics counts the calls; nil for nothing. It is set before the first call.
+	// Metrics counts the calls; nil disables it. It must be set before the first call.
 	Metrics *Metrics
 
 	self   string
 	dialer netio.Dialer
-	// life ends with Close, and every dial with it.
-	life context.Context
-	end  context.CancelFunc
+	// baseCtx is the parent context of all dials. Close cancels it.
+	baseCtx    context.Context
+	cancelBase context.CancelFunc
 
 	mu    sync.Mutex
 	links map[string]*link
 }
 
-// NewClient returns a Client that names itself self.
+// NewClient returns a Client that identifies itself to peers as self.
 func NewClient(self string, d netio.Dialer) *Client {
 	life, end := context.WithCancel(context.Background())
-	return &Client{self: self, dialer: d, life: life, end: end, links: make(map[string]*link)}
+	return &Client{self: self, dialer: d, baseCtx: life, cancelBase: end, links: make(map[string]*link)}
 }
 
-// Call implements Caller. An error that wraps ErrNotSent says that the peer did
-// not see the call; a *result.Error is the peer's own answer.
+// Call implements Caller. An error that wraps ErrNotSent reports that the peer did not
+// receive the call; a *result.Error is the peer's own response.
 func (c *Client) Call(ctx context.Context, address, method string, params, reply any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	channel, err := c.connect(ctx, address)
+	conn, err := c.connect(ctx, address)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	c.Metrics.sent(method, len(raw))
-	taken := answer{into: reply}
-	err = send(ctx, channel.conn, method, envelope{From: c.self, Params: raw}, &taken)
-	c.Metrics.received(method, taken.size)
-	// After a timeout the connection may have gone silent for good, so new calls
-	// get another one.
-	channel.end(errors.Is(err, context.DeadlineExceeded))
-	var wire *jsonrpc2.Error
-	if errors.As(err, &wire) {
-		return decodeError(wire)
+	sized := sizedReply{target: reply}
+	err = send(ctx, conn.rpc, method, envelope{From: c.self, Params: raw}, &sized)
+	c.Metrics.received(method, sized.size)
+	// After a timeout the connection may be dead without notice, so new calls use a new
+	// one.
+	conn.endCall(errors.Is(err, context.DeadlineExceeded))
+	var rpcErr *jsonrpc2.Error
+	if errors.As(err, &rpcErr) {
+		return decodeError(rpcErr)
 	}
 	return err
 }
 
-// connect returns an open channel to a peer.
-func (c *Client) connect(ctx context.Context, address string) (*channel, error) {
+// connect returns an open connection to a peer, on which one call is counted.
+func (c *Client) connect(ctx context.Context, address string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectWait)
 	defer cancel()
-	return c.link(address).begin(ctx, func() (net.Conn, error) { return c.dial(address) })
+	return c.link(address).beginCall(ctx, func() (net.Conn, error) { return c.dial(address) })
 }
 
-// send writes one call and waits for its answer. A failed write proves that the
-// peer did not see the call: it reads whole messages only, and the end of this
-// one was never handed to the network.
+// send writes one call and waits for its response. A failed write proves that the peer
+// did not process the call: it reads whole messages only, and the end of this one was
+// never passed to the network.
 func send(ctx context.Context, conn *jsonrpc2.Conn, method string, params, reply any) error {
 	waiter, err := conn.DispatchCall(ctx, method, params)
 	if err != nil {
@@ -90,10 +90,10 @@
 	return waiter.Wait(ctx, reply)
 }
 
-// dial opens a connection that several calls wait for, so it is bound to none of
-// their contexts.
+// dial opens a connection. Several calls wait for it, so it does not use the context of
+// any of them.
 func (c *Client) dial(address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(c.life, dialTimeout)
+	ctx, cancel := context.WithTimeout(c.baseCtx, dialTimeout)
 	defer cancel()
 	return c.dialer.Dial(ctx, address)
 }
@@ -117,9 +117,9 @@
 	return l != nil && l.connected()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
-	c.end()
+	c.cancelBase()
 	c.mu.Lock()
 	links := c.links
 	c.links = make(map[string]*link)
@@ -129,7 +129,7 @@
 	}
 }
 
-func disconnected(c *jsonrpc2.Conn) bool {
+func isDisconnected(c *jsonrpc2.Conn) bool {
 	select {
 	case <-c.DisconnectNotify():
 		return true
@@ -138,25 +138,25 @@
 	}
 }
 
-func stream(conn net.Conn) jsonrpc2.ObjectStream {
+func newObjectStream(conn net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
 }
 
-// refuseCalls drops requests that come over a connection that this side opened:
-// peers open their own.
-type refuseCalls struct{}
+// ignoreRequests drops requests that arrive on a connection opened by this side: peers
+// send theirs over connections of their own.
+type ignoreRequests struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuseCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (ignoreRequests) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
 
-func decodeError(wire *jsonrpc2.Error) error {
-	if _, known := result.Lookup(result.Code(wire.Code)); !known {
-		return wire
+func decodeError(rpcErr *jsonrpc2.Error) error {
+	if _, known := result.Lookup(result.Code(rpcErr.Code)); !known {
+		return rpcErr
 	}
-	e := result.New(result.Code(wire.Code), "%s", wire.Message)
-	if wire.Data != nil {
+	e := result.New(result.Code(rpcErr.Code), "%s", rpcErr.Message)
+	if rpcErr.Data != nil {
 		var after int64
-		if json.Unmarshal(*wire.Data, &after) == nil {
+		if json.Unmarshal(*rpcErr.Data, &after) == nil {
 			e.RetryAfter = time.Duration(after)
 		}
 	}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -2,5 +2,5 @@
 
 import "errors"
 
-// ErrNotSent says that a call never left this instance, so that it did not run.
+// ErrNotSent reports that a call never left this instance and therefore did not run.
 var ErrNotSent = errors.New("peer: call was not sent")
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// link is the way to one peer. Calls that need a new connection share one dial,
-// and each waits for it no longer than its own context allows: a peer that
-// cannot be reached must not hold up a call with a short deadline.
+// link manages the connection to one peer. Calls that need a new connection share one
+// dial, and each waits for it only as long as its own context allows: an unreachable peer
+// must not block a call with a short deadline.
 type link struct {
-	mu      sync.Mutex
-	channel *channel
-	// dialling is not nil while a dial runs.
-	dialling *dialling
+	mu         sync.Mutex
+	connection *connection
+	// pending is the dial in progress; nil if there is none.
+	pending *pendingDial
 }
 
-// dialling is a dial under way.
-type dialling struct {
-	// done is closed at the end, after err was set.
+// pendingDial is a dial in progress.
+type pendingDial struct {
+	// done is closed when the dial has ended, after err is set.
 	done chan struct{}
 	err  error
 }
 
-// begin returns a channel on which one call was counted.
-func (l *link) begin(ctx context.Context, dial func() (net.Conn, error)) (*channel, error) {
+// beginCall returns a connection on which one call has been counted.
+func (l *link) beginCall(ctx context.Context, dial func() (net.Conn, error)) (*connection, error) {
 	for {
-		c, d := l.current(dial)
+		c, d := l.connectionOrDial(dial)
 		if c != nil {
 			return c, nil
 		}
@@ -41,43 +41,43 @@
 	}
 }
 
-func (l *link) current(dial func() (net.Conn, error)) (*channel, *dialling) {
+func (l *link) connectionOrDial(dial func() (net.Conn, error)) (*connection, *pendingDial) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.channel != nil && l.channel.begin() {
-		return l.channel, nil
+	if l.connection != nil && l.connection.beginCall() {
+		return l.connection, nil
 	}
-	if l.dialling == nil {
-		l.dialling = &dialling{done: make(chan struct{})}
-		go l.dial(l.dialling, dial)
+	if l.pending == nil {
+		l.pending = &pendingDial{done: make(chan struct{})}
+		go l.dial(l.pending, dial)
 	}
-	return nil, l.dialling
+	return nil, l.pending
 }
 
-func (l *link) dial(d *dialling, dial func() (net.Conn, error)) {
+func (l *link) dial(d *pendingDial, dial func() (net.Conn, error)) {
 	conn, err := dial()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer close(d.done)
-	l.dialling = nil
+	l.pending = nil
 	d.err = err
 	if err == nil {
-		l.channel = newChannel(conn)
+		l.connection = newConnection(conn)
 	}
 }
 
 func (l *link) connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.channel != nil && !disconnected(l.channel.conn)
+	return l.connection != nil && !isDisconnected(l.connection.rpc)
 }
 
 func (l *link) close() {
 	l.mu.Lock()
-	c := l.channel
-	l.channel = nil
+	c := l.connection
+	l.connection = nil
 	l.mu.Unlock()
 	if c != nil {
-		c.conn.Close()
+		c.rpc.Close()
 	}
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Directions of bytes, as metric labels.
+// Directions of transfer, as values of a metric label.
 const (
 	directionSent     = "sent"
 	directionReceived = "received"
 )
 
-// Metrics counts what an instance's own calls to peers carry, by method. A nil Metrics counts
-// nothing.
+// Metrics counts an instance's outgoing calls to peers and their bytes, by method. A nil
+// Metrics counts nothing.
 type Metrics struct {
 	calls *prometheus.CounterVec
 	bytes *prometheus.CounterVec
 }
 
-// NewMetrics makes the metrics and registers them.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries calls between instances: jsonrpc2 over one long-lived
-// connection for each pair of instances, many calls at a time.
+// Package peer implements calls between instances: jsonrpc2 over one long-lived
+// connection per pair of instances, with many concurrent calls.
 package peer
 
 import (
@@ -9,15 +9,16 @@
 
 // Caller calls a method of another instance.
 type Caller interface {
-	// Call sends params to the instance whose peer address is given and decodes
-	// its answer into reply. A lost connection fails every call in flight.
+	// Call sends params to the instance with the given peer address and decodes its
+	// response into reply. A lost connection fails every call in flight.
 	Call(ctx context.Context, address, method string, params, reply any) error
 }
 
-// Handler answers one call. from is the caller's instance ID as it named itself.
+// Handler handles one call. from is the instance ID that the calling instance gave for
+// itself.
 type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
-// Registry takes the handlers of the instance's parts before it serves.
+// Registry accepts handlers from the components of an instance before it starts to serve.
 type Registry interface {
 	Handle(method string, h Handler)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,9 +12,9 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Server answers the calls of peers.
+// Server handles the calls of peers.
 //
-// Lock order: Server.mu alone.
+// Server.mu is held together with no other lock.
 type Server struct {
 	logger hclog.Logger
 
@@ -40,7 +40,7 @@
 	s.handlers[method] = h
 }
 
-// Serve accepts peers until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -50,14 +50,14 @@
 		if err != nil {
 			return err
 		}
-		s.add(conn)
+		s.addConn(conn)
 	}
 }
 
-func (s *Server) add(conn net.Conn) {
-	handler := jsonrpc2.HandlerWithError(s.answer)
+func (s *Server) addConn(conn net.Conn) {
+	handler := jsonrpc2.HandlerWithError(s.handleRequest)
 	handler.SuppressErrClosed()
-	c := jsonrpc2.NewConn(context.Background(), stream(boundedWrites{conn}), jsonrpc2.AsyncHandler(handler), quiet)
+	c := jsonrpc2.NewConn(context.Background(), newObjectStream(writeDeadlineConn{conn}), jsonrpc2.AsyncHandler(handler), discardLog)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -65,17 +65,17 @@
 		return
 	}
 	s.conns[c] = struct{}{}
-	go s.forget(c)
+	go s.removeWhenClosed(c)
 }
 
-func (s *Server) forget(c *jsonrpc2.Conn) {
+func (s *Server) removeWhenClosed(c *jsonrpc2.Conn) {
 	<-c.DisconnectNotify()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// Close ends the connections of all peers.
+// Close closes the connections of all peers.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -87,13 +87,13 @@
 	}
 }
 
-// envelope is the parameter of every call.
+// envelope is the params object of every call.
 type envelope struct {
 	From   string          `json:"from"`
 	Params json.RawMessage `json:"params"`
 }
 
-func (s *Server) answer(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
+func (s *Server) handleRequest(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	s.mu.Lock()
 	h := s.handlers[r.Method]
 	s.mu.Unlock()
@@ -114,15 +114,15 @@
 	return reply, nil
 }
 
-// encodeError keeps a result code on its way between instances.
+// encodeError preserves the result code of an error in transit between instances.
 func encodeError(err error) *jsonrpc2.Error {
 	e, ok := result.As(err)
 	if !ok {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
 	}
-	wire := &jsonrpc2.Error{Code: int64(e.Code), Message: errorDetail(e)}
-	wire.SetError(int64(e.RetryAfter))
-	return wire
+	rpcErr := &jsonrpc2.Error{Code: int64(e.Code), Message: errorDetail(e)}
+	rpcErr.SetError(int64(e.RetryAfter))
+	return rpcErr
 }
 
 func errorDetail(e *result.Error) string {
--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Verbs of calls, as metric labels.
+// Verbs of calls, as values of a metric label.
 const (
 	verbGet       = "get"
 	verbList      = "list"
@@ -16,13 +16,13 @@
 	verbWatch     = "watch"
 )
 
-// Directions of bytes, as metric labels.
+// Directions of transfer, as values of a metric label.
 const (
 	directionSent     = "sent"
 	directionReceived = "received"
 )
 
-// Counted is an API that counts the calls and the bytes of the values that they carry, by kind
+// Counted is an API that counts calls and the bytes of the values they transfer, by kind
 // of object and verb.
 type Counted struct {
 	API
@@ -30,7 +30,7 @@
 	bytes *prometheus.CounterVec
 }
 
-// NewCounted returns an API that counts, and registers its metrics.
+// NewCounted wraps an API with counters and registers their metrics.
 func NewCounted(a API, r prometheus.Registerer) *Counted {
 	c := &Counted{
 		API: a,
