--- a/internal/objectwatch/changessince_test.go
+++ b/internal/objectwatch/changessince_test.go
@@ -13,7 +13,8 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// fakeFleet is one instance among readers; far ones have too few instances to need any.
+// fakeFleet is a fleet with this instance and a fixed set of readers. Only the failure domain of
+// the first reader is large enough to need readers.
 type fakeFleet struct {
 	self    platform.Instance
 	readers []platform.Instance
@@ -33,7 +34,7 @@
 	if n <= readersPerDomain {
 		return f.readers
 	}
-	// The failure domain of the readers is a large one.
+	// The failure domain of the first reader is a large one.
 	all := f.readers
 	for len(f.readers) > 0 && len(all) < n+1 {
 		all = append(all, platform.Instance{ID: "more", FailureDomain: f.readers[0].FailureDomain})
@@ -41,7 +42,7 @@
 	return all
 }
 
-// answering is a peer with one answer.
+// fakePeer gives the same response to every call.
 type fakePeer struct {
 	response response
 	err      error
@@ -56,13 +57,13 @@
 // Handle implements peer.Registry.
 func (*fakePeer) Handle(string, peer.Handler) {}
 
-// An instance asks a peer in place of the platform. It looks itself whenever the peer's
-// word does not prove that what it holds is in force.
+// A follower asks a peer instead of the platform. It turns to the platform if the peer's
+// response does not prove that the objects are current.
 func TestPeersSpareThePlatform(t *testing.T) {
 	localReader, remoteReader := platform.Instance{ID: "n", FailureDomain: "a"}, platform.Instance{ID: "f", FailureDomain: "b"}
 	self := platform.Instance{ID: "s", FailureDomain: "a"}
 	const maxAge = 2300 * time.Millisecond
-	// none stands for no answer that proves anything.
+	// noRevision means that no response proves a revision.
 	const noRevision = int64(-1)
 	for name, c := range map[string]struct {
 		self    platform.Instance
@@ -86,5 +87,4 @@
 			t.Errorf("%s: %v, %v", name, got, err)
 		}
 	}
-
 }
--- a/internal/objectwatch/encoding_test.go
+++ b/internal/objectwatch/encoding_test.go
@@ -14,8 +14,8 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// largeValue is a manifest of 590 groups with three databases each, and 2,800 workspaces with two
-// keys each, in a version.
+// largeValue returns one version of a manifest with 590 groups of three databases each, and
+// 2,800 workspaces with two keys each.
 func largeValue(version int) []byte {
 	r := rand.New(rand.NewPCG(1, 2))
 	var b strings.Builder
@@ -40,7 +40,7 @@
 	return platform.Object{Kind: platform.KindManifest, Name: platform.ManifestName, Version: int64(version), Revision: int64(version), Value: largeValue(version)}
 }
 
-// Guards against answers that unpack to something else than was packed.
+// Guards against responses that decode to something other than what was encoded.
 func TestEncodedObjectsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	small := platform.Object{Kind: platform.KindUpstreams, Name: "m", Revision: 3, Value: []byte(`{"a":1}`)}
@@ -63,7 +63,7 @@
 	is.True(err != nil)
 }
 
-// Guards against a change of one route that costs as much as the whole manifest.
+// Guards against a change of one route that is as large as the whole manifest.
 func TestDeltaOfALargeManifestIsSmall(t *testing.T) {
 	is := is.New(t)
 	first, second := largeObject(1), largeObject(2)
@@ -71,17 +71,16 @@
 	is.NoErr(err)
 	delta, err := encodeObjects([]platform.Object{second}, first.Value)
 	is.NoErr(err)
-	t.Logf("a manifest of %d bytes: whole %d, its change %d", len(second.Value), len(full), len(delta))
+	t.Logf("a manifest of %d bytes: encoded in full %d, as a delta %d", len(second.Value), len(full), len(delta))
 	is.True(len(delta) < len(full)/20)
 }
 
-// narrowLinks sums up what readers send, and gives the time that it takes over a link of
-// 10 Mbit/s.
+// narrowLinkRate is the rate of a link of 10 Mbit/s, in bytes per second.
 const narrowLinkRate = 10_000_000 / 8
 
-// The load pattern is ten changes of a large manifest in quick succession, at a reader with 49
-// followers on a link of 10 Mbit/s. Guards against a spread that takes longer than half of the
-// five seconds that an operator waits.
+// Load pattern: ten changes of a large manifest in quick succession, at a reader with 49
+// followers on a link of 10 Mbit/s. Guards against changes that take more than half of the five
+// seconds an operator waits to reach all followers.
 func TestReaderSpreadsChangesOverANarrowLink(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
@@ -112,8 +111,7 @@
 	is.True(needed < 2500*time.Millisecond)
 }
 
-// Guards against a follower that is two versions behind and is given a change that it cannot
-// unpack.
+// Guards against a delta that a follower two versions behind cannot decode.
 func TestFollowerFarBehindGetsTheWholeObject(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
--- a/internal/objectwatch/fallback_test.go
+++ b/internal/objectwatch/fallback_test.go
@@ -18,7 +18,7 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// timingSink notes when it was told of an object.
+// timingSink records when the object "late" was delivered.
 type timingSink struct{ deliveredAt chan time.Time }
 
 // Listed implements Sink.
@@ -39,7 +39,7 @@
 // Touch implements Sink.
 func (timingSink) Touch(bool) {}
 
-// cutAPI is the platform as an instance reaches it whose packets are lost while it is cut: each
+// cutAPI is a platform whose packets to and from this instance are lost while cut is set: each
 // call takes a second to fail.
 type cutAPI struct {
 	platform.API
@@ -76,7 +76,7 @@
 	return objects, next, err
 }
 
-// largeFleet is a fleet whose failure domains have more instances than read for themselves.
+// largeFleet is a fleet whose failure domains all have more than maxDirectReaders instances.
 type largeFleet struct{ fakeFleet }
 
 // Pick implements Fleet.
@@ -93,9 +93,10 @@
 	return all
 }
 
-// A failure domain is cut off with its readers; an instance of it comes back first, and the
-// platform refuses it still. Guards against a change that it learns only when its readers are
-// back, or it may ask the platform again: longer than a change may take behind a cut.
+// A failure domain is cut off together with its readers. One follower reconnects first, while
+// the platform still refuses it. Guards against a follower that learns of a change only when its
+// readers are back or when it may call the platform again, which exceeds the time limit for a
+// change after a partition.
 func TestReconnectedInstanceUsesReadersOfOtherDomains(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
@@ -139,7 +140,7 @@
 			time.Sleep(12 * time.Second)
 			is.Equal(len(sink.deliveredAt), 1)
 			delay := (<-sink.deliveredAt).Sub(healed)
-			t.Logf("seed %d: %v behind the end of the cut", seed, delay)
+			t.Logf("seed %d: %v after the partition ended", seed, delay)
 			is.True(delay <= 5*time.Second)
 			cancel()
 			time.Sleep(time.Minute)
--- a/internal/objectwatch/feed.go
+++ b/internal/objectwatch/feed.go
@@ -10,9 +10,10 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// minFeedChanges is the number of changes that a feed keeps at least. They cover some minutes,
-// so that followers can usually resume from their revision and need not list all objects again.
-const minFeedChanges = 512
+// feedHistoryLength is the length of a feed's history in changes, unless there are more objects
+// than that or maxFeedBytes requires a shorter history. It covers some minutes, so that followers
+// can usually resume from their revision and need not list all objects again.
+const feedHistoryLength = 512
 
 // maxFeedBytes limits the total size of the values in a feed's history, in bytes. A manifest can
 // be a megabyte in size and change often.
@@ -152,7 +153,7 @@
 
 // maxChanges returns how many changes the history holds: enough for some minutes, and at least
 // one for each object, since all objects may change within seconds.
-func (f *feed) maxChanges() int { return max(minFeedChanges, len(f.objects)) }
+func (f *feed) maxChanges() int { return max(feedHistoryLength, len(f.objects)) }
 
 // dropOldest drops the oldest changes. All changes of one revision are dropped together. The
 // caller holds f.mu.
--- a/internal/objectwatch/feed_test.go
+++ b/internal/objectwatch/feed_test.go
@@ -12,26 +12,26 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// A follower was away for so long that the feed has forgotten the changes that it asks
-// for. It is told so and lists anew; an answer with the later ones alone would leave what
-// was removed meanwhile in its list for good.
+// A follower asks for changes that are no longer in the feed's history. It must get ErrCompacted
+// and list again: if it got only the later changes, objects that were removed in between would
+// stay in its list forever.
 func TestFeedReportsCompactedHistory(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
 	f.applyList(nil, 10, time.Time{})
-	for k := range int64(minFeedChanges + 20) {
+	for k := range int64(feedHistoryLength + 20) {
 		f.applyWatch([]platform.Object{{Name: fmt.Sprint("m", k%3)}}, 10+k, 11+k)
 	}
 	_, _, err := f.waitForChanges(context.Background(), 10)
 	is.True(errors.Is(err, platform.ErrCompacted))
-	objects, next, err := f.waitForChanges(context.Background(), 10+minFeedChanges)
+	objects, next, err := f.waitForChanges(context.Background(), 10+feedHistoryLength)
 	is.NoErr(err)
-	is.Equal(next, int64(10+minFeedChanges+20))
+	is.Equal(next, int64(10+feedHistoryLength+20))
 	is.Equal(len(objects), 20)
 }
 
-// A watch's answer does not follow what the feed knows: another list has come between.
-// The feed tells nothing until it is listed again, rather than a list with a gap.
+// The response to a watch does not continue from the feed's revision, because another list came
+// in between. The feed must return nothing until the next list, rather than a list with a gap.
 func TestFeedReturnsNothingAfterAGap(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
@@ -45,9 +45,9 @@
 	is.Equal(list.revision, int64(13))
 }
 
-// A watch is deaf for a while, and a list shows what it missed: one object changed and one
-// is gone. Those who follow the feed are told of just these; a list that shows nothing new
-// wakes nobody.
+// A watch misses changes for a while, and a list reveals them: one object changed and one was
+// removed. Followers of the feed get exactly these two changes; a list without changes wakes no
+// follower.
 func TestFeedTellsWhatAListShows(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
@@ -68,8 +68,8 @@
 	is.Equal(objects[1].Name, "c")
 }
 
-// A list overtakes a watch that was under way. What the watch tells beyond the list is
-// taken in, and what it tells again does no harm.
+// A list overtakes a watch in progress. The feed applies the changes of the watch that go beyond
+// the list; the repeated ones have no effect.
 func TestFeedAppliesWatchOvertakenByList(t *testing.T) {
 	is := is.New(t)
 	f := newFeed()
--- a/internal/objectwatch/fleet.go
+++ b/internal/objectwatch/fleet.go
@@ -15,13 +15,13 @@
 
 // OnDuty selects n instances of each failure domain for a duty. It returns those in this
 // instance's own failure domain, and whether this instance was selected.
-func OnDuty(f Fleet, duty string, n int) (local []platform.Instance, self bool) {
-	instance := f.Self()
+func OnDuty(f Fleet, duty string, n int) (local []platform.Instance, isSelected bool) {
+	self := f.Self()
 	for _, i := range f.Pick(duty, n) {
-		if i.FailureDomain == instance.FailureDomain {
+		if i.FailureDomain == self.FailureDomain {
 			local = append(local, i)
 		}
-		self = self || i.ID == instance.ID
+		isSelected = isSelected || i.ID == self.ID
 	}
-	return local, self
+	return local, isSelected
 }
--- a/internal/objectwatch/follower.go
+++ b/internal/objectwatch/follower.go
@@ -33,7 +33,7 @@
 	// Changed receives objects that were changed or removed.
 	Changed(objects []platform.Object)
 	// Touch reports whether the platform is reachable.
-	Touch(inTouch bool)
+	Touch(reachable bool)
 }
 
 // Peers are other instances that follow the same kind.
--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -16,7 +16,7 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// noted keeps what a sink is told.
+// recordingSink records the calls of a Follower.
 type recordingSink struct {
 	values       map[string]string
 	lists        int
@@ -41,12 +41,12 @@
 }
 
 // Touch implements Sink.
-func (s *recordingSink) Touch(inTouch bool) { s.reachability = append(s.reachability, inTouch) }
+func (s *recordingSink) Touch(reachable bool) { s.reachability = append(s.reachability, reachable) }
 
 func runFollower(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *recordingSink)) {
 	synctest.Test(t, func(t *testing.T) {
-		store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
-		w := New(Config{API: store, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
+		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+		w := New(Config{API: store, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 			Log: hclog.NewNullLogger(), Check: check})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -55,7 +55,7 @@
 			w.Run(ctx)
 		}()
 		advance(time.Second)
-		f(is.New(t), store, n)
+		f(is.New(t), store, sink)
 		cancel()
 		<-done
 	})
@@ -67,43 +67,43 @@
 	is.NoErr(err)
 }
 
-// Objects change, one is removed, and the history is dropped behind a change that was
-// not heard. All is told, by the watch or by a new list.
+// Objects change, one is removed, and the history is compacted after a change that the watch
+// missed. Every change is delivered, by the watch or by a new list.
 func TestChangesAreDeliveredAfterCompaction(t *testing.T) {
-	runFollower(t, 0, func(is *is.I, s *standin.Store, n *recordingSink) {
+	runFollower(t, 0, func(is *is.I, s *standin.Store, sink *recordingSink) {
 		put(is, s, "a", "1")
 		put(is, s, "b", "1")
 		advance(time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:1 b:1]")
+		is.Equal(fmt.Sprint(sink.values), "map[a:1 b:1]")
 		is.NoErr(s.Delete(context.Background(), platform.KindGroup, "b", 1))
 		advance(time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:1]")
+		is.Equal(fmt.Sprint(sink.values), "map[a:1]")
 		s.SetFaults(standin.Faults{Outage: true})
 		advance(time.Second)
 		s.SetFaults(standin.Faults{})
 		put(is, s, "a", "2")
 		s.Compact(platform.KindGroup)
 		advance(2 * time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:2]")
-		is.Equal(n.lists, 2)
-		is.Equal(n.reachability, []bool{true, false, true})
+		is.Equal(fmt.Sprint(sink.values), "map[a:2]")
+		is.Equal(sink.lists, 2)
+		is.Equal(sink.reachability, []bool{true, false, true})
 	})
 }
 
-// The watch is deaf. Without a check nothing is told; with one, a change is told within
-// its interval.
+// The watch returns no changes. Without checks a change is not delivered; with checks it is
+// delivered within the check interval.
 func TestChecksBoundTheDelayOfASilentWatch(t *testing.T) {
 	for _, check := range []time.Duration{0, 2 * time.Second} {
-		runFollower(t, check, func(is *is.I, s *standin.Store, n *recordingSink) {
+		runFollower(t, check, func(is *is.I, s *standin.Store, sink *recordingSink) {
 			s.SetFaults(standin.Faults{DeafWatches: true})
 			put(is, s, "a", "1")
 			advance(check + 100*time.Millisecond)
-			is.Equal(n.values["a"] == "1", check > 0)
+			is.Equal(sink.values["a"] == "1", check > 0)
 		})
 	}
 }
 
-// delayedLists answers lists some time after they were read.
+// delayedLists returns lists some time after it has read them.
 type delayedLists struct {
 	platform.API
 	delay time.Duration
@@ -116,13 +116,13 @@
 	return objects, revision, err
 }
 
-// An object is written while a list that was read before it is still on its way. The watch
-// tells of the object first, and then the list comes, which lacks it. The object stays known.
+// An object is written while a list that was read earlier is still in transit. The watch
+// delivers the object first, and then the list without it arrives. The object must stay known.
 func TestListThatIsOlderTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
-		w := New(Config{API: delayedLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{},
+		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+		w := New(Config{API: delayedLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{},
 			Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger(), Check: 2 * time.Second})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -130,19 +130,19 @@
 			defer close(done)
 			w.Run(ctx)
 		}()
-		// The check reads its list at two seconds and has it half a second later.
+		// The check reads its list at 2 s and gets it half a second later.
 		advance(2100 * time.Millisecond)
 		put(is, store, "a", "1")
 		advance(100 * time.Millisecond)
-		is.Equal(n.values["a"], "1")
+		is.Equal(sink.values["a"], "1")
 		advance(time.Second)
-		is.Equal(n.values["a"], "1")
+		is.Equal(sink.values["a"], "1")
 		cancel()
 		<-done
 	})
 }
 
-// The platform is away for a minute. It is asked about once a second, not in a loop.
+// The platform is down for a minute. It must be called about once a second, not in a tight loop.
 func TestCallsBackOffInAnOutage(t *testing.T) {
 	runFollower(t, 0, func(is *is.I, s *standin.Store, _ *recordingSink) {
 		s.SetFaults(standin.Faults{Outage: true})
@@ -154,14 +154,14 @@
 	})
 }
 
-// pass lets virtual time pass and everything come to rest, so that what the sink was
-// told may be read.
+// advance lets virtual time pass and waits until all goroutines are blocked, so that the sink
+// can be read without a data race.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// knowing are peers that know of some changes up to a revision, or cannot tell.
+// fakePeers returns fixed changes up to a revision, or an error.
 type fakePeers struct {
 	changes  []platform.Object
 	revision int64
@@ -173,7 +173,7 @@
 	return p.changes, p.revision, p.err
 }
 
-// silentWatchAPI is a platform whose watches hear nothing.
+// silentWatchAPI is a platform whose watches return no changes.
 type silentWatchAPI struct{ platform.API }
 
 // Watch implements platform.API.
@@ -182,8 +182,8 @@
 	return nil, after, ctx.Err()
 }
 
-// Guards against a change that stays unknown to a watch that hears nothing, and against a list of
-// all objects for each change that peers heard of first.
+// Guards against a change that is never delivered because the watch misses it, and against a
+// list of all objects for each change that peers report first.
 func TestPeersTellWhatTheWatchMissed(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers fakePeers
@@ -196,9 +196,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			store, n := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+			store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 			put(is, store, "a", "1")
-			w := New(Config{API: silentWatchAPI{store}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
+			w := New(Config{API: silentWatchAPI{store}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 				Log: hclog.NewNullLogger(), Check: 2 * time.Second, Peers: &c.peers})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
@@ -209,11 +209,11 @@
 			time.Sleep(3 * time.Second)
 			cancel()
 			<-done
-			if n.lists != c.lists {
-				t.Errorf("%s: listed %d times", name, n.lists)
+			if sink.lists != c.lists {
+				t.Errorf("%s: listed %d times", name, sink.lists)
 			}
 			if len(c.peers.changes) > 0 {
-				is.Equal(n.values["a"], "2")
+				is.Equal(sink.values["a"], "2")
 			}
 		})
 	}
--- a/internal/objectwatch/narrowlink_test.go
+++ b/internal/objectwatch/narrowlink_test.go
@@ -15,7 +15,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// links are the instances' links to the network; each sends one answer after the other, at
+// narrowLinks simulates the instances' network links. Each link sends one response at a time, at
 // narrowLinkRate.
 type narrowLinks struct {
 	mu        sync.Mutex
@@ -23,7 +23,8 @@
 	sent      map[string]int
 }
 
-// take lets an instance send a number of bytes, and returns when they are there.
+// send queues a number of bytes on an instance's link and returns the time at which the transfer
+// ends.
 func (l *narrowLinks) send(address string, bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,14 +37,14 @@
 	return l.busyUntil[address]
 }
 
-// narrowCaller has answers take the time of a narrow link.
+// narrowCaller delays each response by its transfer over the sender's narrow link.
 type narrowCaller struct {
 	peer.Caller
 	links    *narrowLinks
 	received *receivedBytes
 }
 
-// receivedBytes counts what an instance was sent.
+// receivedBytes counts the bytes that an instance received.
 type receivedBytes struct{ n atomic.Int64 }
 
 // Call implements peer.Caller.
@@ -66,9 +67,9 @@
 	}
 }
 
-// The load pattern is a fleet that starts: a hundred instances of a failure domain need a large
-// manifest at once, over links of 10 Mbit/s. Guards against readers that send it to all, and
-// again to each that gave up waiting for it.
+// Load pattern: a fleet starts, and a hundred instances of a failure domain need a large
+// manifest at once over links of 10 Mbit/s. Guards against readers that send the manifest to all
+// instances, and again to each one that timed out.
 func TestLargeManifestReachesAWholeDomainOverNarrowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -95,14 +96,14 @@
 				}
 			}
 			if time.Since(start) > 20*time.Second {
-				t.Fatalf("%d of %d know it after 20 s", known, len(d.instances))
+				t.Fatalf("%d of %d instances have the manifest after 20 s", known, len(d.instances))
 			}
 		}
 		most := 0
 		for _, n := range l.sent {
 			most = max(most, n)
 		}
-		t.Logf("all know it after %v; most sent by one %d bytes", time.Since(start), most)
+		t.Logf("all instances have the manifest after %v; at most %d bytes sent by one", time.Since(start), most)
 		is.True(time.Since(start) <= 5*time.Second)
 		is.True(most <= 1<<20)
 		cancel()
--- a/internal/objectwatch/norace_test.go
+++ b/internal/objectwatch/norace_test.go
@@ -2,5 +2,6 @@
 
 package objectwatch
 
-// domainSizes are the failure domains in which the cost of following is measured, in instances.
+// domainSizes lists the sizes of the failure domains in which the cost of following is measured,
+// in instances.
 var domainSizes = []int{10, 33, 100}
--- a/internal/objectwatch/race_test.go
+++ b/internal/objectwatch/race_test.go
@@ -2,6 +2,6 @@
 
 package objectwatch
 
-// domainSizes leaves out the largest failure domain under the race detector: it has no other
-// goroutines than the smaller ones, and takes ten times as long.
+// domainSizes omits the largest failure domain under the race detector: it runs the same
+// goroutines as the smaller ones and takes ten times as long.
 var domainSizes = []int{10, 33}
--- a/internal/objectwatch/relayedlist.go
+++ b/internal/objectwatch/relayedlist.go
@@ -24,7 +24,7 @@
 func newRelayedList() *relayedList { return &relayedList{loadedCh: make(chan struct{})} }
 
 // applyList stores a list unless a later one is stored.
-func (l *relayedList) applyList(objects []platform.Object, revision int64, provenAt time.Time) {
+func (l *relayedList) applyList(objects []platform.Object, revision int64, asOf time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.loaded && revision < l.revision {
@@ -34,7 +34,7 @@
 	for _, o := range objects {
 		l.objects[o.Name] = o
 	}
-	l.revision, l.asOf = revision, provenAt
+	l.revision, l.asOf = revision, asOf
 	if !l.loaded {
 		l.loaded = true
 		close(l.loadedCh)
--- a/internal/objectwatch/scaling_test.go
+++ b/internal/objectwatch/scaling_test.go
@@ -17,12 +17,13 @@
 )
 
 const (
-	// entriesPerInstance is how many members' entries there are for each instance of a failure domain:
-	// three failure domains, two databases an instance, three members each.
+	// entriesPerInstance is the number of members' entries per instance of a failure domain:
+	// three failure domains, two databases per instance, three members each.
 	entriesPerInstance = 18
-	// changesPerInstance is how many of them change a second for each instance of a failure domain.
+	// changesPerInstance is the number of entries that change per second, per instance of a
+	// failure domain.
 	changesPerInstance = 0.1
-	// maxControlBytes is what an instance may receive a second for control.
+	// maxControlBytes is the number of control bytes per second that an instance may receive.
 	maxControlBytes = 6000
 )
 
@@ -50,8 +51,8 @@
 	return c.API.Watch(ctx, k, after)
 }
 
-// entryDomain is a failure domain of a size whose instances follow members' entries over
-// links of 10 Mbit/s.
+// entryDomain is a failure domain whose instances follow members' entries over links of 10
+// Mbit/s.
 type entryDomain struct {
 	*testDomain
 	is       *is.I
@@ -61,7 +62,8 @@
 	received []*receivedBytes
 }
 
-// newEntryValue is an entry of about 160 bytes, hardly any of which is like those of others.
+// newEntryValue returns an entry of about 160 bytes that has little in common with other
+// entries.
 func (d *entryDomain) newEntryValue() []byte {
 	r := d.random
 	return fmt.Appendf(nil, `{"Service":"%016x","Addr":"10.%d.%d.%d:8028","Zone":"poa-a","Version":"%08x","Slots":3,"State":"ready","DbRole":"replica","Seq":%d,"Id":"i-%016x"}`,
@@ -82,7 +84,7 @@
 	d.is.NoErr(err)
 }
 
-// start has every instance follow until ctx ends.
+// start runs the followers of all instances until ctx ends.
 func (d *entryDomain) start(ctx context.Context, running *sync.WaitGroup) {
 	d.links = &narrowLinks{busyUntil: make(map[string]time.Time), sent: make(map[string]int)}
 	for k, i := range d.instances {
@@ -95,7 +97,7 @@
 	}
 }
 
-// change changes entries evenly over a time.
+// changeEntries changes random entries, evenly spread over a period.
 func (d *entryDomain) changeEntries(length time.Duration) {
 	n := len(d.instances)
 	changes := int(changesPerInstance * float64(n) * length.Seconds())
@@ -108,9 +110,9 @@
 	}
 }
 
-// cost returns what the instance in the middle has received, in bytes, and how many calls those
-// that are no readers have sent to the platform.
-func (d *entryDomain) traffic() (middle int, direct int64) {
+// traffic returns the median of the bytes that the instances received, and the number of calls
+// that followers, as opposed to readers, made to the platform.
+func (d *entryDomain) traffic() (median int, direct int64) {
 	var all []int
 	for k := range d.instances {
 		all = append(all, int(d.received[k].n.Load()))
@@ -122,9 +124,9 @@
 	return all[len(all)/2], direct
 }
 
-// The load pattern is a failure domain of a hundred instances whose members' entries change ten
-// times a second. Guards against lists of all objects for each change, which take the links of
-// those that read for the others, until everybody asks the platform.
+// Load pattern: a failure domain of a hundred instances in which members' entries change ten
+// times a second. Guards against lists of all objects for each change: they saturate the links
+// of the readers until all instances call the platform.
 func TestFollowersCostWhatChanges(t *testing.T) {
 	for _, n := range domainSizes {
 		synctest.Test(t, func(t *testing.T) {
@@ -138,7 +140,7 @@
 			d.changeEntries(steady)
 			after, direct := d.traffic()
 			rate := float64(after-before) / steady.Seconds()
-			t.Logf("%d instances: %.0f bytes a second in the middle, %d calls of followers", n, rate, direct)
+			t.Logf("%d instances: median %.0f bytes per second, %d calls by followers", n, rate, direct)
 			d.is.True(rate <= maxControlBytes)
 			d.is.Equal(direct, int64(0))
 			cancel()
@@ -147,9 +149,10 @@
 	}
 }
 
-// The load pattern is a failure domain of a hundred instances that follow one large manifest, and
-// two readers whose links are taken by something else for three seconds. Guards against followers
-// that list everything because the readers are slow, which keeps them slow for good.
+// Load pattern: a failure domain of a hundred instances follows one large manifest, and the
+// links of its two readers are saturated by other traffic for three seconds. Guards against
+// followers that list everything because the readers are slow, which keeps the readers slow
+// permanently.
 func TestFollowersRecoverFromCongestedReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n, congested, settled, steady = 100, 3 * time.Second, 8 * time.Second, 10 * time.Second
@@ -169,7 +172,7 @@
 		time.Sleep(steady)
 		after, direct := d.traffic()
 		rate := float64(after-before) / steady.Seconds()
-		t.Logf("%.0f bytes a second in the middle, %d calls of followers", rate, direct-directBefore)
+		t.Logf("median %.0f bytes per second, %d calls by followers", rate, direct-directBefore)
 		d.is.True(rate <= maxControlBytes)
 		d.is.Equal(direct, directBefore)
 		cancel()
--- a/internal/objectwatch/sharedapi.go
+++ b/internal/objectwatch/sharedapi.go
@@ -180,7 +180,7 @@
 const directWatchTimeout = 2 * time.Second
 
 // errWatchExpired reports that a direct watch ended on this side without a response. It does not
-// tell whether the platform is unresponsive or has no changes.
+// show whether the platform is unresponsive or has no changes.
 var errWatchExpired = errors.New("objectwatch: direct watch ended without a response")
 
 // watchPlatform watches the platform directly, for directWatchTimeout at most if the instance
--- a/internal/objectwatch/sharing.go
+++ b/internal/objectwatch/sharing.go
@@ -49,7 +49,7 @@
 // Readers relay the platform's own revisions, so that a follower can switch between readers and
 // the platform at any time. A reader can fail in these ways:
 //
-//   - It has lost the platform. It says so; its followers ask the other reader and, after a
+//   - It has lost the platform. It reports this; its followers ask the other reader and, after a
 //     while, the platform itself at a limited rate (directCallLimiter).
 //   - It is dead, frozen or partitioned. It does not respond, and its followers do the same.
 //   - Its watch misses changes without notice. Its responses to checks carry the age of its last
--- a/internal/objectwatch/sharing_test.go
+++ b/internal/objectwatch/sharing_test.go
@@ -16,7 +16,7 @@
 )
 
 // Twenty entries change one after the other in a failure domain of eight instances. All
-// learn each at once, and only two of them watch the platform.
+// instances get each change at once, and only two of them watch the platform.
 func TestTwoReadersWatchForTheDomain(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		before := d.watchCount()
@@ -32,7 +32,7 @@
 	})
 }
 
-// With four instances there is nothing to save, and each watches for itself.
+// With four instances sharing saves nothing, and each one watches the platform itself.
 func TestSmallDomainWatchesDirectly(t *testing.T) {
 	runInDomain(t, 4, func(is *is.I, d *testDomain) {
 		is.Equal(d.putAndCount(is, "m", 200*time.Millisecond), 4)
@@ -42,9 +42,9 @@
 	})
 }
 
-// A reader is refused by the platform. It says that it cannot tell, and those who follow it
-// learn of a change by the other reader, as it does itself. With both refused, the others
-// learn by themselves.
+// The platform refuses a reader. The reader returns an error, and its followers and the reader
+// itself get changes from the other reader. With both refused, the followers call the platform
+// directly.
 func TestReaderWithoutThePlatformIsPassedBy(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.instances[0].view.SetAway(true)
@@ -60,8 +60,8 @@
 	})
 }
 
-// A reader dies while all wait for its answer. They find out when the answer is overdue,
-// and follow the other one.
+// A reader dies while all followers wait for its response. They detect it when the response is
+// overdue, and switch to the other reader.
 func TestFollowersSwitchFromADeadReader(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.net.SetCut("i0", true)
@@ -71,13 +71,13 @@
 	})
 }
 
-// A reader dies, and its followers find out when its answers are overdue. From then on they
-// hear of changes at once from the other one: asked first again each time, the dead one would
-// hold up every change by as long as a question may wait.
+// A reader dies, and its followers detect it when its responses are overdue. From then on they
+// must get changes from the other reader at once: if they kept asking the dead one first, it
+// would delay every change by the timeout of a request.
 func TestDeadReaderHoldsNobodyUpTwice(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
 		d.net.SetCut("i0", true)
-		// A question that it held when it died is answered yet; the next one is not.
+		// A request that the reader held when it died is still answered; the next one is not.
 		time.Sleep(2*(longPollWait+longPollGrace) - time.Second)
 		for k := range 3 {
 			is.True(d.putAndCount(is, fmt.Sprint("m", k), 500*time.Millisecond) >= 7)
@@ -86,7 +86,7 @@
 	})
 }
 
-// countedLists counts lists that reach the platform.
+// countedLists counts the lists that reach the platform.
 type countedLists struct {
 	platform.API
 	lists *atomic.Int64
@@ -98,10 +98,10 @@
 	return c.API.List(ctx, kind)
 }
 
-// A failure domain of forty instances starts while the platform is down for a while, and
-// follows it. While the platform answers, it hears what two instances ask. In the outage the
-// readers try for all, and the others seldom; everybody knows what changed within seconds of
-// its return.
+// A failure domain of forty instances follows the platform through an outage. While the platform
+// answers, it gets the requests of two instances only. During the outage the readers retry on
+// behalf of all, and the others retry rarely. All instances know the changes within seconds of
+// the platform's return.
 func TestDomainAsksForTwoThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,8 +123,8 @@
 		time.Sleep(10 * time.Second)
 		inOutage := lists.Load() - listsBefore + d.watchCount() - watchesBefore
 		t.Logf("%d lists before the outage, %d lists and watches in it", listsBefore, inOutage)
-		// Two readers list and watch about once a second each, and the others do either once
-		// in three in the mean.
+		// Two readers list and watch about once a second each, and each of the other instances
+		// does one of the two about every three seconds on average.
 		is.True(inOutage <= 2*2*10+38*10/3)
 		d.store.SetFaults(standin.Faults{})
 		is.Equal(d.putAndCount(is, "behind", 4*time.Second), 40)
@@ -133,9 +133,9 @@
 	})
 }
 
-// A failure domain of sixty instances returns from a power cut, one after the other within
-// half a second and the readers among the last. Callers wait until an instance knows the
-// objects: each knows them within 300 ms of its start, wherever it learns them.
+// A failure domain of sixty instances returns from a power failure. The instances start within
+// half a second, the readers among the last. Callers wait until an instance has the objects:
+// each instance must have them within 300 ms of its start, whatever their source.
 func TestRestartedDomainLoadsObjectsQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,7 +148,7 @@
 		var late atomic.Int64
 		for k, i := range d.instances {
 			running.Go(func() {
-				// The readers are the first of the list, and start last.
+				// The readers are the first instances in the list and start last.
 				time.Sleep(spread - spread*time.Duration(k)/n)
 				follower := d.newFollower(k, countedLists{countedAPI{i.view, i}, &lists}, 2*time.Second, 3*time.Second)
 				running.Go(func() { follower.Run(ctx) })
@@ -161,14 +161,14 @@
 		time.Sleep(2 * time.Second)
 		t.Logf("%d of %d late, %d lists", late.Load(), n, lists.Load())
 		is.Equal(late.Load(), int64(0))
-		// Those that start long before any reader ask for themselves.
+		// Instances that start long before any reader list the objects themselves.
 		is.True(lists.Load() <= n)
 		cancel()
 		running.Wait()
 	})
 }
 
-// openWatches counts the watches that wait at the platform.
+// openWatches counts the watches that are waiting at the platform.
 type openWatches struct {
 	platform.API
 	n atomic.Int64
@@ -181,8 +181,8 @@
 	return o.API.Watch(ctx, kind, after)
 }
 
-// Guards against followers that go on watching the platform when their readers answer again: it
-// tells each of them a large object in full.
+// Guards against followers that keep watching the platform after their readers have recovered:
+// the platform sends each of them large objects in full.
 func TestFollowersReturnToTheirReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const check = 3 * time.Second
@@ -222,7 +222,7 @@
 	})
 }
 
-// mute is a platform that takes calls and, from some moment on, answers none.
+// unresponsiveAPI is a platform that accepts calls and, while unresponsive is set, answers none.
 type unresponsiveAPI struct {
 	platform.API
 	unresponsive atomic.Bool
@@ -256,17 +256,17 @@
 	return u.API.Watch(ctx, kind, after)
 }
 
-// touched keeps what a follower says of the platform.
+// reachabilitySink records the reachability that a follower reports.
 type reachabilitySink struct {
 	Sink
 	reachable atomic.Bool
 }
 
 // Touch implements Sink.
-func (s *reachabilitySink) Touch(in bool) { s.reachable.Store(in) }
+func (s *reachabilitySink) Touch(reachable bool) { s.reachable.Store(reachable) }
 
-// Guards against a follower that takes a platform which answers nothing for one that has nothing
-// to tell, because it watches for a while only.
+// Guards against a follower that mistakes an unresponsive platform for one without changes
+// because its direct watches are short.
 func TestFollowerDetectsAnUnresponsivePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/objectwatch/snapshot.go
+++ b/internal/objectwatch/snapshot.go
@@ -20,6 +20,6 @@
 }
 
 // newSnapshot returns a valid snapshot of the objects in a map.
-func newSnapshot(objects map[string]platform.Object, revision int64, provenAt time.Time) snapshot {
-	return snapshot{objects: slices.Collect(maps.Values(objects)), revision: revision, asOf: provenAt, valid: true}
+func newSnapshot(objects map[string]platform.Object, revision int64, asOf time.Time) snapshot {
+	return snapshot{objects: slices.Collect(maps.Values(objects)), revision: revision, asOf: asOf, valid: true}
 }
--- a/internal/objectwatch/testdomain_test.go
+++ b/internal/objectwatch/testdomain_test.go
@@ -19,7 +19,8 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// testInstance is one of the instances of a failure domain that follow a kind.
+// testInstance is an instance of a failure domain that follows members' entries. It implements
+// Fleet and Sink.
 type testInstance struct {
 	domain     *testDomain
 	id         string
@@ -30,7 +31,7 @@
 	names map[string]bool
 }
 
-// testDomain is a failure domain with a store; it is the fleet of its instances.
+// testDomain is a failure domain with a store of objects. Its instances are the whole fleet.
 type testDomain struct {
 	store     *standin.Store
 	net       *peernet.Net
@@ -39,13 +40,13 @@
 	fleetKnownAt time.Time
 }
 
-// Watch counts the watches that reach the platform.
+// Watch counts a watch and passes it to the platform.
 func (i *testInstance) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
 	i.watchCalls.Add(1)
 	return i.view.Watch(ctx, kind, after)
 }
 
-// countedAPI is an instance's view of the platform with its watches counted.
+// countedAPI is an instance's view of the platform that counts its watches.
 type countedAPI struct {
 	platform.API
 	*testInstance
@@ -61,7 +62,7 @@
 	return platform.Instance{ID: i.id, FailureDomain: "a", PeerAddress: i.id}
 }
 
-// Pick implements Fleet: the first ones have every duty.
+// Pick implements Fleet. It selects the first n instances for every duty.
 func (i *testInstance) Pick(_ string, n int) []platform.Instance {
 	var all []platform.Instance
 	for _, o := range i.domain.instances[:min(n, len(i.domain.instances))] {
@@ -108,7 +109,7 @@
 	return i.names[name]
 }
 
-// newTestDomain returns a failure domain of instances that do not follow anything yet.
+// newTestDomain returns a failure domain of n instances without followers.
 func newTestDomain(n int) *testDomain {
 	d := &testDomain{store: standin.NewStore(), net: peernet.New()}
 	for k := range n {
@@ -118,8 +119,9 @@
 	return d
 }
 
-// follower makes an instance's follower of members' entries, which shares its calls to api. It
-// lists them each check, if that is not zero, unless a reader's proof is no older than maxAge.
+// newFollower returns a follower of members' entries for an instance, which shares its calls to
+// api. Unless check is zero, it lists the entries at that interval if no reader proves that they
+// are at most maxAge old.
 func (d *testDomain) newFollower(k int, api platform.API, check, maxAge time.Duration) *Follower {
 	i := d.instances[k]
 	s := NewSharing(SharingConfig{API: api, Fleet: i, Caller: d.net.At(i.id), Clock: clock.System{},
@@ -133,7 +135,7 @@
 	return New(c)
 }
 
-// runInDomain runs f with a number of instances that follow members' entries.
+// runInDomain runs f in a failure domain of n instances that follow members' entries.
 func runInDomain(t *testing.T, n int, f func(is *is.I, d *testDomain)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDomain(n)
@@ -150,11 +152,11 @@
 	})
 }
 
-// put writes an object, and returns how many instances know of it some time later.
-func (d *testDomain) putAndCount(is *is.I, name string, later time.Duration) int {
+// putAndCount writes an object, waits, and returns how many instances know of the object.
+func (d *testDomain) putAndCount(is *is.I, name string, wait time.Duration) int {
 	_, err := d.store.Put(context.Background(), platform.KindUpstreams, name, []byte(`{}`), 0)
 	is.NoErr(err)
-	time.Sleep(later)
+	time.Sleep(wait)
 	known := 0
 	for _, i := range d.instances {
 		if i.knows(name) {
@@ -164,7 +166,7 @@
 	return known
 }
 
-// watches returns how many watches reached the platform.
+// watchCount returns the number of watches that reached the platform.
 func (d *testDomain) watchCount() int64 {
 	var sum int64
 	for _, i := range d.instances {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -43,8 +43,8 @@
 
 // NewClient returns a Client that identifies itself to peers as self.
 func NewClient(self string, d netio.Dialer) *Client {
-	life, end := context.WithCancel(context.Background())
-	return &Client{self: self, dialer: d, baseCtx: life, cancelBase: end, links: make(map[string]*link)}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Client{self: self, dialer: d, baseCtx: ctx, cancelBase: cancel, links: make(map[string]*link)}
 }
 
 // Call implements Caller. An error that wraps ErrNotSent reports that the peer did not
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -43,11 +43,11 @@
 	return true
 }
 
-// endCall counts the end of a call. With retire, the connection accepts no new calls.
-func (c *connection) endCall(retire bool) {
+// endCall counts the end of a call. If drain is set, the connection accepts no new calls.
+func (c *connection) endCall(drain bool) {
 	c.mu.Lock()
 	c.inFlight--
-	c.draining = c.draining || retire
+	c.draining = c.draining || drain
 	last := c.draining && c.inFlight == 0
 	c.mu.Unlock()
 	if last {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,8 +21,8 @@
 	serverAddr = serverHost + ":7432"
 )
 
-// runWithPair runs f with a client on one host and a server on another, whose method
-// "slow" answers after the time it is given.
+// runWithPair runs f with a client on one host and a server on another. The server's method
+// "slow" responds after the duration in its params.
 func runWithPair(t *testing.T, f func(is *is.I, n *memnet.Network, c *Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,9 +57,8 @@
 	return c.Call(ctx, serverAddr, "slow", work, nil)
 }
 
-// Two calls share a connection and one of them runs out of time. The other still
-// gets its answer: closing the connection at once would leave its outcome
-// unknown for nothing.
+// Two calls share a connection and one of them times out. The other must still get its response:
+// closing the connection at once would leave its outcome unknown for no reason.
 func TestTimedOutCallKeepsOthersRunning(t *testing.T) {
 	runWithPair(t, func(is *is.I, _ *memnet.Network, c *Client) {
 		other := make(chan error)
@@ -71,8 +70,8 @@
 	})
 }
 
-// A peer cannot be reached and one call waits for its dial. Another call with a
-// short deadline is not held up behind it, and both know that nothing was sent.
+// A peer is unreachable and one call waits for the dial. Another call with a short deadline must
+// not be blocked by it, and both must report that nothing was sent.
 func TestDialDoesNotBlockCallsWithShortDeadlines(t *testing.T) {
 	runWithPair(t, func(is *is.I, n *memnet.Network, c *Client) {
 		n.Cut(clientHost, serverHost)
@@ -86,9 +85,9 @@
 	})
 }
 
-// A peer's machine is gone and answers nothing, not even a refusal. A call is told in a
-// quarter of a second that it was not sent, and its caller has time left for another
-// peer; waiting for the dial's own bound would use it up.
+// A peer's machine is down and sends no response, not even a refusal. A call must report within
+// a quarter of a second that it was not sent, so that its caller has time left for another peer;
+// waiting for the dial timeout would use up that time.
 func TestCallToADeadMachineFailsQuickly(t *testing.T) {
 	runWithPair(t, func(is *is.I, n *memnet.Network, c *Client) {
 		n.Cut(clientHost, serverHost)
@@ -98,8 +97,8 @@
 	})
 }
 
-// A result code keeps its number and its retry-after on the way between
-// instances: the caller's entry must not turn a refusal into something else.
+// A result code keeps its number and its retry-after in transit between instances: the instance
+// that serves the caller must not turn a refusal into another error.
 func TestResultCodeIsPreserved(t *testing.T) {
 	runWithPair(t, func(is *is.I, _ *memnet.Network, c *Client) {
 		err := c.Call(context.Background(), serverAddr, "refuse", nil, nil)
@@ -111,8 +110,8 @@
 	})
 }
 
-// The connection breaks while a call is under way. Its outcome is not known,
-// and must not be taken for a call that was never sent.
+// The connection breaks while a call is in progress. Its outcome is unknown, and the error must
+// not report that the call was never sent.
 func TestBrokenConnectionLeavesTheOutcomeUnknown(t *testing.T) {
 	runWithPair(t, func(is *is.I, n *memnet.Network, c *Client) {
 		done := make(chan error)
@@ -125,8 +124,8 @@
 	})
 }
 
-// Guards against a peer that cannot be called any more because a write to it was given up while
-// its process stood still: half a message is in the stream, and nothing can follow it.
+// Guards against a peer that can no longer be called because a write timed out while its process
+// was suspended: the stream ends in half a message, and no other message can follow.
 func TestPeerThatStoodStillIsCalledAgain(t *testing.T) {
 	runWithPair(t, func(is *is.I, n *memnet.Network, c *Client) {
 		is.NoErr(callSlow(c, time.Second, 0))
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -14,7 +14,7 @@
 
 // Server handles the calls of peers.
 //
-// Server.mu is held together with no other lock.
+// Lock order: Server.mu is never held together with another lock.
 type Server struct {
 	logger hclog.Logger
 
