--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -16,37 +16,37 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// noted keeps what a sink is told.
-type noted struct {
-	values  map[string]string
-	lists   int
-	touches []bool
+// recordingSink records the calls of a Follower.
+type recordingSink struct {
+	values       map[string]string
+	lists        int
+	reachability []bool
 }
 
 // Listed implements Sink.
-func (n *noted) Listed(objects []platform.Object) {
-	n.lists++
-	clear(n.values)
-	n.Changed(objects)
+func (s *recordingSink) Listed(objects []platform.Object) {
+	s.lists++
+	clear(s.values)
+	s.Changed(objects)
 }
 
 // Changed implements Sink.
-func (n *noted) Changed(objects []platform.Object) {
+func (s *recordingSink) Changed(objects []platform.Object) {
 	for _, o := range objects {
-		n.values[o.Name] = string(o.Value)
+		s.values[o.Name] = string(o.Value)
 		if o.Removed {
-			delete(n.values, o.Name)
+			delete(s.values, o.Name)
 		}
 	}
 }
 
 // Touch implements Sink.
-func (n *noted) Touch(inTouch bool) { n.touches = append(n.touches, inTouch) }
+func (s *recordingSink) Touch(reachable bool) { s.reachability = append(s.reachability, reachable) }
 
-func follow(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *noted)) {
+func runFollower(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *recordingSink)) {
 	synctest.Test(t, func(t *testing.T) {
-		store, n := standin.NewStore(), &noted{values: make(map[string]string)}
-		w := New(Config{API: store, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
+		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+		w := New(Config{API: store, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 			Log: hclog.NewNullLogger(), Check: check})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -54,75 +54,75 @@
 			defer close(done)
 			w.Run(ctx)
 		}()
-		pass(time.Second)
-		f(is.New(t), store, n)
+		advance(time.Second)
+		f(is.New(t), store, sink)
 		cancel()
 		<-done
 	})
 }
 
 func put(is *is.I, s *standin.Store, name, value string) {
-	held, _ := s.Get(context.Background(), platform.KindGroup, name)
-	_, err := s.Put(context.Background(), platform.KindGroup, name, []byte(value), held.Version)
+	current, _ := s.Get(context.Background(), platform.KindGroup, name)
+	_, err := s.Put(context.Background(), platform.KindGroup, name, []byte(value), current.Version)
 	is.NoErr(err)
 }
 
-// Objects change, one is removed, and the history is dropped behind a change that was
-// not heard. All is told, by the watch or by a new list.
-func TestChangesAreToldPastALostHistory(t *testing.T) {
-	follow(t, 0, func(is *is.I, s *standin.Store, n *noted) {
+// Objects change, one is removed, and the history is compacted after a change that the watch
+// missed. Every change is delivered, by the watch or by a new list.
+func TestChangesAreDeliveredAfterCompaction(t *testing.T) {
+	runFollower(t, 0, func(is *is.I, s *standin.Store, sink *recordingSink) {
 		put(is, s, "a", "1")
 		put(is, s, "b", "1")
-		pass(time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:1 b:1]")
+		advance(time.Second)
+		is.Equal(fmt.Sprint(sink.values), "map[a:1 b:1]")
 		is.NoErr(s.Delete(context.Background(), platform.KindGroup, "b", 1))
-		pass(time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:1]")
+		advance(time.Second)
+		is.Equal(fmt.Sprint(sink.values), "map[a:1]")
 		s.SetFaults(standin.Faults{Outage: true})
-		pass(time.Second)
+		advance(time.Second)
 		s.SetFaults(standin.Faults{})
 		put(is, s, "a", "2")
 		s.Compact(platform.KindGroup)
-		pass(2 * time.Second)
-		is.Equal(fmt.Sprint(n.values), "map[a:2]")
-		is.Equal(n.lists, 2)
-		is.Equal(n.touches, []bool{true, false, true})
+		advance(2 * time.Second)
+		is.Equal(fmt.Sprint(sink.values), "map[a:2]")
+		is.Equal(sink.lists, 2)
+		is.Equal(sink.reachability, []bool{true, false, true})
 	})
 }
 
-// The watch is deaf. Without a check nothing is told; with one, a change is told within
-// its interval.
-func TestChecksBoundADeafWatch(t *testing.T) {
+// The watch returns no changes. Without checks a change is not delivered; with checks it is
+// delivered within the check interval.
+func TestChecksBoundTheDelayOfASilentWatch(t *testing.T) {
 	for _, check := range []time.Duration{0, 2 * time.Second} {
-		follow(t, check, func(is *is.I, s *standin.Store, n *noted) {
+		runFollower(t, check, func(is *is.I, s *standin.Store, sink *recordingSink) {
 			s.SetFaults(standin.Faults{DeafWatches: true})
 			put(is, s, "a", "1")
-			pass(check + 100*time.Millisecond)
-			is.Equal(n.values["a"] == "1", check > 0)
+			advance(check + 100*time.Millisecond)
+			is.Equal(sink.values["a"] == "1", check > 0)
 		})
 	}
 }
 
-// slowLists answers lists some time after they were read.
-type slowLists struct {
+// delayedLists returns lists some time after it has read them.
+type delayedLists struct {
 	platform.API
 	delay time.Duration
 }
 
 // List implements platform.API.
-func (s slowLists) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+func (s delayedLists) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
 	objects, revision, err := s.API.List(ctx, kind)
 	time.Sleep(s.delay)
 	return objects, revision, err
 }
 
-// An object is written while a list that was read before it is still on its way. The watch
-// tells of the object first, and then the list comes, which lacks it. The object stays known.
+// An object is written while a list that was read earlier is still in transit. The watch
+// delivers the object first, and then the list without it arrives. The object must stay known.
 func TestListThatIsOlderTakesNothingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, n := standin.NewStore(), &noted{values: make(map[string]string)}
-		w := New(Config{API: slowLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{},
+		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
+		w := New(Config{API: delayedLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{},
 			Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger(), Check: 2 * time.Second})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -130,75 +130,75 @@
 			defer close(done)
 			w.Run(ctx)
 		}()
-		// The check reads its list at two seconds and has it half a second later.
-		pass(2100 * time.Millisecond)
+		// The check reads its list at 2 s and gets it half a second later.
+		advance(2100 * time.Millisecond)
 		put(is, store, "a", "1")
-		pass(100 * time.Millisecond)
-		is.Equal(n.values["a"], "1")
-		pass(time.Second)
-		is.Equal(n.values["a"], "1")
+		advance(100 * time.Millisecond)
+		is.Equal(sink.values["a"], "1")
+		advance(time.Second)
+		is.Equal(sink.values["a"], "1")
 		cancel()
 		<-done
 	})
 }
 
-// The platform is away for a minute. It is asked about once a second, not in a loop.
-func TestCallsArePacedInAnOutage(t *testing.T) {
-	follow(t, 0, func(is *is.I, s *standin.Store, _ *noted) {
+// The platform is down for a minute. It must be called about once a second, not in a tight loop.
+func TestCallsBackOffInAnOutage(t *testing.T) {
+	runFollower(t, 0, func(is *is.I, s *standin.Store, _ *recordingSink) {
 		s.SetFaults(standin.Faults{Outage: true})
 		before := s.Calls()[standin.CallWatch]
-		pass(time.Minute)
+		advance(time.Minute)
 		calls := s.Calls()[standin.CallWatch] - before
 		is.True(calls < 130)
 		is.True(calls > 50)
 	})
 }
 
-// pass lets virtual time pass and everything come to rest, so that what the sink was
-// told may be read.
-func pass(d time.Duration) {
+// advance lets virtual time pass and waits until all goroutines are blocked, so that the sink
+// can be read without a data race.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// knowing are peers that know of some changes up to a revision, or cannot tell.
-type knowing struct {
-	changes []platform.Object
-	upTo    int64
-	err     error
+// fakePeers returns fixed changes up to a revision, or an error.
+type fakePeers struct {
+	changes  []platform.Object
+	revision int64
+	err      error
 }
 
 // Since implements Peers.
-func (k *knowing) Since(context.Context, int64) ([]platform.Object, int64, error) {
-	return k.changes, k.upTo, k.err
+func (p *fakePeers) ChangesSince(context.Context, int64) ([]platform.Object, int64, error) {
+	return p.changes, p.revision, p.err
 }
 
-// deafAPI is a platform whose watches hear nothing.
-type deafAPI struct{ platform.API }
+// silentWatchAPI is a platform whose watches return no changes.
+type silentWatchAPI struct{ platform.API }
 
 // Watch implements platform.API.
-func (deafAPI) Watch(ctx context.Context, _ platform.Kind, after int64) ([]platform.Object, int64, error) {
+func (silentWatchAPI) Watch(ctx context.Context, _ platform.Kind, after int64) ([]platform.Object, int64, error) {
 	<-ctx.Done()
 	return nil, after, ctx.Err()
 }
 
-// Guards against a change that stays unknown to a watch that hears nothing, and against a list of
-// all objects for each change that peers heard of first.
+// Guards against a change that is never delivered because the watch misses it, and against a
+// list of all objects for each change that peers report first.
 func TestPeersTellWhatTheWatchMissed(t *testing.T) {
 	for name, c := range map[string]struct {
-		peers knowing
+		peers fakePeers
 		lists int
 	}{
-		"they know of a change": {knowing{changes: []platform.Object{{Name: "a", Value: []byte("2"), Revision: 50}}, upTo: 50}, 1},
-		"they know of none":     {knowing{upTo: 1}, 1},
-		"they go back less far": {knowing{err: platform.ErrCompacted}, 2},
-		"they cannot tell":      {knowing{err: errNoFeed}, 2},
+		"they know of a change": {fakePeers{changes: []platform.Object{{Name: "a", Value: []byte("2"), Revision: 50}}, revision: 50}, 1},
+		"they know of none":     {fakePeers{revision: 1}, 1},
+		"they go back less far": {fakePeers{err: platform.ErrCompacted}, 2},
+		"they cannot tell":      {fakePeers{err: errFeedUnavailable}, 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			store, n := standin.NewStore(), &noted{values: make(map[string]string)}
+			store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 			put(is, store, "a", "1")
-			w := New(Config{API: deafAPI{store}, Kind: platform.KindGroup, Sink: n, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
+			w := New(Config{API: silentWatchAPI{store}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
 				Log: hclog.NewNullLogger(), Check: 2 * time.Second, Peers: &c.peers})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
@@ -209,11 +209,11 @@
 			time.Sleep(3 * time.Second)
 			cancel()
 			<-done
-			if n.lists != c.lists {
-				t.Errorf("%s: listed %d times", name, n.lists)
+			if sink.lists != c.lists {
+				t.Errorf("%s: listed %d times", name, sink.lists)
 			}
 			if len(c.peers.changes) > 0 {
-				is.Equal(n.values["a"], "2")
+				is.Equal(sink.values["a"], "2")
 			}
 		})
 	}
