--- a/internal/group/barrier.go
+++ b/internal/group/barrier.go
@@ -7,11 +7,11 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Barrier implements Tracker. Its errors are all of the did-not-run family:
-// NoPrimary, or NoConfirmingReplica when ctx ends with the mark unconfirmed.
+// Barrier implements Tracker. Its errors all belong to the did-not-run family: NoPrimary,
+// or NoConfirmingReplica when ctx ends before the mark is confirmed.
 //
-// Callers share rounds without a queue of their own: one question to the
-// primary serves every caller that waited when it was sent.
+// Concurrent calls share rounds without a queue: one query to the primary serves every
+// call that was waiting when the query was sent.
 func (w *Watcher) Barrier(ctx context.Context) (logpos.Mark, error) {
 	start := w.clock.Now()
 	mark, err := w.barrier(ctx)
@@ -20,7 +20,7 @@
 }
 
 func (w *Watcher) barrier(ctx context.Context) (logpos.Mark, error) {
-	x, err := w.joinBarrier()
+	x, err := w.startBarrier()
 	if err != nil {
 		return logpos.Mark{}, err
 	}
@@ -29,33 +29,33 @@
 
 // awaitMark waits for the mark of a barrier or a floor.
 func (w *Watcher) awaitMark(ctx context.Context, x *waiter) (logpos.Mark, error) {
-	err, ended := w.await(ctx, x)
+	err, ended := w.awaitWaiter(ctx, x)
 	switch {
 	case ended && err == nil:
 		return x.mark, nil
 	case ended:
-		// The mark's term was replaced while the read waited, which has not been
-		// sent, so that the caller may be told that it did not run.
+		// The mark's term was replaced while the read was waiting. The read has not been
+		// sent, so the caller can be told that it did not run.
 		return logpos.Mark{}, result.New(result.NoPrimary, "the primary was replaced").WithCause(err)
 	default:
-		return logpos.Mark{}, w.lateBarrier(ctx, x)
+		return logpos.Mark{}, w.barrierTimeoutError(ctx, x)
 	}
 }
 
-func (w *Watcher) joinBarrier() (*waiter, error) {
+func (w *Watcher) startBarrier() (*waiter, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.primary == "" {
 		return nil, result.New(result.NoPrimary, "group %s", w.group)
 	}
-	return w.join(logpos.Mark{}, false), nil
+	return w.addWaiter(logpos.Mark{}, false), nil
 }
 
-// lateBarrier names what a barrier was missing when its time ran out.
-func (w *Watcher) lateBarrier(ctx context.Context, x *waiter) error {
+// barrierTimeoutError returns what a barrier lacked when its ctx ended.
+func (w *Watcher) barrierTimeoutError(ctx context.Context, x *waiter) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !x.marked {
+	if !x.hasMark {
 		return result.New(result.NoPrimary, "the primary did not tell its position").WithCause(ctx.Err())
 	}
 	return result.New(result.NoConfirmingReplica, "term %d position %d", x.mark.Term, x.mark.Position).WithCause(ctx.Err())
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -11,25 +11,26 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Config is what a Watcher is made of.
+// Config configures a Watcher.
 type Config struct {
-	// Group is the group's name.
+	// Group is the name of the group in logs and metrics.
 	Group string
-	// Members are all members of the group; a majority is counted over them.
+	// Members lists all members of the group; quorums are counted over them.
 	Members []document.Member
-	// Size is how many members a majority is counted over at least; zero means as
-	// many as there are.
+	// Size is the minimum number of members that a majority is counted over; zero means
+	// the number of listed members.
 	Size  int
 	Clock clock.Clock
-	// Rand spreads the polls. The Watcher guards it; nothing else may use it.
+	// Rand provides jitter for the polls. The Watcher guards it; nothing else may use it.
 	Rand   *rand.Rand
 	Dialer member.Dialer
 	// Logger may be nil.
 	Logger hclog.Logger
 	// Metrics may be nil. All watchers of an instance share one.
 	Metrics *Metrics
-	// OnSilence, if set, is told when a connection did not answer and a new one
-	// to the same member does. since is when the silent one was last asked.
+	// OnSilence, if set, is called when a kept connection did not answer but a new
+	// connection to the same member does. since is when the last query was sent on the
+	// silent connection.
 	OnSilence func(since time.Time)
 	// Intervals default to DefaultIntervals.
 	Intervals Intervals
--- a/internal/group/confirm.go
+++ b/internal/group/confirm.go
@@ -26,30 +26,30 @@
 }
 
 func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.Mark, commit bool) error {
-	x, err := w.joinConfirm(mark, commit)
+	x, err := w.startConfirm(mark, commit)
 	if err != nil || x == nil {
 		return err
 	}
-	err, ended := w.await(ctx, x)
+	err, ended := w.awaitWaiter(ctx, x)
 	if !ended {
 		return result.New(result.ConfirmTimeout, "term %d position %d", mark.Term, mark.Position).WithCause(ctx.Err())
 	}
 	return err
 }
 
-// joinConfirm returns nil and no error where nothing has to be waited for.
-func (w *Watcher) joinConfirm(mark logpos.Mark, commit bool) (*waiter, error) {
+// startConfirm returns nil without an error if there is nothing to wait for.
+func (w *Watcher) startConfirm(mark logpos.Mark, commit bool) (*waiter, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The mark is a primary's word, so its term exists.
-	w.raise(mark.Term)
+	// The mark was reported by a primary, so its term exists.
+	w.advanceTerm(mark.Term)
 	if mark.Term < w.term {
 		return nil, result.New(result.PrimaryReplaced, "term %d was replaced by %d", mark.Term, w.term)
 	}
-	if w.quorum.replicas() == 0 {
+	if w.quorum.requiredReplicas() == 0 {
 		return nil, nil
 	}
-	x := w.join(mark, true)
+	x := w.addWaiter(mark, true)
 	x.commit = commit
 	return x, nil
 }
--- a/internal/group/fixture_test.go
+++ b/internal/group/fixture_test.go
@@ -38,8 +38,8 @@
 	w         *group.Watcher
 }
 
-// watched runs f with a group of members, the first of them its primary.
-func watched(t *testing.T, members int, f func(x *fixture)) {
+// withGroup runs f with a group of members, the first of which is the primary.
+func withGroup(t *testing.T, members int, f func(x *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		x := &fixture{t: t, net: memnet.New()}
@@ -58,7 +58,7 @@
 		x.nodes = nodes
 		defer x.stopNodes()
 		defer x.watch()()
-		x.after(time.Second)
+		x.advance(time.Second)
 		f(x)
 	})
 }
@@ -73,7 +73,7 @@
 	return pgcontrol.NewDialer(x.net.Host(watcherIP), pgcontrol.Options{User: "topazrock"})
 }
 
-// watch starts the watcher and returns the function that ends it.
+// watch starts the watcher and returns the function that stops it.
 func (x *fixture) watch() func() {
 	var members []document.Member
 	for i, a := range x.addresses {
@@ -95,13 +95,13 @@
 	}
 }
 
-// after lets virtual time pass.
-func (x *fixture) after(d time.Duration) {
+// advance lets virtual time pass.
+func (x *fixture) advance(d time.Duration) {
 	<-time.After(d)
 	synctest.Wait()
 }
 
-// write commits a row at a member and returns the mark after it.
+// write commits a row at member i and returns the mark after it.
 func (x *fixture) write(i int) logpos.Mark {
 	x.t.Helper()
 	cfg, err := pgconn.ParseConfig("host=h port=1 user=u password=p dbname=d sslmode=disable")
@@ -123,8 +123,8 @@
 	return x.nodes[i].Status().Last
 }
 
-// promote makes member i the primary of a term that the other members in
-// fenced entered as well, over a network that no cut of the fixture touches.
+// promote makes member i the primary of a term that the fenced members enter too. It uses
+// a network address that no cut of the fixture affects.
 func (x *fixture) promote(term logpos.Term, i int, fenced ...int) {
 	x.t.Helper()
 	d := pgcontrol.NewDialer(x.net.Host("10.0.9.3"), pgcontrol.Options{User: "topazrock"})
@@ -153,7 +153,7 @@
 	return v
 }
 
-func (x *fixture) within(d time.Duration) context.Context {
+func (x *fixture) timeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(x.t.Context(), d)
 	x.t.Cleanup(cancel)
 	return ctx
--- a/internal/group/floor.go
+++ b/internal/group/floor.go
@@ -7,55 +7,56 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// floorPoll is the least time between two reports of a member for those who wait for a
-// floor: a few round trips between failure domains. All that wait share them.
+// floorPoll is the minimum time between two reports of a member while callers wait for a
+// floor: a few round trips between failure domains. All waiting callers share the reports.
 const floorPoll = 20 * time.Millisecond
 
-// A floor is a mark that no acknowledged write exceeds. What was acknowledged is on a
-// majority, so that any majority of members that report after a read began has a member
-// among it whose log holds it. The highest position that one of them tells, in the
-// highest term, is at or past every acknowledged one: positions run on through a change
-// of the primary, and a log of a later term begins with all that was acknowledged in
-// earlier ones. It needs no primary, and nobody held: what is acknowledged later need
-// not be covered.
+// A floor is a mark that covers every acknowledged write. An acknowledged write is on a
+// majority, so any majority of members that report after a read began includes a member
+// whose log holds it. The mark with the highest reported position and the highest reported
+// term is at or past every acknowledged write: positions continue through a change of the
+// primary, and the log of a later term begins with everything acknowledged in earlier
+// terms. A floor needs no primary and no fenced member, since writes acknowledged after
+// the read began do not have to be covered.
 //
-// Term and position are taken by themselves. A replica that has just heard of a new
-// primary may report the new term and a position that is behind what was acknowledged
-// in the old one; taken as one mark it would pass for the highest.
+// Term and position are maximized separately. A replica that has just learned of a new
+// primary may report the new term with a position behind what was acknowledged in the old
+// term; compared as a whole, that mark would be the highest.
 //
-// Without it, reads ended with the primary: a group that had lost it refused them until
-// another one led, though two replicas of three were there.
+// Floors keep reads available without a primary: otherwise a group that lost its primary
+// refuses reads until another one is promoted, although two of three replicas are
+// reachable.
 
-// Floor implements Tracker. Its errors are of the did-not-run family.
+// Floor implements Tracker. Its errors belong to the did-not-run family.
 func (w *Watcher) Floor(ctx context.Context) (logpos.Mark, error) {
 	start := w.clock.Now()
-	mark, err := w.awaitMark(ctx, w.joinFloor())
+	mark, err := w.awaitMark(ctx, w.startFloor())
 	w.metrics.floor.WithLabelValues(w.group, outcome(err)).Observe(w.since(start))
 	return mark, err
 }
 
-func (w *Watcher) joinFloor() *waiter {
+func (w *Watcher) startFloor() *waiter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := w.join(logpos.Mark{}, false)
-	x.floor, x.told = true, make(map[uint64]logpos.Mark)
+	x := w.addWaiter(logpos.Mark{}, false)
+	x.floor, x.reported = true, make(map[uint64]logpos.Mark)
 	return x
 }
 
-// countReport lets a report count for a waiter for a floor.
-func (w *Watcher) countReport(x *waiter, f *follower, last logpos.Mark) {
-	x.told[f.bit()] = highest(x.told[f.bit()], last)
-	w.proveFloor(x)
+// countFloorReport counts a member's report for a waiter for a floor.
+func (w *Watcher) countFloorReport(x *waiter, p *poller, reported logpos.Mark) {
+	x.reported[p.bit()] = highest(x.reported[p.bit()], reported)
+	w.completeFloor(x)
 }
 
-// highest returns the higher term and the higher position of two marks.
+// highest combines the higher term and the higher position of two marks.
 func highest(a, b logpos.Mark) logpos.Mark {
 	return logpos.Mark{Term: max(a.Term, b.Term), Position: max(a.Position, b.Position)}
 }
 
-// proveFloor ends a waiter for a floor if members enough have reported.
-func (w *Watcher) proveFloor(x *waiter) {
-	if !w.floorsCount() {
+// completeFloor ends a waiter for a floor once enough members have reported.
+func (w *Watcher) completeFloor(x *waiter) {
+	if !w.majorityFloorAllowed() {
 		return
 	}
 	mark, ok := w.floorOf(x)
@@ -64,41 +65,42 @@
 	}
 	x.mark = mark
 	w.lastFloor = sample{ticket: x.ticket, mark: mark}
-	w.end(x, nil)
+	w.completeWaiter(x, nil)
 }
 
-// floorOf returns the floor that the reports prove. Where the replicas are enough, the
-// primary's own end of the log is left out: it may be ahead of all that was
-// acknowledged, and then no replica has it.
+// floorOf returns the floor that the reports prove. If the replicas alone are a quorum,
+// the primary's report is ignored: its log may extend past everything acknowledged, to a
+// position that no replica has.
 func (w *Watcher) floorOf(x *waiter) (logpos.Mark, bool) {
 	primary := w.primaryBit()
-	if mark, ok := w.highestTold(x, func(bit uint64) bool { return bit != primary }); ok {
+	if mark, ok := w.highestReported(x, func(bit uint64) bool { return bit != primary }); ok {
 		return mark, true
 	}
-	return w.highestTold(x, func(uint64) bool { return true })
+	return w.highestReported(x, func(uint64) bool { return true })
 }
 
-// highestTold returns the highest of what members told, and whether they are enough.
-func (w *Watcher) highestTold(x *waiter, counts func(bit uint64) bool) (logpos.Mark, bool) {
+// highestReported returns the highest combination of the included members' reports, and
+// whether those members are a quorum.
+func (w *Watcher) highestReported(x *waiter, include func(bit uint64) bool) (logpos.Mark, bool) {
 	var mark logpos.Mark
 	var set uint64
-	for bit, told := range x.told {
-		if counts(bit) {
-			mark = highest(mark, told)
+	for bit, reported := range x.reported {
+		if include(bit) {
+			mark = highest(mark, reported)
 			set |= bit
 		}
 	}
-	return mark, w.enough(set)
+	return mark, w.isQuorum(set)
 }
 
-// floorsCount reports whether reports of a majority are taken for a floor. While the
-// primary answers and replicas get on, its own confirmed position is the lower one,
-// which more replicas hold.
-func (w *Watcher) floorsCount() bool {
-	return w.unsettled() || !w.stalledSince().IsZero()
+// majorityFloorAllowed reports whether a floor may be taken from the reports of a
+// majority. While the primary answers and replicas make progress, the primary's confirmed
+// position is used instead: it is lower, so more replicas hold it.
+func (w *Watcher) majorityFloorAllowed() bool {
+	return w.writesImpossible() || !w.stalledSince().IsZero()
 }
 
-// primaryBit stands for the primary in sets; zero where it is not known.
+// primaryBit identifies the primary in bit sets; zero if the primary is unknown.
 func (w *Watcher) primaryBit() uint64 {
 	if p := w.find(w.primary); p != nil {
 		return p.bit()
@@ -106,11 +108,11 @@
 	return 0
 }
 
-// floorWaits reports whether somebody waits for a report of f to prove a floor.
-func (w *Watcher) floorWaits(f *follower) bool {
+// floorNeedsReport reports whether a waiter for a floor needs a report of this member.
+func (w *Watcher) floorNeedsReport(p *poller) bool {
 	for x := range w.waiters {
-		if _, told := x.told[f.bit()]; x.floor && !told {
-			return w.floorsCount()
+		if _, done := x.reported[p.bit()]; x.floor && !done {
+			return w.majorityFloorAllowed()
 		}
 	}
 	return false
--- a/internal/group/floor_test.go
+++ b/internal/group/floor_test.go
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 )
 
-// The primary dies and nobody replaces it. Two of three members are left: what they
-// report reaches past all that was acknowledged, and callers can go on reading by it.
+// The primary dies and is not replaced. The reports of the remaining two of three members
+// cover every acknowledged write, so reads can continue with that position.
 func TestFloorNeedsNoPrimary(t *testing.T) {
-	watched(t, 3, func(x *fixture) {
+	withGroup(t, 3, func(x *fixture) {
 		is := is.New(t)
 		mark := x.write(0)
 		is.NoErr(x.w.Confirm(x.t.Context(), mark))
 		x.nodes[0].Stop()
-		x.after(time.Second)
+		x.advance(time.Second)
 		asked := time.Now()
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
@@ -29,15 +29,15 @@
 	})
 }
 
-// Two of three members are gone. The last one may lack what the others acknowledged, and
-// no floor is told.
+// Two of three members are down. The remaining one may lack writes that the others
+// acknowledged, so no floor is returned.
 func TestFloorNeedsAMajority(t *testing.T) {
-	watched(t, 3, func(x *fixture) {
+	withGroup(t, 3, func(x *fixture) {
 		is := is.New(t)
 		x.write(0)
 		x.nodes[0].Stop()
 		x.nodes[1].Stop()
-		x.after(time.Second)
+		x.advance(time.Second)
 		ctx, cancel := context.WithTimeout(x.t.Context(), 2*time.Second)
 		defer cancel()
 		_, err := x.w.Floor(ctx)
@@ -45,10 +45,10 @@
 	})
 }
 
-// The primary answers and its replicas get on. A floor is then its confirmed position,
-// and not a position that it alone has.
+// The primary answers and its replicas make progress. A floor is then the primary's
+// confirmed position, and not a position that only the primary holds.
 func TestFloorOfAHealthyGroupIsConfirmed(t *testing.T) {
-	watched(t, 3, func(x *fixture) {
+	withGroup(t, 3, func(x *fixture) {
 		is := is.New(t)
 		mark := x.write(0)
 		floor, err := x.w.Floor(x.t.Context())
--- a/internal/group/lastfloor_test.go
+++ b/internal/group/floorterm_test.go
@@ -13,16 +13,16 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// A floor was proved while the group had no primary, and its end is a record that only one
-// member has. Another member is promoted without that record. Reads that may be a second
-// old must not go by the old floor any more: no log of the new term ever holds it, and
-// they would be refused everywhere until it is too old.
-func TestFloorEndsWithItsTerm(t *testing.T) {
+// A floor was proven while the group had no primary, and its last record is on only one
+// member. Another member without that record is promoted. Reads with a staleness bound of
+// a second must not use the old floor: no log of the new term ever holds that position, so
+// every member would refuse them until the floor is too old.
+func TestFloorIsDroppedWithItsTerm(t *testing.T) {
 	is := is.New(t)
 	w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 		Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
 	before := time.Now()
-	x := w.joinFloor()
+	x := w.startFloor()
 	for address, end := range map[string]logpos.Position{"b": 10, "c": 12} {
 		w.Observe(address, w.Ask(), member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: end}})
 	}
--- a/internal/group/intervals.go
+++ b/internal/group/intervals.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Intervals are the times by which a Watcher asks its members.
+// Intervals configures how often and with which timeouts a Watcher queries its members.
 type Intervals struct {
 	// PrimaryPoll is the time between two samples of the primary.
 	PrimaryPoll time.Duration
-	// ReplicaPoll is the time between two reports of a replica nobody waits for.
+	// ReplicaPoll is the time between two reports of a replica that no waiter needs.
 	ReplicaPoll time.Duration
-	// FastPoll replaces both while no write could be confirmed in the term.
+	// FastPoll is the minimum time between two reports while no write can be confirmed in
+	// the term.
 	FastPoll time.Duration
-	// Probe bounds a status call, and a probe on a new connection from its dial
-	// to its report; both longer where answers of late took long. Failing probes
-	// start this far apart.
+	// Probe is the minimum timeout of a status query, and of a probe on a new connection
+	// from dial to report; both are longer if recent answers took long. It is also the
+	// minimum time between the starts of two failing probes.
 	Probe time.Duration
-	// Wait bounds one wait for a position. It is also how long a connection
-	// that fell silent under such a wait goes unnoticed.
+	// Wait is the timeout of one wait for a position. It is also how long a connection
+	// that falls silent during such a wait goes undetected.
 	Wait time.Duration
-	// Away bounds the time between two probes of a member that stays away.
+	// Away is the maximum time between two probes of an unreachable member.
 	Away time.Duration
-	// Spread is how much later than the best replica the others are asked when
-	// somebody waits for a report; zero asks all at once. Where each question
-	// costs a place at the member, one answer is mostly enough.
+	// Spread is how much later than the best replica the others are queried when a caller
+	// waits for a report; zero queries all at the same time. It saves queries where each
+	// one takes a connection slot at the member, since one answer is usually enough.
 	Spread time.Duration
 }
 
-// DefaultIntervals suits one-way latencies of a few milliseconds and members that
-// take about 10 ms to open a connection.
+// DefaultIntervals suits one-way latencies of a few milliseconds and members that take
+// about 10 ms to open a connection.
 func DefaultIntervals() Intervals {
 	return Intervals{
 		PrimaryPoll: 50 * time.Millisecond,
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -7,63 +7,63 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// SetMembers replaces the group's members. Those that stay are followed on; what a
-// member that left had proved is forgotten, since its place goes to another one.
-func (w *Watcher) SetMembers(members []document.Member, least int) {
+// SetMembers replaces the group's members. Members that remain continue to be polled. What
+// a removed member had proven is discarded, because its index may be reused.
+func (w *Watcher) SetMembers(members []document.Member, minSize int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	listed := func(address string) bool {
 		return slices.ContainsFunc(members, func(m document.Member) bool { return m.Address == address })
 	}
 	changed := false
-	w.followers = slices.DeleteFunc(w.followers, func(f *follower) bool {
-		if listed(f.view.Address) {
+	w.pollers = slices.DeleteFunc(w.pollers, func(p *poller) bool {
+		if listed(p.view.Address) {
 			return false
 		}
-		w.drop(f)
+		w.removePoller(p)
 		changed = true
 		return true
 	})
 	for _, m := range members {
 		if w.find(m.Address) == nil {
-			f := w.addFollower(m)
-			if w.running != nil {
-				w.running(f)
+			p := w.addPoller(m)
+			if w.startPoller != nil {
+				w.startPoller(p)
 			}
 			changed = true
 		}
 	}
-	if !changed && least == w.least {
+	if !changed && minSize == w.minSize {
 		return
 	}
-	w.least = least
-	w.countSeats()
+	w.minSize = minSize
+	w.updateQuorum()
 	w.notify()
-	w.publish()
+	w.publishSnapshot()
 }
 
-// addFollower makes a follower with an index that no other has.
-func (w *Watcher) addFollower(m document.Member) *follower {
+// addPoller creates a poller with an unused index.
+func (w *Watcher) addPoller(m document.Member) *poller {
 	var used uint64
-	for _, f := range w.followers {
-		used |= 1 << f.index
+	for _, p := range w.pollers {
+		used |= 1 << p.index
 	}
-	f := newFollower(w, bits.TrailingZeros64(^used), m, w.dialer)
-	w.followers = append(w.followers, f)
-	return f
+	p := newPoller(w, bits.TrailingZeros64(^used), m, w.dialer)
+	w.pollers = append(w.pollers, p)
+	return p
 }
 
-// drop ends a follower and all that it had proved.
-func (w *Watcher) drop(f *follower) {
-	if f.stop != nil {
-		f.stop()
+// removePoller stops a poller and discards what its member had proven.
+func (w *Watcher) removePoller(p *poller) {
+	if p.stop != nil {
+		p.stop()
 	}
-	if w.primary == f.view.Address {
+	if w.primary == p.view.Address {
 		w.primary = ""
 	}
-	w.samples.forget(f.index)
+	w.samples.removeHolder(p.index)
 	for x := range w.waiters {
-		x.holders &^= f.bit()
-		delete(x.told, f.bit())
+		x.holders &^= p.bit()
+		delete(x.reported, p.bit())
 	}
 }
--- a/internal/group/metrics.go
+++ b/internal/group/metrics.go
@@ -2,16 +2,16 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics are the measurements of all watchers of an instance.
+// Metrics holds the metrics of all watchers of an instance.
 type Metrics struct {
-	confirm  *prometheus.HistogramVec
-	barrier  *prometheus.HistogramVec
-	floor    *prometheus.HistogramVec
-	failures *prometheus.CounterVec
-	changes  *prometheus.CounterVec
+	confirm       *prometheus.HistogramVec
+	barrier       *prometheus.HistogramVec
+	floor         *prometheus.HistogramVec
+	probeFailures *prometheus.CounterVec
+	termChanges   *prometheus.CounterVec
 }
 
-// NewMetrics registers the measurements with reg; nil registers nowhere.
+// NewMetrics registers the metrics with reg unless reg is nil.
 func NewMetrics(reg prometheus.Registerer) *Metrics {
 	seconds := prometheus.ExponentialBuckets(0.0005, 2, 14)
 	m := &Metrics{
@@ -30,17 +30,17 @@
 			Help:    "Time from the call for a floor of a read's position to its end, in seconds.",
 			Buckets: seconds,
 		}, []string{"group", "outcome"}),
-		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
+		probeFailures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazrock_group_probe_failures_total",
 			Help: "Probes on new connections that failed.",
 		}, []string{"group", "member"}),
-		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
+		termChanges: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazrock_group_term_changes_total",
 			Help: "Higher terms that were learned.",
 		}, []string{"group"}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.confirm, m.barrier, m.floor, m.failures, m.changes)
+		reg.MustRegister(m.confirm, m.barrier, m.floor, m.probeFailures, m.termChanges)
 	}
 	return m
 }
--- a/internal/group/observation.go
+++ b/internal/group/observation.go
@@ -6,14 +6,14 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Observation is what the answer to a caller's statement shows of a member. It
-// costs nothing, so where answers tell it, members that serve statements need
-// not be polled.
+// Observation is what the answer to a caller's statement reveals about a member. It comes
+// at no extra cost, so members that serve statements do not need to be polled if their
+// answers include it.
 type Observation struct {
 	// Log is the end of the member's log.
 	Log logpos.Mark
-	// Committed says that the member committed a write of the statement, which
-	// only a primary does; Log is then a position in its term.
+	// Committed is set if the member committed a write of the statement, which only a
+	// primary does; Log is then a position in the primary's term.
 	Committed bool
 }
 
@@ -21,41 +21,40 @@
 func (w *Watcher) Observed(address string, t Ticket, s Observation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.find(address)
-	if f == nil {
+	p := w.find(address)
+	if p == nil {
 		return
 	}
-	f.observedAt = t.at
-	f.recovered()
+	p.observedAt = t.at
+	p.recordRecovery()
 	if s.Committed {
-		w.raise(s.Log.Term)
+		w.advanceTerm(s.Log.Term)
 	}
 	if s.Log.Term != w.term {
 		return
 	}
 	switch {
 	case s.Committed:
-		f.led = max(f.led, s.Log.Term)
+		p.ledTerm = max(p.ledTerm, s.Log.Term)
 		w.head = max(w.head, s.Log.Position)
-		w.samples.add(f.index, t, s.Log)
-	case address != w.primary && f.led != w.term:
-		w.observedReplica(f, t, s.Log)
+		w.samples.add(p.index, t, s.Log)
+	case address != w.primary && p.ledTerm != w.term:
+		w.observedReplica(p, t, s.Log)
 	}
 }
 
-// observedReplica notes how far a replica's log reaches at least. A log that
-// holds a commit of the term proves that the commit came before any fence of the
-// replica, but not that no fence came since, so that only waiters for a commit
-// count it.
-func (w *Watcher) observedReplica(f *follower, t Ticket, log logpos.Mark) {
-	if t.number > f.newest && attached(f.view.Status, w.term) {
-		f.attachedAt = t.at
-		f.view.Status.Last = log
+// observedReplica records a lower bound on a replica's log. A log that holds a commit of
+// the term proves that the commit came before any fencing of the replica, but not that the
+// replica has not been fenced since, so only waiters for a commit count it.
+func (w *Watcher) observedReplica(p *poller, t Ticket, log logpos.Mark) {
+	if t.number > p.newestTicket && attached(p.view.Status, w.term) {
+		p.attachedAt = t.at
+		p.view.Status.Last = log
 	}
-	if log.Position > f.reached {
-		f.reached, f.stalledAt = log.Position, time.Time{}
+	if log.Position > p.highestPosition {
+		p.highestPosition, p.stalledAt = log.Position, time.Time{}
 	}
-	w.samples.hold(f.index, t, log.Position)
-	w.prove()
-	w.countPosition(f, log)
+	w.samples.markHeld(p.index, t, log.Position)
+	w.updateFreshness()
+	w.countLogPosition(p, log)
 }
--- a/internal/group/observe.go
+++ b/internal/group/observe.go
@@ -8,155 +8,156 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Observe takes in a member's report. The ticket was taken before the question
-// was sent; other parts that talk to a member hand their reports in as well.
+// Observe records a member's report. The ticket was taken before the query was sent. Other
+// components that query a member pass their reports in as well.
 func (w *Watcher) Observe(address string, t Ticket, s member.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.find(address)
-	if f == nil {
+	p := w.find(address)
+	if p == nil {
 		return
 	}
-	w.raise(s.Entered)
-	f.recovered()
-	s = f.without(s)
-	// Two connections may deliver out of order; the older report still counts
-	// for waiters below, but must not take the view back.
-	if t.number > f.newest {
-		f.newest = t.number
-		f.adopt(t, s)
-		w.lead(f)
-		w.advance(f, t, s)
-	}
-	w.sample(f, t, s)
-	w.count(f, t, s)
-	if !w.unsettled() {
+	w.advanceTerm(s.Entered)
+	p.recordRecovery()
+	s = p.withoutSelfAttachment(s)
+	// Reports from two connections may arrive out of order. An older report still counts
+	// for the waiters below, but must not replace a newer one in the view.
+	if t.number > p.newestTicket {
+		p.newestTicket = t.number
+		p.setStatus(t, s)
+		w.updatePrimary(p)
+		w.trackProgress(p, t, s)
+	}
+	w.recordSample(p, t, s)
+	w.countStatus(p, t, s)
+	if !w.writesImpossible() {
 		w.searchingSince = time.Time{}
 	}
-	w.publish()
+	w.publishSnapshot()
 }
 
-// without takes what proves nothing out of a report. A member that led a term holds its
-// own writes, whoever else has them; one that steps down before it hears of a later term
-// reports itself attached in the one that it led.
-func (f *follower) without(s member.Status) member.Status {
+// withoutSelfAttachment clears an attachment that proves nothing. A member that was
+// primary in a term holds its own writes regardless of whether any other member does, and
+// after stepping down, before it learns of a later term, it reports itself attached in the
+// term that it led.
+func (p *poller) withoutSelfAttachment(s member.Status) member.Status {
 	switch {
 	case s.Role == member.RolePrimary:
-		f.led = max(f.led, s.Entered)
-	case s.Attached != 0 && s.Attached == f.led:
+		p.ledTerm = max(p.ledTerm, s.Entered)
+	case s.Attached != 0 && s.Attached == p.ledTerm:
 		s.Attached = 0
 	}
 	return s
 }
 
-// raise moves on to a higher term. All that was waiting in the old one fails,
-// for its primary is replaced or about to be.
-func (w *Watcher) raise(term logpos.Term) {
+// advanceTerm records a higher term. Waiters of older terms fail, because their primary is
+// replaced or about to be.
+func (w *Watcher) advanceTerm(term logpos.Term) {
 	if term <= w.term {
 		return
 	}
 	w.log.Info("Term rose.", "group", w.group, "from", w.term, "to", term)
-	w.metrics.changes.WithLabelValues(w.group).Inc()
-	w.samples.reset(w.enough)
+	w.metrics.termChanges.WithLabelValues(w.group).Inc()
+	w.samples.startTerm(w.isQuorum)
 	w.term, w.primary, w.termStart = term, "", 0
 	w.head = 0
-	// A claim is under way: its end is near.
+	// A promotion is in progress and will end soon.
 	w.searchingSince = time.Time{}
 	w.lastFloor = sample{}
-	for _, f := range w.followers {
-		f.attachedAt, f.stalledAt, f.reached = time.Time{}, time.Time{}, 0
-		f.wake()
+	for _, p := range w.pollers {
+		p.attachedAt, p.stalledAt, p.highestPosition = time.Time{}, time.Time{}, 0
+		p.wake()
 	}
-	w.failOlder(term)
+	w.failOlderTerms(term)
 	w.notify()
 }
 
-// lead sets or clears the primary by the newest report of f. Only a member that
-// leads in the highest term known is the primary, never one of an older term.
-func (w *Watcher) lead(f *follower) {
-	s := f.view.Status
+// updatePrimary sets or clears the primary according to the newest report of p's member.
+// Only a member that reports itself primary in the highest known term is the primary.
+func (w *Watcher) updatePrimary(p *poller) {
+	s := p.view.Status
 	if s.Role == member.RolePrimary {
-		w.led = max(w.led, s.Entered)
+		w.ledTerm = max(w.ledTerm, s.Entered)
 	}
 	leads := s.Role == member.RolePrimary && s.Entered == w.term && w.term != 0
 	switch {
 	case leads && w.primary == "":
-		w.log.Info("Primary found.", "group", w.group, "term", w.term, "member", f.view.Address)
-		w.primary, w.termStart = f.view.Address, s.TermStart
+		w.log.Info("Primary found.", "group", w.group, "term", w.term, "member", p.view.Address)
+		w.primary, w.termStart = p.view.Address, s.TermStart
 		w.notify()
-	case !leads && w.primary == f.view.Address:
+	case !leads && w.primary == p.view.Address:
 		w.primary = ""
 		w.notify()
 	}
 }
 
-// sample keeps a report of the primary, or marks the samples that a replica's
-// report proves.
-func (w *Watcher) sample(f *follower, t Ticket, s member.Status) {
+// recordSample adds a report of the primary as a sample, or marks the samples that a
+// replica's report proves.
+func (w *Watcher) recordSample(p *poller, t Ticket, s member.Status) {
 	if s.Entered != w.term {
 		return
 	}
 	if s.Role == member.RolePrimary {
-		w.samples.add(f.index, t, s.Last)
+		w.samples.add(p.index, t, s.Last)
 		return
 	}
 	if attached(s, w.term) {
-		w.samples.hold(f.index, t, s.Last.Position)
-		w.prove()
+		w.samples.markHeld(p.index, t, s.Last.Position)
+		w.updateFreshness()
 	}
 }
 
-// prove moves every replica's fresh-as-of time to its newest confirmed sample.
-func (w *Watcher) prove() {
-	for _, f := range w.followers {
-		if f.view.Address == w.primary {
+// updateFreshness sets each replica's FreshAsOf to its newest confirmed sample.
+func (w *Watcher) updateFreshness() {
+	for _, p := range w.pollers {
+		if p.view.Address == w.primary {
 			continue
 		}
-		at, position, ok := w.samples.newest(f.index, w.enough)
-		if ok && at.After(f.view.FreshAsOf) {
-			f.view.FreshAsOf, f.provenBy = at, position
+		at, position, ok := w.samples.newestHeldBy(p.index, w.isQuorum)
+		if ok && at.After(p.view.FreshAsOf) {
+			p.view.FreshAsOf, p.freshPosition = at, position
 		}
 	}
 }
 
-// attached reports whether s is of a replica whose log is a prefix of its
-// primary's log in term.
+// attached reports whether s is from a replica whose log is a prefix of its primary's log
+// in term.
 func attached(s member.Status, term logpos.Term) bool {
 	return s.Role == member.RoleReplica && s.Entered == term && s.Attached == term
 }
 
-// publish makes the present state the snapshot.
-func (w *Watcher) publish() {
+// publishSnapshot stores the current state as the snapshot.
+func (w *Watcher) publishSnapshot() {
 	s := &Snapshot{
 		Group:        w.group,
 		Term:         w.term,
-		Led:          w.led,
+		Led:          w.ledTerm,
 		Primary:      w.primary,
 		TermStart:    w.termStart,
 		ConfirmedAt:  w.confirmedAt(),
 		StalledSince: w.stalledSince(),
-		Members:      make([]MemberView, len(w.followers)),
+		Members:      make([]MemberView, len(w.pollers)),
 		Size:         w.quorum.size,
 	}
-	for i, f := range w.followers {
-		s.Members[i] = f.view
+	for i, p := range w.pollers {
+		s.Members[i] = p.view
 	}
 	w.snapshot.Store(s)
 	w.logStall(s.StalledSince)
 }
 
-// confirmedAt is the newest moment by which enough replicas for a confirmation
-// have been asked and answered in the term.
+// confirmedAt is the latest time at or after which enough replicas for a confirmation were
+// queried and reported themselves attached in the term.
 func (w *Watcher) confirmedAt() time.Time {
-	if w.quorum.replicas() == 0 {
-		if f := w.find(w.primary); f != nil {
-			return f.view.SeenAt
+	if w.quorum.requiredReplicas() == 0 {
+		if p := w.find(w.primary); p != nil {
+			return p.view.SeenAt
 		}
 		return time.Time{}
 	}
-	times := make([]time.Time, 0, len(w.followers))
-	for _, f := range w.followers {
-		times = append(times, f.attachedAt)
+	times := make([]time.Time, 0, len(w.pollers))
+	for _, p := range w.pollers {
+		times = append(times, p.attachedAt)
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	for _, t := range times {
@@ -167,13 +168,13 @@
 	return time.Time{}
 }
 
-// attachedSince returns the replicas that were attached when they were asked at t
-// or later.
+// attachedSince returns the replicas whose newest attached report was requested at t or
+// later.
 func (w *Watcher) attachedSince(t time.Time) uint64 {
 	var set uint64
-	for _, f := range w.followers {
-		if !f.attachedAt.IsZero() && !f.attachedAt.Before(t) {
-			set |= f.bit()
+	for _, p := range w.pollers {
+		if !p.attachedAt.IsZero() && !p.attachedAt.Before(t) {
+			set |= p.bit()
 		}
 	}
 	return set
--- a/internal/group/observe_test.go
+++ b/internal/group/observe_test.go
@@ -16,8 +16,8 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// still returns a watcher that asks nobody: the test hands in every report.
-func still(members ...string) *group.Watcher {
+// newPassiveWatcher returns a watcher that queries nobody: the test passes in each report.
+func newPassiveWatcher(members ...string) *group.Watcher {
 	var list []document.Member
 	for _, m := range members {
 		list = append(list, document.Member{Address: m})
@@ -25,40 +25,39 @@
 	return group.NewWatcher(group.Config{Group: "g", Members: list, Clock: clock.System{}})
 }
 
-func leads(term logpos.Term, p logpos.Position) member.Status {
+func primaryStatus(term logpos.Term, p logpos.Position) member.Status {
 	return member.Status{Role: member.RolePrimary, Entered: term, Attached: term, Last: logpos.Mark{Term: term, Position: p}}
 }
 
-func follows(term logpos.Term, p logpos.Position) member.Status {
-	s := leads(term, p)
+func replicaStatus(term logpos.Term, p logpos.Position) member.Status {
+	s := primaryStatus(term, p)
 	s.Role = member.RoleReplica
 	return s
 }
 
-// outcomeOf runs f in the background and returns where its error will be.
-func outcomeOf(f func() error) chan error {
+// runAsync runs f in the background and returns a channel that receives its error.
+func runAsync(f func() error) chan error {
 	c := make(chan error, 1)
 	go func() { c <- f() }()
 	synctest.Wait()
 	return c
 }
 
-// A replica answers a question and is fenced in the next term right after; the
-// answer is still on its way when a read arrives and takes a barrier. The old
-// answer must not let the read pass, for a newer primary may have acknowledged
-// writes already.
+// A replica answers a query and is fenced in the next term immediately afterwards. The
+// answer is still in transit when a read arrives and starts a barrier. The old answer must
+// not satisfy the barrier, because a newer primary may already have acknowledged writes.
 func TestReportAskedForBeforeTheBarrierDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := still("p", "r", "q")
-		w.Observe("p", w.Ask(), leads(1, 100))
+		w := newPassiveWatcher("p", "r", "q")
+		w.Observe("p", w.Ask(), primaryStatus(1, 100))
 		early := w.Ask()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		barrier := outcomeOf(func() error { _, err := w.Barrier(ctx); return err })
-		confirm := outcomeOf(func() error { return w.Confirm(ctx, logpos.Mark{Term: 1, Position: 100}) })
-		w.Observe("p", w.Ask(), leads(1, 100))
-		w.Observe("r", early, follows(1, 100))
+		barrier := runAsync(func() error { _, err := w.Barrier(ctx); return err })
+		confirm := runAsync(func() error { return w.Confirm(ctx, logpos.Mark{Term: 1, Position: 100}) })
+		w.Observe("p", w.Ask(), primaryStatus(1, 100))
+		w.Observe("r", early, replicaStatus(1, 100))
 		synctest.Wait()
 		is.Equal(len(barrier), 0)
 		is.Equal(len(confirm), 0)
@@ -68,47 +67,47 @@
 	})
 }
 
-// A member comes back with the report of an old primary after a higher term was
-// seen. It must never be shown as the primary.
+// A member returns with the report of an old primary after a higher term was seen. It must
+// never be shown as the primary.
 func TestPrimaryOfAnOldTermIsNeverShown(t *testing.T) {
 	is := is.New(t)
-	w := still("p", "r", "q")
+	w := newPassiveWatcher("p", "r", "q")
 	w.Observe("r", w.Ask(), member.Status{Role: member.RoleFenced, Entered: 2})
-	w.Observe("p", w.Ask(), leads(1, 100))
+	w.Observe("p", w.Ask(), primaryStatus(1, 100))
 	is.Equal(w.Snapshot().Term, logpos.Term(2))
 	is.Equal(w.Snapshot().Primary, "")
-	w.Observe("r", w.Ask(), leads(2, 90))
+	w.Observe("r", w.Ask(), primaryStatus(2, 90))
 	is.Equal(w.Snapshot().Primary, "r")
 }
 
-// The term changes and a replica drops a tail. What was proved of its age stays
-// while it holds the records that proved it, and ends once its log is shorter.
+// The term changes and a replica drops a tail. The proven age of its data remains valid
+// while the replica holds the records that proved it, and ends once its log is shorter.
 func TestProofOfAgeEndsWithTheRecordsThatProvedIt(t *testing.T) {
 	is := is.New(t)
-	w := still("p", "r", "q")
+	w := newPassiveWatcher("p", "r", "q")
 	fresh := func() time.Time {
 		v, _ := w.Snapshot().Find("r")
 		return v.FreshAsOf
 	}
-	w.Observe("p", w.Ask(), leads(1, 100))
-	w.Observe("r", w.Ask(), follows(1, 120))
+	w.Observe("p", w.Ask(), primaryStatus(1, 100))
+	w.Observe("r", w.Ask(), replicaStatus(1, 120))
 	proved := fresh()
 	is.True(!proved.IsZero())
-	w.Observe("q", w.Ask(), leads(2, 110))
+	w.Observe("q", w.Ask(), primaryStatus(2, 110))
 	w.Observe("r", w.Ask(), member.Status{Role: member.RoleReplica, Entered: 2, Last: logpos.Mark{Term: 1, Position: 110}})
 	is.Equal(fresh(), proved)
 	w.Observe("r", w.Ask(), member.Status{Role: member.RoleReplica, Entered: 2, Last: logpos.Mark{Term: 1, Position: 90}})
 	is.True(fresh().IsZero())
 }
 
-// Two connections deliver a member's reports in the wrong order. The view must
-// not go back to the older one.
+// Two connections deliver a member's reports out of order. The view must not revert to the
+// older one.
 func TestOlderReportDoesNotTakeTheViewBack(t *testing.T) {
 	is := is.New(t)
-	w := still("p", "r", "q")
+	w := newPassiveWatcher("p", "r", "q")
 	early := w.Ask()
-	w.Observe("r", w.Ask(), follows(1, 200))
-	w.Observe("r", early, follows(1, 100))
+	w.Observe("r", w.Ask(), replicaStatus(1, 200))
+	w.Observe("r", early, replicaStatus(1, 100))
 	v, _ := w.Snapshot().Find("r")
 	is.Equal(v.Status.Last.Position, logpos.Position(200))
 }
--- a/internal/group/protocol_sim_claims_test.go
+++ b/internal/group/protocol_sim_claims_test.go
@@ -4,34 +4,34 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// simClaim is one claim and the member that it chose.
+// simClaim is one claim and the member that it selected.
 type simClaim struct {
 	by     *simInstance
 	view   *Snapshot
 	term   logpos.Term
 	fenced map[*simMember]logpos.Mark
 	target *simMember
-	over   bool
+	ended  bool
 }
 
-// begin claims the next term. The store gives it to one claim at a time, and the
-// next is given when the time of the last, and of its orders, is over.
-func (x *sim) begin(i *simInstance) {
+// beginClaim claims the next term. The store grants a term to one claim at a time, and the
+// next term only after the time limit of the last claim and of its orders has passed.
+func (x *sim) beginClaim(i *simInstance) {
 	s := i.w.Snapshot()
-	if s.Led == 0 || s.Led < x.term || x.claim != nil && !x.claim.over {
+	if s.Led == 0 || s.Led < x.term || x.claim != nil && !x.claim.ended {
 		return
 	}
-	if len(x.orders) > 0 && x.fault != faultLateOrder {
+	if len(x.promotionOrders) > 0 && x.fault != faultLateOrder {
 		return
 	}
 	x.claim = &simClaim{by: i, view: s, term: s.Led + 1, fenced: make(map[*simMember]logpos.Mark)}
-	x.say("%s claims term %d", i.name, x.claim.term)
+	x.logStep("%s claims term %d", i.name, x.claim.term)
 }
 
-// fence holds a replica for the claimed term, or has a primary step down.
+// fence holds a replica for the claimed term, or makes a primary step down.
 func (x *sim) fence(m *simMember) {
 	c := x.claim
-	if c == nil || c.over || c.target != nil || !m.up {
+	if c == nil || c.ended || c.target != nil || !m.up {
 		return
 	}
 	if _, listed := c.view.Find(m.address); !listed || m.term >= c.term {
@@ -41,20 +41,20 @@
 	case x.fault == faultUnfenced:
 	case m.primary:
 		m.primary, m.source = false, nil
-		if c.term > m.term+1 && x.fault != faultStaleNotHeld {
-			m.held = c.term
+		if c.term > m.term+1 && x.fault != faultOldPrimaryNotHeld {
+			m.heldFor = c.term
 		}
 	default:
-		m.held = c.term
+		m.heldFor = c.term
 	}
 	c.fenced[m] = m.mark()
-	x.say("%s is fenced for term %d, log %d", m.address, c.term, len(m.log))
+	x.logStep("%s is fenced for term %d, log %d", m.address, c.term, len(m.log))
 }
 
-// choose orders the promotion of the fenced member with the longest log.
-func (x *sim) choose() {
+// choosePromoted orders the promotion of the fenced member with the longest log.
+func (x *sim) choosePromoted() {
 	c := x.claim
-	if c == nil || c.over || c.target != nil || len(c.fenced) == 0 {
+	if c == nil || c.ended || c.target != nil || len(c.fenced) == 0 {
 		return
 	}
 	need := func(m MemberView) bool {
@@ -69,7 +69,7 @@
 	if x.fault == faultLeavingIgnored {
 		view = withoutLeaving(view)
 	}
-	if !view.Enough(need) && !(x.fault == faultSmallFence && len(c.fenced) > 0) {
+	if !view.Enough(need) && !(x.fault == faultFenceTooSmall && len(c.fenced) > 0) {
 		return
 	}
 	for m, log := range c.fenced {
@@ -77,11 +77,11 @@
 			c.target = m
 		}
 	}
-	x.orders = append(x.orders, c.target)
-	x.say("%s is to lead, of %d fenced", c.target.address, len(c.fenced))
+	x.promotionOrders = append(x.promotionOrders, c.target)
+	x.logStep("%s is to lead, of %d fenced", c.target.address, len(c.fenced))
 }
 
-// withoutLeaving is a view that does not count members that leave.
+// withoutLeaving returns the view without leaving members.
 func withoutLeaving(s Snapshot) Snapshot {
 	var kept []MemberView
 	for _, m := range s.Members {
@@ -93,16 +93,16 @@
 	return s
 }
 
-// appoint carries out an order.
-func (x *sim) appoint() {
-	if len(x.orders) == 0 {
+// promote executes an order.
+func (x *sim) promote() {
+	if len(x.promotionOrders) == 0 {
 		return
 	}
-	k := x.rand.IntN(len(x.orders))
-	m := x.orders[k]
-	x.orders = append(x.orders[:k], x.orders[k+1:]...)
+	k := x.rand.IntN(len(x.promotionOrders))
+	m := x.promotionOrders[k]
+	x.promotionOrders = append(x.promotionOrders[:k], x.promotionOrders[k+1:]...)
 	if x.claim != nil && x.claim.target == m {
-		x.claim.over = true
+		x.claim.ended = true
 	}
 	if m.gone {
 		return
@@ -112,8 +112,8 @@
 	}
 	x.term++
 	x.leader = m
-	m.primary, m.source, m.term, m.held = true, nil, x.term, 0
-	x.say("%s leads term %d with %d records", m.address, x.term, len(m.log))
+	m.primary, m.source, m.term, m.heldFor = true, nil, x.term, 0
+	x.logStep("%s leads term %d with %d records", m.address, x.term, len(m.log))
 	for _, w := range x.writes {
 		if w.confirmed && !holds(m, w.entry) {
 			x.fail("write %d was confirmed and %s does not have it", w.entry.number, m.address)
@@ -121,15 +121,15 @@
 	}
 }
 
-// abandon ends a claim whose time is over, and with it what it has ordered. Members
-// stay held until a promotion.
-func (x *sim) abandon() {
-	if x.claim == nil || x.claim.over {
+// expireClaim ends a claim whose time limit has passed, together with its orders. Members
+// remain held until a promotion.
+func (x *sim) expireClaim() {
+	if x.claim == nil || x.claim.ended {
 		return
 	}
-	x.claim.over = true
+	x.claim.ended = true
 	if x.fault != faultLateOrder {
-		x.orders = nil
+		x.promotionOrders = nil
 	}
-	x.say("the claim's time is over")
+	x.logStep("the claim's time is over")
 }
--- a/internal/group/protocol_sim_members_test.go
+++ b/internal/group/protocol_sim_members_test.go
@@ -14,7 +14,7 @@
 	number int
 }
 
-// simMember is a member as the line protocol describes it.
+// simMember is a member that behaves as the line protocol specifies.
 type simMember struct {
 	address string
 	domain  string
@@ -22,27 +22,27 @@
 	gone    bool
 	leaving bool
 	primary bool
-	// term is the newest that the member has heard of, and held the one that it is
-	// held for; zero when it receives.
-	term, held logpos.Term
-	log        []entry
-	// source is whom it receives from; nil when it knows no primary of its term.
+	// term is the highest term that the member has learned of, and heldFor the term that
+	// it is held for; zero while it receives records.
+	term, heldFor logpos.Term
+	log           []entry
+	// source is the member that it receives from; nil if it knows no primary of its term.
 	source *simMember
 }
 
-// status is the member's report, as the adapter decodes it.
+// status is the member's report as the adapter decodes it.
 func (m *simMember) status() member.Status {
 	s := member.Status{Entered: m.term, Last: m.mark(), Attached: m.term, Role: member.RoleReplica}
 	switch {
 	case m.primary:
 		s.Role = member.RolePrimary
-	case m.held > m.term:
-		s.Role, s.Entered, s.Attached = member.RoleFenced, m.held, 0
+	case m.heldFor > m.term:
+		s.Role, s.Entered, s.Attached = member.RoleFenced, m.heldFor, 0
 	}
 	return s
 }
 
-// mark is the end of the log: the term of its last record, and how many there are.
+// mark is the end of the log: the term of its last record and the number of records.
 func (m *simMember) mark() logpos.Mark {
 	if len(m.log) == 0 {
 		return logpos.Mark{}
@@ -56,7 +56,7 @@
 	return m
 }
 
-// listed are the members that the platform lists now.
+// listed returns the members that the platform currently lists.
 func (x *sim) listed() []document.Member {
 	var list []document.Member
 	for _, m := range x.members {
@@ -67,29 +67,29 @@
 	return list
 }
 
-// replicate gives a replica the next record of its primary.
+// replicate copies the primary's next record to a replica.
 func (x *sim) replicate(m *simMember) {
 	s := m.source
-	if !m.up || m.primary || m.held > m.term || s == nil || !s.up || !s.primary || s.term != m.term || len(m.log) >= len(s.log) {
+	if !m.up || m.primary || m.heldFor > m.term || s == nil || !s.up || !s.primary || s.term != m.term || len(m.log) >= len(s.log) {
 		return
 	}
 	m.log = append(m.log, s.log[len(m.log)])
-	x.say("%s receives %d of %s", m.address, m.log[len(m.log)-1].number, s.address)
+	x.logStep("%s receives %d of %s", m.address, m.log[len(m.log)-1].number, s.address)
 }
 
-// ask sends a question, or a caller's read, to a member, which answers at once; the
-// answer is under way.
-func (x *sim) ask(i *simInstance, m *simMember) {
+// query sends a query, or a caller's read, to a member. The member answers immediately,
+// and the answer is in transit until it is delivered.
+func (x *sim) query(i *simInstance, m *simMember) {
 	if !m.up || i.w.find(m.address) == nil {
 		return
 	}
 	r := simReport{address: m.address, ticket: i.w.Ask(), status: m.status()}
-	r.status.Last = x.told(m)
+	r.status.Last = x.reportedMark(m)
 	if x.rand.IntN(3) == 0 {
 		r.observation = &Observation{Log: m.mark()}
 	}
 	i.reports = append(i.reports, r)
-	x.say("%s asks %s: %+v", i.name, m.address, r.status)
+	x.logStep("%s asks %s: %+v", i.name, m.address, r.status)
 }
 
 func holds(m *simMember, e entry) bool {
@@ -101,14 +101,15 @@
 	return false
 }
 
-// learn lets a member hear who leads. A replica drops what the primary does not
-// have; an old primary becomes a replica. A hold for a later term lasts.
-func (x *sim) learn(m *simMember) {
+// learnTerm informs a member of the current primary. A replica drops records that the
+// primary does not have; an old primary becomes a replica. A hold for a later term
+// persists.
+func (x *sim) learnTerm(m *simMember) {
 	if !m.up || m == x.leader || m.term >= x.term || !x.leader.up {
 		return
 	}
-	if m.held <= x.term || x.fault == faultNewsEndHold {
-		m.held = 0
+	if m.heldFor <= x.term || x.fault == faultNewsReleasesHold {
+		m.heldFor = 0
 	}
 	m.term, m.primary, m.source = x.term, false, x.leader
 	common := 0
@@ -116,36 +117,37 @@
 		common++
 	}
 	m.log = m.log[:common:common]
-	x.say("%s hears of term %d and keeps %d records", m.address, x.term, common)
+	x.logStep("%s hears of term %d and keeps %d records", m.address, x.term, common)
 }
 
-func (x *sim) stop(m *simMember) {
+func (x *sim) stopMember(m *simMember) {
 	if m.up {
 		m.up = false
-		x.say("%s stops", m.address)
+		x.logStep("%s stops", m.address)
 	}
 }
 
-// start starts a member that has stopped, with its log. That it was held lasts here,
-// as nothing else can stand in for it; see faultRestart for members that forget it.
-func (x *sim) start() {
+// startMember restarts a stopped member with its log. It remains held here, since nothing
+// else in the model prevents what the hold prevents; faultRestart covers members that
+// forget it.
+func (x *sim) startMember() {
 	for _, m := range x.members {
 		if m.up || m.gone {
 			continue
 		}
 		m.up = true
 		if x.fault == faultRestart {
-			m.held = 0
+			m.heldFor = 0
 		}
-		// A primary that was replaced comes back as a replica.
+		// A primary that was replaced restarts as a replica.
 		m.primary = m.primary && m == x.leader
-		x.say("%s starts", m.address)
+		x.logStep("%s starts", m.address)
 		return
 	}
 }
 
-// look lets an instance see the members' entries as they are.
-func (x *sim) look(i *simInstance) {
+// refreshMembers updates an instance's members to the current entries.
+func (x *sim) refreshMembers(i *simInstance) {
 	var leaving []string
 	for _, m := range x.members {
 		if m.leaving && !m.gone {
@@ -154,13 +156,14 @@
 	}
 	i.w.SetMembers(x.listed(), document.MinMembers)
 	i.w.SetLeaving(leaving)
-	x.say("%s sees %d members, leaving %v", i.name, len(x.listed()), leaving)
+	x.logStep("%s sees %d members, leaving %v", i.name, len(x.listed()), leaving)
 }
 
-// replace takes the next step of replacing a member: its successor comes, it is
-// listed as leaving, it is gone once the successor has its log and all have seen it.
-func (x *sim) replace() {
-	if !x.replaces {
+// stepReplacement takes the next step in replacing a member: its successor joins, the
+// member is listed as leaving, and it is removed once the successor has its log and every
+// instance has seen that it leaves.
+func (x *sim) stepReplacement() {
+	if !x.withReplacement {
 		return
 	}
 	old := x.members[0]
@@ -168,22 +171,22 @@
 	case len(x.members) == 3:
 		m := x.addMember(old.domain)
 		m.term, m.source = x.leader.term, x.leader
-		x.say("%s comes beside %s", m.address, old.address)
+		x.logStep("%s comes beside %s", m.address, old.address)
 	case !old.leaving:
 		old.leaving = true
-		x.say("%s leaves", old.address)
+		x.logStep("%s leaves", old.address)
 	case !old.gone && old != x.leader && x.caughtUp(old):
 		old.gone, old.up = true, false
-		x.say("%s is gone", old.address)
+		x.logStep("%s is gone", old.address)
 	}
 }
 
-// caughtUp reports whether the successor has all that the member has, and every
-// instance has seen that the member leaves.
+// caughtUp reports whether the successor has all records of the member and every instance
+// has seen that the member leaves.
 func (x *sim) caughtUp(old *simMember) bool {
-	heir := x.members[3]
+	successor := x.members[3]
 	for _, e := range old.log {
-		if !holds(heir, e) {
+		if !holds(successor, e) {
 			return false
 		}
 	}
--- a/internal/group/protocol_sim_test.go
+++ b/internal/group/protocol_sim_test.go
@@ -10,50 +10,51 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// simReport is a member's answer on its way.
+// simReport is a member's answer in transit.
 type simReport struct {
 	address string
 	ticket  Ticket
 	status  member.Status
-	// observation is set for the answer to a statement.
+	// observation is set if this is the answer to a statement.
 	observation *Observation
 	write       *simWrite
 }
 
-// simInstance is one instance.
 type simInstance struct {
 	name    string
 	w       *Watcher
 	reports []simReport
 }
 
-// sim is one walk.
+// sim is the state of one walk.
 type sim struct {
-	rand      *rand.Rand
-	fault     fault
-	replaces  bool
-	members   []*simMember
-	instances []*simInstance
-	writes    []*simWrite
-	checks    []*simCheck
-	floors    []*simFloor
-	// floorRand draws the steps of floors, so that the others do not depend on them.
+	rand            *rand.Rand
+	fault           fault
+	withReplacement bool
+	members         []*simMember
+	instances       []*simInstance
+	writes          []*simWrite
+	checks          []*simCheck
+	floors          []*simFloor
+	// floorRand selects the steps of floors, so that all other steps are independent of
+	// them.
 	floorRand *rand.Rand
-	// memberTerms has members report the term that they have heard of with the end of
-	// their log, and not that of its last record: which of the two they do is open.
+	// memberTerms makes members report the highest term that they have learned of together
+	// with the end of their log, instead of the term of its last record. The specification
+	// leaves open which of the two they report.
 	memberTerms bool
 	leader      *simMember
 	term        logpos.Term
 	claim       *simClaim
-	// orders are promotions that the platform may still carry out.
-	orders []*simMember
-	number int
-	steps  []string
-	broken string
+	// promotionOrders are promotions that the platform may still execute.
+	promotionOrders []*simMember
+	lastNumber      int
+	steps           []string
+	violation       string
 }
 
 func newSim(seed uint64, f fault, replaces bool) *sim {
-	x := &sim{rand: rand.New(rand.NewPCG(seed, 1)), fault: f, replaces: replaces, term: 1}
+	x := &sim{rand: rand.New(rand.NewPCG(seed, 1)), fault: f, withReplacement: replaces, term: 1}
 	x.floorRand, x.memberTerms = rand.New(rand.NewPCG(seed, 2)), seed%4 >= 2
 	for i := range 3 {
 		x.addMember(string(rune('a' + i)))
@@ -68,18 +69,18 @@
 			Group: "g", Members: x.listed(), Size: document.MinMembers, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 		})})
 	}
-	// Some walks begin in the midst of a replacement.
+	// Some walks start during a replacement.
 	for range x.rand.IntN(3) {
-		x.replace()
+		x.stepReplacement()
 	}
 	return x
 }
 
-func (x *sim) say(format string, a ...any) { x.steps = append(x.steps, fmt.Sprintf(format, a...)) }
+func (x *sim) logStep(format string, a ...any) { x.steps = append(x.steps, fmt.Sprintf(format, a...)) }
 
 func (x *sim) fail(format string, a ...any) {
-	if x.broken == "" {
-		x.broken = fmt.Sprintf(format, a...)
+	if x.violation == "" {
+		x.violation = fmt.Sprintf(format, a...)
 	}
 }
 
@@ -87,86 +88,87 @@
 
 func (x *sim) anyInstance() *simInstance { return x.instances[x.rand.IntN(len(x.instances))] }
 
-// step takes one random step and checks what follows. While a claim is open, two
-// steps in five are about it: else most walks would end before a promotion.
+// step takes one random step and checks its results. While a claim is open, two steps in
+// five belong to it: otherwise most walks would end before a promotion.
 func (x *sim) step() {
 	m, i := x.anyMember(), x.anyInstance()
-	if x.claim != nil && !x.claim.over && x.rand.IntN(5) < 2 {
-		x.lead(m)
+	if x.claim != nil && !x.claim.ended && x.rand.IntN(5) < 2 {
+		x.stepClaim(m)
 	} else {
-		x.serve(i, m)
+		x.stepMembers(i, m)
 	}
-	x.check()
+	x.checkConfirmed()
 	x.stepFloors(i)
 }
 
-// lead takes a step of the claim.
-func (x *sim) lead(m *simMember) {
+// stepClaim takes a step of the claim.
+func (x *sim) stepClaim(m *simMember) {
 	switch x.rand.IntN(6) {
 	case 0, 1, 2:
 		x.fence(m)
 	case 3:
-		x.choose()
+		x.choosePromoted()
 	case 4:
-		x.appoint()
+		x.promote()
 	case 5:
-		x.learn(m)
+		x.learnTerm(m)
 	}
 }
 
-// serve takes a step of members and instances. Half of the answers arrive at once.
-func (x *sim) serve(i *simInstance, m *simMember) {
+// stepMembers takes a step of members and instances. Half of the answers arrive
+// immediately.
+func (x *sim) stepMembers(i *simInstance, m *simMember) {
 	switch x.rand.IntN(24) {
 	case 0, 1, 2:
-		x.commit(i, m)
+		x.commitWrite(i, m)
 	case 3, 4, 5, 6, 7:
 		x.replicate(m)
 	case 8, 9, 10, 11:
-		x.ask(i, m)
+		x.query(i, m)
 		if x.rand.IntN(2) == 0 && len(i.reports) > 0 {
-			x.deliver(i, len(i.reports)-1)
+			x.deliverReport(i, len(i.reports)-1)
 		}
 	case 12, 13, 14:
 		if len(i.reports) > 0 {
-			x.deliver(i, x.rand.IntN(len(i.reports)))
+			x.deliverReport(i, x.rand.IntN(len(i.reports)))
 		}
 	case 15, 16:
-		x.verify(i)
+		x.beginVerification(i)
 	case 17, 18:
-		x.read()
+		x.answerCheck()
 	case 19:
-		x.begin(i)
+		x.beginClaim(i)
 	case 20:
-		x.appoint()
+		x.promote()
 	case 21:
-		x.learn(m)
+		x.learnTerm(m)
 	case 22:
-		x.rare(i, m)
+		x.stepRare(i, m)
 	case 23:
-		x.start()
+		x.startMember()
 	}
 }
 
-// rare takes one of the steps that a walk needs only now and then.
-func (x *sim) rare(i *simInstance, m *simMember) {
+// stepRare takes one of the steps that a walk needs only occasionally.
+func (x *sim) stepRare(i *simInstance, m *simMember) {
 	switch x.rand.IntN(5) {
 	case 0:
-		x.stop(m)
+		x.stopMember(m)
 	case 1, 2:
-		x.look(i)
+		x.refreshMembers(i)
 	case 3:
-		x.replace()
+		x.stepReplacement()
 	case 4:
-		x.abandon()
+		x.expireClaim()
 	}
 }
 
-// deliver hands an instance one of the answers under way.
-func (x *sim) deliver(i *simInstance, k int) {
+// deliverReport delivers one of the answers in transit to an instance.
+func (x *sim) deliverReport(i *simInstance, k int) {
 	r := i.reports[k]
 	i.reports = append(i.reports[:k], i.reports[k+1:]...)
-	x.noteReport(i, r)
-	x.say("%s hears of %s", i.name, r.address)
+	x.recordHighestReport(i, r)
+	x.logStep("%s hears of %s", i.name, r.address)
 	if x.fault == faultOldReport {
 		r.ticket = i.w.Ask()
 	}
@@ -178,7 +180,7 @@
 	if r.write == nil {
 		return
 	}
-	waiter, err := i.w.joinConfirm(r.observation.Log, true)
+	waiter, err := i.w.startConfirm(r.observation.Log, true)
 	if err == nil {
 		r.write.waiter = waiter
 	}
--- a/internal/group/quorum.go
+++ b/internal/group/quorum.go
@@ -2,64 +2,65 @@
 
 import "math/bits"
 
-// quorum tells which members of a group are enough: any two sets that are share
-// a member, so that a promotion that fenced one meets all that was confirmed by
-// another.
+// quorum decides which sets of a group's members are sufficient. Any two sufficient sets
+// share a member, so a promotion that fenced one set includes a member of every set that
+// confirmed a position.
 //
-// A majority of the listed members always is. While one member leaves and its
-// successor stands beside it in its failure domain, one more kind is: of the steady
-// members, those of the other domains, a majority of the group's size without
-// either one of the two. Such a set is a majority of the group before the
-// successor came and of the group after the leaving member is gone, and it meets
-// every majority of both together. Without it the loss of that one domain takes two
-// of four members away, and with them every majority.
+// A majority of the listed members is always sufficient. While one member leaves and its
+// successor in the same failure domain is already listed, a second kind of set is too: a
+// set of stable members, which are those of the other failure domains, that is a majority
+// of the group's size with one of those two left out of the count. Such a set is a
+// majority of the group before the successor joined and of the group after the leaving
+// member is gone, and it intersects every majority of the group with both members. Without this
+// rule, losing that one failure domain removes two of four members and with them every
+// majority.
 type quorum struct {
-	// size is how many members a majority is counted over.
+	// size is the number of members that a majority is counted over.
 	size int
-	// steady has one bit a steady member, and steadyNeed is how many of them are
-	// enough; zero when no member is being replaced.
-	steady     uint64
-	steadyNeed int
+	// stable has one bit for each stable member, and stableNeeded is how many of them are
+	// sufficient; zero when no member is being replaced.
+	stable       uint64
+	stableNeeded int
 }
 
-// seat is what a quorum needs to know of a member.
-type seat struct {
-	// bit stands for the member in sets.
+// quorumMember holds the properties of a member that determine the quorum.
+type quorumMember struct {
+	// bit identifies the member in bit sets.
 	bit           uint64
 	failureDomain string
 	leaving       bool
 }
 
-// newQuorum returns the quorum of the members listed, counted over least at least.
-func newQuorum(seats []seat, least int) quorum {
-	q := quorum{size: max(least, len(seats))}
-	domain, one := leavingDomain(seats)
-	if !one {
+// newQuorum returns the quorum of the members, counted over at least minSize.
+func newQuorum(members []quorumMember, minSize int) quorum {
+	q := quorum{size: max(minSize, len(members))}
+	domain, single := leavingDomain(members)
+	if !single {
 		return q
 	}
 	successors := 0
-	for _, s := range seats {
+	for _, s := range members {
 		switch {
 		case s.failureDomain != domain:
-			q.steady |= s.bit
+			q.stable |= s.bit
 		case !s.leaving:
 			successors++
 		}
 	}
-	// Without a successor the group shrinks rather than changes, and two instances
-	// that see different members leave would count over different groups.
+	// Without a successor the group shrinks instead of replacing a member, and two
+	// instances that see different members leave would count over different groups.
 	if successors == 0 {
 		return q
 	}
-	q.steadyNeed = (q.size-1)/2 + 1
+	q.stableNeeded = (q.size-1)/2 + 1
 	return q
 }
 
-// leavingDomain returns the failure domain of the one member that leaves; false
-// when none or several do.
-func leavingDomain(seats []seat) (string, bool) {
+// leavingDomain returns the failure domain of the only leaving member; false if no member
+// or more than one leaves.
+func leavingDomain(members []quorumMember) (string, bool) {
 	domain, leaving := "", 0
-	for _, s := range seats {
+	for _, s := range members {
 		if s.leaving {
 			domain = s.failureDomain
 			leaving++
@@ -68,61 +69,62 @@
 	return domain, leaving == 1
 }
 
-// met reports whether a set of members is enough.
-func (q quorum) met(set uint64) bool {
+// satisfiedBy reports whether set is sufficient.
+func (q quorum) satisfiedBy(set uint64) bool {
 	if bits.OnesCount64(set) > q.size/2 {
 		return true
 	}
-	return q.steadyNeed > 0 && bits.OnesCount64(set&q.steady) >= q.steadyNeed
+	return q.stableNeeded > 0 && bits.OnesCount64(set&q.stable) >= q.stableNeeded
 }
 
-// replicas is how many replicas are a majority with their primary.
-func (q quorum) replicas() int { return q.size / 2 }
+// requiredReplicas is the number of replicas that form a majority together with the
+// primary.
+func (q quorum) requiredReplicas() int { return q.size / 2 }
 
-// Enough reports whether the members that in selects are a quorum.
-func (s *Snapshot) Enough(in func(m MemberView) bool) bool {
-	seats := make([]seat, len(s.Members))
+// Enough reports whether the members for which selected returns true are a quorum.
+func (s *Snapshot) Enough(selected func(m MemberView) bool) bool {
+	members := make([]quorumMember, len(s.Members))
 	var set uint64
 	for i, m := range s.Members {
-		seats[i] = seat{bit: 1 << i, failureDomain: m.FailureDomain, leaving: m.Leaving}
-		if in(m) {
-			set |= seats[i].bit
+		members[i] = quorumMember{bit: 1 << i, failureDomain: m.FailureDomain, leaving: m.Leaving}
+		if selected(m) {
+			set |= members[i].bit
 		}
 	}
-	return newQuorum(seats, s.Size).met(set)
+	return newQuorum(members, s.Size).satisfiedBy(set)
 }
 
-// MajorityAnswers reports whether the members whose last probe went well are a quorum.
+// MajorityAnswers reports whether the members whose last probe succeeded are a quorum.
 func (s *Snapshot) MajorityAnswers() bool {
 	return s.Enough(func(m MemberView) bool { return m.Failing.IsZero() })
 }
 
-// countSeats renews the quorum after members, or what is known of them, changed.
-// Whoever waits for a confirmation may have it by now.
-func (w *Watcher) countSeats() {
-	seats := make([]seat, len(w.followers))
-	for i, f := range w.followers {
-		seats[i] = seat{bit: f.bit(), failureDomain: f.view.FailureDomain, leaving: f.view.Leaving}
+// updateQuorum recomputes the quorum after the members or their properties changed, and
+// completes waiters that have become confirmed as a result.
+func (w *Watcher) updateQuorum() {
+	members := make([]quorumMember, len(w.pollers))
+	for i, p := range w.pollers {
+		members[i] = quorumMember{bit: p.bit(), failureDomain: p.view.FailureDomain, leaving: p.view.Leaving}
 	}
-	w.quorum = newQuorum(seats, w.least)
+	w.quorum = newQuorum(members, w.minSize)
 	for x := range w.waiters {
 		switch {
-		case x.marked && w.confirmedBy(x.holders):
-			w.end(x, nil)
+		case x.hasMark && w.confirmedBy(x.holders):
+			w.completeWaiter(x, nil)
 		case x.floor:
-			w.proveFloor(x)
+			w.completeFloor(x)
 		}
 	}
 }
 
-// enough reports whether members are a quorum of those that are listed now.
-func (w *Watcher) enough(set uint64) bool { return w.quorum.met(set) }
+// isQuorum reports whether set is a quorum of the members listed now.
+func (w *Watcher) isQuorum(set uint64) bool { return w.quorum.satisfiedBy(set) }
 
-// confirmedBy reports whether replicas are a quorum together with their primary.
-func (w *Watcher) confirmedBy(replicas uint64) bool { return w.enough(w.withPrimary(replicas)) }
+// confirmedBy reports whether the replicas and their primary are a quorum.
+func (w *Watcher) confirmedBy(replicas uint64) bool { return w.isQuorum(w.withPrimary(replicas)) }
 
-// withPrimary adds the primary, which holds all that replicas are asked for. One that
-// is not listed any more counts for nothing: the group is counted without it.
+// withPrimary adds the primary, which holds every position that replicas are queried for.
+// A primary that is no longer listed is not added: quorums are counted without it.
 func (w *Watcher) withPrimary(replicas uint64) uint64 {
 	if p := w.find(w.primary); p != nil {
 		return replicas | p.bit()
@@ -130,5 +132,5 @@
 	return replicas
 }
 
-// bit stands for the follower's member in sets.
-func (f *follower) bit() uint64 { return 1 << f.index }
+// bit identifies the polled member in bit sets.
+func (p *poller) bit() uint64 { return 1 << p.index }
--- a/internal/group/quorum_test.go
+++ b/internal/group/quorum_test.go
@@ -2,18 +2,17 @@
 
 import "testing"
 
-// seatView is a group as one instance may see it: seats by bit, in failure domains
-// by number.
-type seatView []seat
+// memberList is a group as one instance may see it: members with bits, in failure domains.
+type memberList []quorumMember
 
-// plain is the quorum that counts majorities alone.
-func plain(q quorum) quorum {
-	q.steadyNeed = 0
+// majorityOnly removes the rule for replacements from a quorum.
+func majorityOnly(q quorum) quorum {
+	q.stableNeeded = 0
 	return q
 }
 
-// within makes members that a view does not list count for nothing.
-func (v seatView) within(set uint64) uint64 {
+// listedOnly removes members that the list does not contain from a set.
+func (v memberList) listedOnly(set uint64) uint64 {
 	var listed uint64
 	for _, s := range v {
 		listed |= s.bit
@@ -21,50 +20,50 @@
 	return set & listed
 }
 
-// replacements returns every view of a group whose members are replaced one after
-// the other, the successor in the same failure domain: as it was, with the
-// successor, with the old one leaving, and without it.
-func replacements(domains []string) []seatView {
-	var now seatView
+// sequentialReplacements returns every view of a group whose members are replaced one
+// after the other, each by a successor in the same failure domain: before, with the
+// successor, with the old member leaving, and without it.
+func sequentialReplacements(domains []string) []memberList {
+	var now memberList
 	next := 0
-	add := func(v seatView, domain string) seatView {
+	add := func(v memberList, domain string) memberList {
 		next++
-		return append(append(seatView(nil), v...), seat{bit: 1 << (next - 1), failureDomain: domain})
+		return append(append(memberList(nil), v...), quorumMember{bit: 1 << (next - 1), failureDomain: domain})
 	}
 	for _, d := range domains {
 		now = add(now, d)
 	}
-	views := []seatView{now}
+	views := []memberList{now}
 	for i := range domains {
 		joined := add(now, domains[i])
-		leaving := append(seatView(nil), joined...)
+		leaving := append(memberList(nil), joined...)
 		leaving[0].leaving = true
-		// A view may also show the leaving one before the successor.
-		alone := append(seatView(nil), now...)
+		// A view may also show the leaving member before its successor.
+		alone := append(memberList(nil), now...)
 		alone[0].leaving = true
-		now = append(seatView(nil), joined[1:]...)
+		now = append(memberList(nil), joined[1:]...)
 		views = append(views, alone, joined, leaving, now)
 	}
 	return views
 }
 
-// replacedTogether returns every view of a group of which two members are replaced
+// simultaneousReplacements returns every view of a group in which two members are replaced
 // at the same time.
-func replacedTogether(domains []string, first, second int) []seatView {
-	var old seatView
+func simultaneousReplacements(domains []string, first, second int) []memberList {
+	var old memberList
 	for i, d := range domains {
-		old = append(old, seat{bit: 1 << i, failureDomain: d})
+		old = append(old, quorumMember{bit: 1 << i, failureDomain: d})
 	}
-	views := []seatView{old}
+	views := []memberList{old}
 	for _, leaving := range [][2]bool{{false, false}, {true, false}, {false, true}, {true, true}} {
-		joined := append(seatView(nil), old...)
+		joined := append(memberList(nil), old...)
 		for k, i := range []int{first, second} {
 			joined[i].leaving = leaving[k]
-			joined = append(joined, seat{bit: 1 << (len(old) + k), failureDomain: domains[i]})
+			joined = append(joined, quorumMember{bit: 1 << (len(old) + k), failureDomain: domains[i]})
 		}
 		views = append(views, joined)
 	}
-	var after seatView
+	var after memberList
 	for _, s := range views[len(views)-1] {
 		if !s.leaving {
 			after = append(after, s)
@@ -73,10 +72,10 @@
 	return append(views, after)
 }
 
-// Members of a group are replaced one after the other, and instances see the steps
-// at different times. Wherever majorities of two views share a member, so do all
-// sets that are enough: a set that the rule for replacements adds is never disjoint
-// from what another instance fences or confirms by.
+// Members of a group are replaced one after the other, and instances see the steps at
+// different times. Wherever the majorities of two views intersect, all their quorums must
+// too: a set that the rule for replacements adds is never disjoint from a set that another
+// instance fences or confirms by.
 func TestQuorumsOfChangingGroupsMeet(t *testing.T) {
 	for name, domains := range map[string][]string{
 		"three domains":               {"a", "b", "c"},
@@ -85,10 +84,10 @@
 		"five domains":                {"a", "b", "c", "d", "e"},
 		"five members, three domains": {"a", "b", "c", "a", "b"},
 	} {
-		histories := [][]seatView{replacements(domains)}
+		histories := [][]memberList{sequentialReplacements(domains)}
 		for second := range domains {
 			for first := range second {
-				histories = append(histories, replacedTogether(domains, first, second))
+				histories = append(histories, simultaneousReplacements(domains, first, second))
 			}
 		}
 		for _, views := range histories {
@@ -97,28 +96,28 @@
 	}
 }
 
-func checkHistory(t *testing.T, name string, views []seatView, members int) {
+func checkHistory(t *testing.T, name string, views []memberList, members int) {
 	t.Helper()
 	for i, v := range views {
 		q := newQuorum(v, 3)
 		for j, u := range views[:i+1] {
 			r := newQuorum(u, 3)
-			if v.meets(u, plain(q), plain(r), members) && !v.meets(u, q, r, members) {
+			if v.meets(u, majorityOnly(q), majorityOnly(r), members) && !v.meets(u, q, r, members) {
 				t.Errorf("%s: views %d %+v and %d %+v: two sets share nobody", name, i, v, j, u)
 			}
 		}
 	}
 }
 
-// meets reports whether any two sets share a member, one of them enough under q
-// among the members of v, the other under r among those of u. Bits reach up to n.
-func (v seatView) meets(u seatView, q, r quorum, n int) bool {
+// meets reports whether every set that is a quorum under q, among the members of v,
+// intersects every set that is a quorum under r, among those of u. Bits are below n.
+func (v memberList) meets(u memberList, q, r quorum, n int) bool {
 	var first, second []uint64
 	for set := uint64(0); set < 1<<n; set++ {
-		if v.within(set) == set && q.met(set) {
+		if v.listedOnly(set) == set && q.satisfiedBy(set) {
 			first = append(first, set)
 		}
-		if u.within(set) == set && r.met(set) {
+		if u.listedOnly(set) == set && r.satisfiedBy(set) {
 			second = append(second, set)
 		}
 	}
@@ -132,18 +131,17 @@
 	return true
 }
 
-// A group of four loses one member for good. Two instances that see different
-// members leave must not count over two halves, so that nothing but a majority of
-// the four is enough.
+// A group of four loses one member permanently. Two instances that see different members
+// leave must not count over two halves, so only a majority of all four is sufficient.
 func TestLeavingMemberWithoutSuccessorChangesNothing(t *testing.T) {
 	for leaving := range 4 {
-		var seats []seat
+		var seats []quorumMember
 		for i := range 4 {
-			seats = append(seats, seat{bit: 1 << i, failureDomain: string(rune('a' + i)), leaving: i == leaving})
+			seats = append(seats, quorumMember{bit: 1 << i, failureDomain: string(rune('a' + i)), leaving: i == leaving})
 		}
 		for set := uint64(0); set < 1<<4; set++ {
 			q := newQuorum(seats, 3)
-			if q.met(set) != plain(q).met(set) {
+			if q.satisfiedBy(set) != majorityOnly(q).satisfiedBy(set) {
 				t.Errorf("member %d leaves: %b", leaving, set)
 			}
 		}
--- a/internal/group/samples.go
+++ b/internal/group/samples.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// maxSamples bounds the samples kept of one term.
+	// maxSamples is the maximum number of samples kept of one term.
 	maxSamples = 128
-	// sampleSpacing is the least time between two samples; barriers ask the
-	// primary more often than proofs of age need.
+	// sampleSpacing is the minimum time between two samples; barriers query the primary
+	// more often than proofs of age require.
 	sampleSpacing = 10 * time.Millisecond
 )
 
-// sample is the end of the primary's log at a moment, and who is known to hold it.
+// sample is the end of the primary's log at one moment, and the members known to hold it.
 type sample struct {
 	ticket Ticket
 	mark   logpos.Mark
-	// holders has one bit a member, by index.
+	// holders has one bit per member, by index.
 	holders uint64
 }
 
-// samples are the samples of one term, oldest first.
+// samples holds the samples of the current term, oldest first.
 type samples struct {
 	list []sample
-	// past are the samples of earlier terms that were proved. What a proved one
-	// covers is in every later log, so that reads may go by it until it is too old.
-	past []sample
+	// earlierTerms are the proven samples of earlier terms. Every later log holds what a
+	// proven sample covers, so reads may use it until it is too old.
+	earlierTerms []sample
 }
 
-// reset begins a new term. Samples that were not proved are dropped: positions
-// of two terms do not compare.
-func (s *samples) reset(enough func(set uint64) bool) {
+// startTerm begins a new term. Samples that are not proven are dropped: positions of two
+// terms are not comparable.
+func (s *samples) startTerm(isQuorum func(set uint64) bool) {
 	for _, e := range s.list {
-		if enough(e.holders) {
-			s.past = append(s.past, e)
+		if isQuorum(e.holders) {
+			s.earlierTerms = append(s.earlierTerms, e)
 		}
 	}
-	if n := len(s.past); n > maxSamples {
-		s.past = append(s.past[:0], s.past[n-maxSamples:]...)
+	if n := len(s.earlierTerms); n > maxSamples {
+		s.earlierTerms = append(s.earlierTerms[:0], s.earlierTerms[n-maxSamples:]...)
 	}
 	s.list = s.list[:0]
 }
 
-// add keeps what the primary, a member by its index, told of its log, unless a later
-// sample is there already.
+// add records the log position that the primary, given by its index, reported, unless a
+// later or a too recent sample exists.
 func (s *samples) add(index int, t Ticket, m logpos.Mark) {
 	if n := len(s.list); n > 0 {
 		last := s.list[n-1].ticket
@@ -59,8 +59,8 @@
 	s.list = append(s.list, sample{ticket: t, mark: m, holders: 1 << index})
 }
 
-// thin drops every other sample of the older half. A replica far behind then
-// still finds a sample it has reached, only a coarser one.
+// thin drops every other sample of the older half. A replica that is far behind can still
+// match an older sample, with a coarser result.
 func (s *samples) thin() {
 	kept := s.list[:0]
 	for i, e := range s.list {
@@ -71,9 +71,9 @@
 	s.list = kept
 }
 
-// hold marks that the member has reached every sample that was asked before t
-// and lies at or below p.
-func (s *samples) hold(index int, t Ticket, p logpos.Position) {
+// markHeld records that the member holds every sample that was requested before t and lies
+// at or below p.
+func (s *samples) markHeld(index int, t Ticket, p logpos.Position) {
 	for i := range s.list {
 		e := &s.list[i]
 		if t.After(e.ticket) && p >= e.mark.Position {
@@ -82,24 +82,24 @@
 	}
 }
 
-// newest returns the latest sample that the member holds and that enough members
-// hold.
-func (s *samples) newest(index int, enough func(set uint64) bool) (time.Time, logpos.Position, bool) {
+// newestHeldBy returns the latest sample that the member and a quorum hold.
+func (s *samples) newestHeldBy(index int, isQuorum func(set uint64) bool) (time.Time, logpos.Position, bool) {
 	for i := len(s.list) - 1; i >= 0; i-- {
 		e := s.list[i]
-		if e.holders&(1<<index) != 0 && enough(e.holders) {
+		if e.holders&(1<<index) != 0 && isQuorum(e.holders) {
 			return e.ticket.at, e.mark.Position, true
 		}
 	}
 	return time.Time{}, 0, false
 }
 
-// oldest returns the sample held by enough members that was asked for first at or after a moment.
-func (s *samples) oldest(notBefore time.Time, enough func(set uint64) bool) (logpos.Mark, bool) {
-	for _, list := range [][]sample{s.past, s.list} {
+// oldestProven returns the oldest sample held by a quorum that was requested at or after
+// notBefore.
+func (s *samples) oldestProven(notBefore time.Time, isQuorum func(set uint64) bool) (logpos.Mark, bool) {
+	for _, list := range [][]sample{s.earlierTerms, s.list} {
 		for i := range list {
 			e := &list[i]
-			if enough(e.holders) && !e.ticket.at.Before(notBefore) {
+			if isQuorum(e.holders) && !e.ticket.at.Before(notBefore) {
 				return e.mark, true
 			}
 		}
@@ -107,9 +107,9 @@
 	return logpos.Mark{}, false
 }
 
-// forget drops what one member holds.
-func (s *samples) forget(index int) {
-	for _, list := range [][]sample{s.past, s.list} {
+// removeHolder removes one member from the holders of all samples.
+func (s *samples) removeHolder(index int) {
+	for _, list := range [][]sample{s.earlierTerms, s.list} {
 		for i := range list {
 			list[i].holders &^= 1 << index
 		}
--- a/internal/group/search_test.go
+++ b/internal/group/search_test.go
@@ -12,24 +12,25 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// An instance is cut off from a group's primary for seconds. For the time of a promotion
-// it asks the other members often, to learn of the new primary; after that its questions
-// grow rarer, since each costs a member a slot for a moment and tells the same.
-func TestSearchForAPrimaryGrowsRarer(t *testing.T) {
+// An instance is cut off from a group's primary for seconds. For the duration of a
+// promotion it queries the other members often, to learn of the new primary. After that
+// the interval grows, since each query takes a slot at a member for a moment and returns
+// the same result.
+func TestPrimarySearchBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 			Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
 		asked := 0
 		var atFirst int
-		for began := time.Now(); time.Since(began) < 7*time.Second; time.Sleep(w.searchPause()) {
+		for began := time.Now(); time.Since(began) < 7*time.Second; time.Sleep(w.searchInterval()) {
 			asked++
 			if time.Since(began) < 700*time.Millisecond {
 				atFirst = asked
 			}
 		}
 		is.True(atFirst >= 30)
-		// With the least pause throughout it would be 350.
+		// With the minimum interval throughout it would be 350.
 		is.True(asked < 120)
 	})
 }
--- a/internal/group/snapshot.go
+++ b/internal/group/snapshot.go
@@ -7,54 +7,54 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// MemberView is what is known of one member.
+// MemberView is what is known about one member.
 type MemberView struct {
 	Address       string
 	FailureDomain string
 	Status        member.Status
-	// SeenAt is when the newest report was asked for; zero if there is none.
+	// SeenAt is when the newest report was requested; zero if there is none.
 	SeenAt time.Time
-	// FreshAsOf is a moment at which the primary's confirmed position was asked
-	// that this member has reached since: its data is no older than that.
-	// Zero when nothing is proved.
+	// FreshAsOf bounds the age of the member's data: the member has since reached the
+	// confirmed position that the primary was asked for at this time. Zero when nothing is
+	// proven.
 	FreshAsOf time.Time
-	// Failing is since when probes on new connections have failed; zero if the
-	// last one went well.
+	// Failing is when the first of the current run of failed probes on new connections was
+	// sent; zero if the last one succeeded.
 	Failing time.Time
-	// Failures counts the probes that have failed since Failing.
+	// Failures counts the failed probes since Failing.
 	Failures int
-	// Refused says that the last failed probe was refused: the machine answers,
-	// and no process listens on it.
+	// Refused is set if the last probe's connection was refused: the host answers, but no
+	// process listens on the port.
 	Refused bool
-	// Leaving says that the platform lists the member as leaving.
+	// Leaving is set if the platform lists the member as leaving.
 	Leaving bool
 }
 
-// Snapshot is what is known of a group at one moment. It is never changed
-// after it was published.
+// Snapshot is what is known about a group at one moment. It is immutable once published.
 type Snapshot struct {
 	Group string
-	// Term is the highest term known, and Primary the address of its primary;
-	// empty while the term has none known.
+	// Term is the highest known term, and Primary is the address of its primary; empty if
+	// the term's primary is unknown.
 	Term      logpos.Term
 	Primary   string
 	TermStart logpos.Position
-	// Led is the highest term in which a member reported that it leads. It is
-	// below Term while members are fenced for a promotion.
+	// Led is the highest term in which a member reported itself as primary. It is below
+	// Term while members are fenced for a promotion.
 	Led logpos.Term
-	// ConfirmedAt is when a report of a replica attached in Term was last
-	// asked for and answered; writes are refused before sending when it is old.
+	// ConfirmedAt is the latest request time by which enough replicas for a confirmation
+	// reported themselves attached in Term; writes are refused before sending when it is
+	// old.
 	ConfirmedAt time.Time
-	// StalledSince is since when too few replicas for a confirmation get any
-	// further although the primary is ahead of them; zero while enough do. A
-	// primary that is cut off from its replicas alone still answers probes.
+	// StalledSince is the time since which too few replicas for a confirmation have made
+	// progress although the primary is ahead of them; zero while enough do. A primary that
+	// is disconnected only from its replicas still answers probes.
 	StalledSince time.Time
 	Members      []MemberView
-	// Size is how many members a majority is counted over.
+	// Size is the number of members that a majority is counted over.
 	Size int
 }
 
-// Find returns the view of the member at an address.
+// Find returns the view of the member with the given address.
 func (s *Snapshot) Find(address string) (MemberView, bool) {
 	for _, m := range s.Members {
 		if m.Address == address {
--- a/internal/group/ticket.go
+++ b/internal/group/ticket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ticket marks the moment before a question to a member is sent. Tickets of one
-// Watcher are totally ordered, also when the clock stands still.
+// Ticket marks the moment before a query to a member is sent. Tickets of one Watcher are
+// totally ordered, even if the clock does not advance.
 type Ticket struct {
 	number uint64
 	at     time.Time
--- a/internal/group/unlisted_test.go
+++ b/internal/group/unlistedprimary_test.go
@@ -12,11 +12,11 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// A write is committed at a primary that leaves, and waits for its confirmation when
-// the primary's entry goes. The group is counted without the primary from then on,
-// and so its word counts no more: one replica of three would do, while two others
-// promote a member that lacks the write. The caller would be told that its write is
-// safe, and it would be gone.
+// A write is committed at a leaving primary, and the primary's entry is removed while the
+// write waits for its confirmation. From then on quorums are counted without the primary,
+// so it must not count for the confirmation: otherwise one replica of three would suffice
+// while the two others promote a member that lacks the write, and an acknowledged write
+// would be lost.
 func TestPrimaryThatIsNotListedConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	listed := func(addresses ...string) []document.Member {
@@ -35,16 +35,16 @@
 		w.Observe(address, w.Ask(), member.Status{Role: role, Entered: 1, Attached: 1, Last: mark})
 	}
 	report("m0", member.RolePrimary)
-	x, err := w.joinConfirm(mark, true)
+	x, err := w.startConfirm(mark, true)
 	is.NoErr(err)
 	report("m1", member.RoleReplica)
-	is.True(!ended(x)) // two of four
+	is.True(!waiterEnded(x)) // two of four
 
 	w.SetMembers(listed("m1", "m2", "m3"), document.MinMembers)
-	is.True(!ended(x)) // one of three
+	is.True(!waiterEnded(x)) // one of three
 	report("m1", member.RoleReplica)
-	is.True(!ended(x))
+	is.True(!waiterEnded(x))
 	report("m2", member.RoleReplica)
-	is.True(ended(x))
+	is.True(waiterEnded(x))
 	is.NoErr(x.err)
 }
--- a/internal/group/verify.go
+++ b/internal/group/verify.go
@@ -7,8 +7,9 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Verification proves that the primary of a term had not been replaced when it
-// began. It ends by itself; whoever does not wait for it drops it.
+// Verification proves that the primary of a term had not been replaced when the
+// Verification began. It completes by itself; a caller that does not Wait for it must Drop
+// it.
 type Verification struct {
 	w *Watcher
 	x *waiter
@@ -24,29 +25,29 @@
 		return nil, result.New(result.NoPrimary, "group %s", w.group)
 	}
 	v := &Verification{w: w, Term: w.term}
-	if w.quorum.replicas() > 0 {
-		// Position zero is held by every replica, so that only its term counts.
-		v.x = w.join(logpos.Mark{Term: w.term}, true)
+	if w.quorum.requiredReplicas() > 0 {
+		// Every replica holds position zero, so only the term matters.
+		v.x = w.addWaiter(logpos.Mark{Term: w.term}, true)
 	}
 	return v, nil
 }
 
-// Wait returns nil once the proof is there. Its errors are PrimaryReplaced, or
+// Wait returns nil once the proof is complete. Its errors are PrimaryReplaced, or
 // ConfirmTimeout when ctx ends first.
 func (v *Verification) Wait(ctx context.Context) error {
 	if v.x == nil {
 		return nil
 	}
-	err, ended := v.w.await(ctx, v.x)
+	err, ended := v.w.awaitWaiter(ctx, v.x)
 	if !ended {
 		return result.New(result.ConfirmTimeout, "term %d was not verified", v.Term).WithCause(ctx.Err())
 	}
 	return err
 }
 
-// Drop ends a verification that nobody waits for.
+// Drop cancels a verification that is no longer needed.
 func (v *Verification) Drop() {
 	if v != nil && v.x != nil {
-		v.w.leave(v.x)
+		v.w.removeWaiter(v.x)
 	}
 }
--- a/internal/group/waiter.go
+++ b/internal/group/waiter.go
@@ -9,81 +9,81 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// waiter is one Confirm or Barrier that has not ended.
+// waiter is a Confirm, Barrier, Floor or Verification in progress.
 type waiter struct {
 	ticket Ticket
-	// marked says that mark is known; a barrier waits for the primary to tell it.
-	marked bool
-	mark   logpos.Mark
-	// holders has one bit a member that counts, by index.
+	// hasMark is false for a barrier until the primary has reported its position.
+	hasMark bool
+	mark    logpos.Mark
+	// holders has one bit for each member that counts, by index.
 	holders uint64
-	// commit says that the mark is that of a commit which nobody else can make
-	// again: a log that holds it proves it at any time.
+	// commit is set if the mark is that of a commit, which no other primary can produce: a
+	// log that holds it proves it regardless of when the report was requested.
 	commit bool
-	// floor says that reports of a majority end the wait as well; told is what each
-	// member has told since it began, by the member's bit.
-	floor bool
-	told  map[uint64]logpos.Mark
+	// floor is set if reports of a majority also end the wait; reported is the highest
+	// mark that each member has reported since the wait began, keyed by the member's bit.
+	floor    bool
+	reported map[uint64]logpos.Mark
 	// done is closed at the end, after err was set.
 	done chan struct{}
 	err  error
 }
 
-// join adds a waiter that counts reports asked for from now on.
-func (w *Watcher) join(mark logpos.Mark, marked bool) *waiter {
-	x := &waiter{ticket: w.ticket(), mark: mark, marked: marked, done: make(chan struct{})}
+// addWaiter adds a waiter that counts reports requested from now on.
+func (w *Watcher) addWaiter(mark logpos.Mark, hasMark bool) *waiter {
+	x := &waiter{ticket: w.newTicket(), mark: mark, hasMark: hasMark, done: make(chan struct{})}
 	w.waiters[x] = struct{}{}
-	for _, f := range w.followers {
-		f.wake()
+	for _, p := range w.pollers {
+		p.wake()
 	}
 	return x
 }
 
-// leave removes a waiter whose caller no longer waits.
-func (w *Watcher) leave(x *waiter) {
+// removeWaiter removes a waiter whose caller has stopped waiting.
+func (w *Watcher) removeWaiter(x *waiter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.waiters, x)
 }
 
-// end tells a waiter its outcome.
-func (w *Watcher) end(x *waiter, err error) {
+// completeWaiter ends a waiter with its result.
+func (w *Watcher) completeWaiter(x *waiter, err error) {
 	delete(w.waiters, x)
 	x.err = err
 	close(x.done)
 }
 
-// await waits for x to end. The second value is false if ctx ended first.
-func (w *Watcher) await(ctx context.Context, x *waiter) (error, bool) {
+// awaitWaiter waits for x to end. The second result is false if ctx ended first.
+func (w *Watcher) awaitWaiter(ctx context.Context, x *waiter) (error, bool) {
 	select {
 	case <-x.done:
 		return x.err, true
 	case <-ctx.Done():
-		w.leave(x)
+		w.removeWaiter(x)
 		return nil, false
 	}
 }
 
-// count lets a report count for every waiter that was there before it was asked.
-func (w *Watcher) count(f *follower, t Ticket, s member.Status) {
+// countStatus counts a report for every waiter that existed before it was requested.
+func (w *Watcher) countStatus(p *poller, t Ticket, s member.Status) {
 	for x := range w.waiters {
 		if !t.After(x.ticket) {
 			continue
 		}
-		w.mark(x, s)
-		if x.marked && attached(s, x.mark.Term) && s.Last.Position >= x.mark.Position {
-			x.holders |= f.bit()
+		w.setBarrierMark(x, s)
+		if x.hasMark && attached(s, x.mark.Term) && s.Last.Position >= x.mark.Position {
+			x.holders |= p.bit()
 		}
-		if x.marked && w.confirmedBy(x.holders) {
-			w.end(x, nil)
+		if x.hasMark && w.confirmedBy(x.holders) {
+			w.completeWaiter(x, nil)
 		}
 		if x.floor && !x.ended() {
-			w.countReport(x, f, s.Last)
+			w.countFloorReport(x, p, s.Last)
 		}
 	}
 }
 
-// ended reports whether the waiter was told its outcome.
+// ended reports whether the waiter has its result.
 func (x *waiter) ended() bool {
 	select {
 	case <-x.done:
@@ -93,64 +93,64 @@
 	}
 }
 
-// countPosition lets a replica's log count for every waiter for a commit that
-// it holds.
-func (w *Watcher) countPosition(f *follower, log logpos.Mark) {
+// countLogPosition counts a replica's log position for every waiter whose commit the log
+// holds.
+func (w *Watcher) countLogPosition(p *poller, log logpos.Mark) {
 	for x := range w.waiters {
 		if !x.commit || x.mark.Term != log.Term || x.mark.Position > log.Position {
 			continue
 		}
-		x.holders |= f.bit()
+		x.holders |= p.bit()
 		if w.confirmedBy(x.holders) {
-			w.end(x, nil)
+			w.completeWaiter(x, nil)
 		}
 	}
 }
 
-// demandedSince returns when the oldest waiter began that the member has not
-// answered; now if there is none.
-func (w *Watcher) demandedSince(f *follower) time.Time {
+// wantedSince returns the start of the oldest wait that the member's position has not yet
+// satisfied; now if there is none.
+func (w *Watcher) wantedSince(p *poller) time.Time {
 	since := w.clock.Now()
 	for x := range w.waiters {
-		if x.marked && x.holders&f.bit() == 0 && x.ticket.at.Before(since) {
+		if x.hasMark && x.holders&p.bit() == 0 && x.ticket.at.Before(since) {
 			since = x.ticket.at
 		}
 	}
 	return since
 }
 
-// mark gives a barrier its mark from a report of the primary.
-func (w *Watcher) mark(x *waiter, s member.Status) {
-	if x.marked || s.Role != member.RolePrimary || s.Entered != w.term {
+// setBarrierMark sets a barrier's mark from a report of the primary.
+func (w *Watcher) setBarrierMark(x *waiter, s member.Status) {
+	if x.hasMark || s.Role != member.RolePrimary || s.Entered != w.term {
 		return
 	}
-	x.marked = true
+	x.hasMark = true
 	x.mark = logpos.Mark{Term: s.Entered, Position: s.Last.Position}
-	for _, f := range w.followers {
-		f.wake()
+	for _, p := range w.pollers {
+		p.wake()
 	}
 }
 
-// failOlder ends every waiter of a term below the one given. One that a majority's
-// reports end as well goes on without its mark.
-func (w *Watcher) failOlder(term logpos.Term) {
+// failOlderTerms fails every waiter whose mark is of a term below the given one. A waiter
+// for a floor continues without its mark, since reports of a majority can still end it.
+func (w *Watcher) failOlderTerms(term logpos.Term) {
 	for x := range w.waiters {
 		switch {
-		case !x.marked || x.mark.Term >= term:
+		case !x.hasMark || x.mark.Term >= term:
 		case x.floor:
-			x.marked, x.mark, x.holders = false, logpos.Mark{}, 0
+			x.hasMark, x.mark, x.holders = false, logpos.Mark{}, 0
 		default:
-			w.end(x, result.New(result.PrimaryReplaced, "term %d was replaced by %d", x.mark.Term, term))
+			w.completeWaiter(x, result.New(result.PrimaryReplaced, "term %d was replaced by %d", x.mark.Term, term))
 		}
 	}
 }
 
-// demand returns the lowest position that somebody waits for the member to hold.
-func (w *Watcher) demand(f *follower) (logpos.Position, bool) {
+// wantedPosition returns the lowest position that a waiter needs the member to hold.
+func (w *Watcher) wantedPosition(p *poller) (logpos.Position, bool) {
 	var lowest logpos.Position
 	found := false
 	for x := range w.waiters {
-		if !x.marked || x.holders&f.bit() != 0 {
+		if !x.hasMark || x.holders&p.bit() != 0 {
 			continue
 		}
 		if !found || x.mark.Position < lowest {
@@ -160,10 +160,10 @@
 	return lowest, found
 }
 
-// barrierWaits reports whether a barrier waits for the primary's position.
-func (w *Watcher) barrierWaits() bool {
+// barrierNeedsMark reports whether a barrier is waiting for the primary's position.
+func (w *Watcher) barrierNeedsMark() bool {
 	for x := range w.waiters {
-		if !x.marked {
+		if !x.hasMark {
 			return true
 		}
 	}
--- a/internal/group/watcher.go
+++ b/internal/group/watcher.go
@@ -15,7 +15,7 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Watcher implements Tracker for one group with one goroutine a member.
+// Watcher implements Tracker for one group, with one goroutine per member.
 type Watcher struct {
 	group     string
 	clock     clock.Clock
@@ -25,42 +25,42 @@
 	onSilence func(since time.Time)
 	snapshot  atomic.Pointer[Snapshot]
 
-	mu        sync.Mutex
-	rand      *rand.Rand
-	followers []*follower
-	// quorum tells which of them are enough for a confirmation.
+	mu      sync.Mutex
+	rand    *rand.Rand
+	pollers []*poller
+	// quorum decides which sets of pollers' members are sufficient.
 	quorum quorum
-	// least is Config.Size, dialer opens the followers' connections, and running
-	// starts one; nil while the Watcher does not run.
-	least     int
-	dialer    member.Dialer
-	running   func(f *follower)
-	tickets   uint64
-	term      logpos.Term
-	primary   string
-	termStart logpos.Position
-	led       logpos.Term
-	// head is the highest position that the primary reported in the term.
+	// minSize is Config.Size, dialer opens the pollers' connections, and startPoller
+	// starts a poller; startPoller is nil while the Watcher is not running.
+	minSize     int
+	dialer      member.Dialer
+	startPoller func(p *poller)
+	tickets     uint64
+	term        logpos.Term
+	primary     string
+	termStart   logpos.Position
+	ledTerm     logpos.Term
+	// head is the highest position that the primary has reported in the term.
 	head logpos.Position
-	// searchingSince is when the search for a primary that answers began; zero while
-	// there is one.
+	// searchingSince is when the search for a responding primary began; zero while there
+	// is one.
 	searchingSince time.Time
-	// stallLogged says that the present stall was logged.
+	// stallLogged is true once the current stall was logged.
 	stallLogged bool
 	samples     samples
-	// lastFloor is the last floor that a majority proved in the term; it may lie
-	// past what is acknowledged, and is dropped with the term, whose end may never
-	// be in the log of the next.
+	// lastFloor is the last floor that a majority proved in the term. It may lie past
+	// every acknowledged write. It is dropped at the end of the term, since the next
+	// term's log may never hold its position.
 	lastFloor sample
 	waiters   map[*waiter]struct{}
-	// changed is closed and replaced when the term, the primary or a member's
-	// suspicion changes.
-	changed chan struct{}
+	// changes is closed and replaced when the term, the primary or a member's reachability
+	// changes.
+	changes chan struct{}
 }
 
 var _ Tracker = (*Watcher)(nil)
 
-// NewWatcher returns a Watcher that knows nothing yet; Run makes it learn.
+// NewWatcher returns a Watcher without any reports; Run starts polling.
 func NewWatcher(c Config) *Watcher {
 	w := &Watcher{
 		group:     c.Group,
@@ -68,11 +68,11 @@
 		log:       c.Logger,
 		metrics:   c.Metrics,
 		intervals: c.Intervals,
-		least:     c.Size,
+		minSize:   c.Size,
 		dialer:    c.Dialer,
 		rand:      c.Rand,
 		waiters:   make(map[*waiter]struct{}),
-		changed:   make(chan struct{}),
+		changes:   make(chan struct{}),
 		onSilence: c.OnSilence,
 	}
 	if w.onSilence == nil {
@@ -89,29 +89,29 @@
 		w.intervals = DefaultIntervals()
 	}
 	for _, m := range c.Members {
-		w.addFollower(m)
+		w.addPoller(m)
 	}
-	w.countSeats()
-	w.publish()
+	w.updateQuorum()
+	w.publishSnapshot()
 	return w
 }
 
-// Run asks the members until ctx ends.
+// Run polls the members until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	w.mu.Lock()
-	w.running = func(f *follower) {
+	w.startPoller = func(p *poller) {
 		ctx, stop := context.WithCancel(ctx)
-		f.stop = stop
-		wg.Go(func() { f.run(ctx) })
+		p.stop = stop
+		wg.Go(func() { p.run(ctx) })
 	}
-	for _, f := range w.followers {
-		w.running(f)
+	for _, p := range w.pollers {
+		w.startPoller(p)
 	}
 	w.mu.Unlock()
 	<-ctx.Done()
 	w.mu.Lock()
-	w.running = nil
+	w.startPoller = nil
 	w.mu.Unlock()
 	wg.Wait()
 }
@@ -120,7 +120,7 @@
 func (w *Watcher) Proven(notBefore time.Time) (logpos.Mark, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if mark, ok := w.samples.oldest(notBefore, w.enough); ok {
+	if mark, ok := w.samples.oldestProven(notBefore, w.isQuorum); ok {
 		return mark, true
 	}
 	fresh := w.lastFloor.ticket.number > 0 && !w.lastFloor.ticket.at.Before(notBefore)
@@ -130,16 +130,16 @@
 // Snapshot implements Tracker.
 func (w *Watcher) Snapshot() *Snapshot { return w.snapshot.Load() }
 
-// Changes returns a channel that is closed at the next change of the term, the
-// primary, or of whether a member fails. Take it before reading the Snapshot.
+// Changes returns a channel that is closed at the next change of the term, the primary, or
+// a member's reachability. Call it before reading the Snapshot.
 func (w *Watcher) Changes() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.changed
+	return w.changes
 }
 
-// AwaitPrimary returns the first snapshot that has a primary, or the error of
-// ctx if it ends before.
+// AwaitPrimary returns the first snapshot that has a primary, or the error of ctx if ctx
+// ends first.
 func (w *Watcher) AwaitPrimary(ctx context.Context) (*Snapshot, error) {
 	for {
 		changed := w.Changes()
@@ -154,70 +154,70 @@
 	}
 }
 
-// SetLeaving replaces the addresses that the platform lists as leaving.
+// SetLeaving replaces the set of addresses that the platform lists as leaving.
 func (w *Watcher) SetLeaving(addresses []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	changed := false
-	for _, f := range w.followers {
-		leaving := slices.Contains(addresses, f.view.Address)
-		changed = changed || leaving != f.view.Leaving
-		f.view.Leaving = leaving
+	for _, p := range w.pollers {
+		leaving := slices.Contains(addresses, p.view.Address)
+		changed = changed || leaving != p.view.Leaving
+		p.view.Leaving = leaving
 	}
 	if changed {
-		w.countSeats()
+		w.updateQuorum()
 		w.notify()
-		w.publish()
+		w.publishSnapshot()
 	}
 }
 
-// ReportFailure implements Tracker. The kept connection is given up, so that
-// the next question goes out on a new one.
+// ReportFailure implements Tracker. It closes the kept connection, so that the next query
+// is sent on a new one.
 func (w *Watcher) ReportFailure(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.find(address)
-	if f == nil {
+	p := w.find(address)
+	if p == nil {
 		return
 	}
-	// Statements fail by the hundred when a member dies or is full; one new
-	// connection settles all, and more of them would only add to the load.
+	// Hundreds of statements fail together when a member dies or is overloaded. One new
+	// connection is enough to check the member; more would only add load.
 	now := w.clock.Now()
-	if now.Sub(f.view.SeenAt) < w.intervals.FastPoll || now.Sub(f.doubtedAt) < w.intervals.Wait {
+	if now.Sub(p.view.SeenAt) < w.intervals.FastPoll || now.Sub(p.reconnectAt) < w.intervals.Wait {
 		return
 	}
-	f.doubted, f.doubtedAt = true, now
-	if f.interrupt != nil {
-		f.interrupt()
+	p.reconnect, p.reconnectAt = true, now
+	if p.cancelQuery != nil {
+		p.cancelQuery()
 	}
-	f.wake()
+	p.wake()
 }
 
 // Recheck implements Tracker.
 func (w *Watcher) Recheck(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.find(address)
-	if f == nil || w.clock.Now().Sub(f.askedAt) < w.intervals.FastPoll {
+	p := w.find(address)
+	if p == nil || w.clock.Now().Sub(p.askedAt) < w.intervals.FastPoll {
 		return
 	}
-	f.askedAt, f.observedAt = time.Time{}, time.Time{}
-	f.wake()
+	p.askedAt, p.observedAt = time.Time{}, time.Time{}
+	p.wake()
 }
 
-// HeardAt returns when a member was last asked anything that it answered, a statement
-// included; zero where it never was.
+// HeardAt returns the send time of the last query or statement that the member answered;
+// zero if it has answered none.
 func (w *Watcher) HeardAt(address string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.find(address)
+	p := w.find(address)
 	switch {
-	case f == nil:
+	case p == nil:
 		return time.Time{}
-	case f.observedAt.After(f.view.SeenAt):
-		return f.observedAt
+	case p.observedAt.After(p.view.SeenAt):
+		return p.observedAt
 	default:
-		return f.view.SeenAt
+		return p.view.SeenAt
 	}
 }
 
@@ -225,25 +225,25 @@
 func (w *Watcher) Ask() Ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ticket()
+	return w.newTicket()
 }
 
-func (w *Watcher) ticket() Ticket {
+func (w *Watcher) newTicket() Ticket {
 	w.tickets++
 	return Ticket{number: w.tickets, at: w.clock.Now()}
 }
 
-func (w *Watcher) find(address string) *follower {
-	for _, f := range w.followers {
-		if f.view.Address == address {
-			return f
+func (w *Watcher) find(address string) *poller {
+	for _, p := range w.pollers {
+		if p.view.Address == address {
+			return p
 		}
 	}
 	return nil
 }
 
-// notify wakes everyone who waits on Changes.
+// notify wakes all receivers of Changes.
 func (w *Watcher) notify() {
-	close(w.changed)
-	w.changed = make(chan struct{})
+	close(w.changes)
+	w.changes = make(chan struct{})
 }
