--- a/internal/group/barrier.go
+++ b/internal/group/barrier.go
@@ -20,25 +20,25 @@
 }
 
 func (w *Watcher) barrier(ctx context.Context) (logpos.Mark, error) {
-	x, err := w.startBarrier()
+	wt, err := w.startBarrier()
 	if err != nil {
 		return logpos.Mark{}, err
 	}
-	return w.awaitMark(ctx, x)
+	return w.awaitMark(ctx, wt)
 }
 
 // awaitMark waits for the mark of a barrier or a floor.
-func (w *Watcher) awaitMark(ctx context.Context, x *waiter) (logpos.Mark, error) {
-	err, ended := w.awaitWaiter(ctx, x)
+func (w *Watcher) awaitMark(ctx context.Context, wt *waiter) (logpos.Mark, error) {
+	err, ended := w.awaitWaiter(ctx, wt)
 	switch {
 	case ended && err == nil:
-		return x.mark, nil
+		return wt.mark, nil
 	case ended:
 		// The mark's term was replaced while the read was waiting. The read has not been
 		// sent, so the caller can be told that it did not run.
 		return logpos.Mark{}, result.New(result.NoPrimary, "the primary was replaced").WithCause(err)
 	default:
-		return logpos.Mark{}, w.barrierTimeoutError(ctx, x)
+		return logpos.Mark{}, w.barrierTimeoutError(ctx, wt)
 	}
 }
 
@@ -52,11 +52,11 @@
 }
 
 // barrierTimeoutError returns what a barrier lacked when its ctx ended.
-func (w *Watcher) barrierTimeoutError(ctx context.Context, x *waiter) error {
+func (w *Watcher) barrierTimeoutError(ctx context.Context, wt *waiter) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !x.hasMark {
+	if !wt.hasMark {
 		return result.New(result.NoPrimary, "the primary did not tell its position").WithCause(ctx.Err())
 	}
-	return result.New(result.NoConfirmingReplica, "term %d position %d", x.mark.Term, x.mark.Position).WithCause(ctx.Err())
+	return result.New(result.NoConfirmingReplica, "term %d position %d", wt.mark.Term, wt.mark.Position).WithCause(ctx.Err())
 }
--- a/internal/group/confirm.go
+++ b/internal/group/confirm.go
@@ -26,11 +26,11 @@
 }
 
 func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.Mark, commit bool) error {
-	x, err := w.startConfirm(mark, commit)
-	if err != nil || x == nil {
+	wt, err := w.startConfirm(mark, commit)
+	if err != nil || wt == nil {
 		return err
 	}
-	err, ended := w.awaitWaiter(ctx, x)
+	err, ended := w.awaitWaiter(ctx, wt)
 	if !ended {
 		return result.New(result.ConfirmTimeout, "term %d position %d", mark.Term, mark.Position).WithCause(ctx.Err())
 	}
@@ -49,9 +49,9 @@
 	if w.quorum.requiredReplicas() == 0 {
 		return nil, nil
 	}
-	x := w.addWaiter(mark, true)
-	x.commit = commit
-	return x, nil
+	wt := w.addWaiter(mark, true)
+	wt.commit = commit
+	return wt, nil
 }
 
 func (w *Watcher) since(start time.Time) float64 {
--- a/internal/group/floor.go
+++ b/internal/group/floor.go
@@ -24,7 +24,7 @@
 // term; compared as a whole, that mark would be the highest.
 //
 // Floors keep reads available without a primary: otherwise a group that lost its primary
-// refuses reads until another one is promoted, although two of three replicas are
+// refuses reads until another one is promoted, although two of three members are
 // reachable.
 
 // Floor implements Tracker. Its errors belong to the did-not-run family.
@@ -38,15 +38,15 @@
 func (w *Watcher) startFloor() *waiter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	x := w.addWaiter(logpos.Mark{}, false)
-	x.floor, x.reported = true, make(map[uint64]logpos.Mark)
-	return x
+	wt := w.addWaiter(logpos.Mark{}, false)
+	wt.floor, wt.reported = true, make(map[uint64]logpos.Mark)
+	return wt
 }
 
 // countFloorReport counts a member's report for a waiter for a floor.
-func (w *Watcher) countFloorReport(x *waiter, p *poller, reported logpos.Mark) {
-	x.reported[p.bit()] = highest(x.reported[p.bit()], reported)
-	w.completeFloor(x)
+func (w *Watcher) countFloorReport(wt *waiter, p *poller, reported logpos.Mark) {
+	wt.reported[p.bit()] = highest(wt.reported[p.bit()], reported)
+	w.completeFloor(wt)
 }
 
 // highest combines the higher term and the higher position of two marks.
@@ -55,36 +55,36 @@
 }
 
 // completeFloor ends a waiter for a floor once enough members have reported.
-func (w *Watcher) completeFloor(x *waiter) {
+func (w *Watcher) completeFloor(wt *waiter) {
 	if !w.majorityFloorAllowed() {
 		return
 	}
-	mark, ok := w.floorOf(x)
+	mark, ok := w.floorOf(wt)
 	if !ok {
 		return
 	}
-	x.mark = mark
-	w.lastFloor = sample{ticket: x.ticket, mark: mark}
-	w.completeWaiter(x, nil)
+	wt.mark = mark
+	w.lastFloor = sample{ticket: wt.ticket, mark: mark}
+	w.completeWaiter(wt, nil)
 }
 
 // floorOf returns the floor that the reports prove. If the replicas alone are a quorum,
 // the primary's report is ignored: its log may extend past everything acknowledged, to a
 // position that no replica has.
-func (w *Watcher) floorOf(x *waiter) (logpos.Mark, bool) {
+func (w *Watcher) floorOf(wt *waiter) (logpos.Mark, bool) {
 	primary := w.primaryBit()
-	if mark, ok := w.highestReported(x, func(bit uint64) bool { return bit != primary }); ok {
+	if mark, ok := w.highestReported(wt, func(bit uint64) bool { return bit != primary }); ok {
 		return mark, true
 	}
-	return w.highestReported(x, func(uint64) bool { return true })
+	return w.highestReported(wt, func(uint64) bool { return true })
 }
 
 // highestReported returns the highest combination of the included members' reports, and
 // whether those members are a quorum.
-func (w *Watcher) highestReported(x *waiter, include func(bit uint64) bool) (logpos.Mark, bool) {
+func (w *Watcher) highestReported(wt *waiter, include func(bit uint64) bool) (logpos.Mark, bool) {
 	var mark logpos.Mark
 	var set uint64
-	for bit, reported := range x.reported {
+	for bit, reported := range wt.reported {
 		if include(bit) {
 			mark = highest(mark, reported)
 			set |= bit
@@ -110,8 +110,8 @@
 
 // floorNeedsReport reports whether a waiter for a floor needs a report of this member.
 func (w *Watcher) floorNeedsReport(p *poller) bool {
-	for x := range w.waiters {
-		if _, done := x.reported[p.bit()]; x.floor && !done {
+	for wt := range w.waiters {
+		if _, done := wt.reported[p.bit()]; wt.floor && !done {
 			return w.majorityFloorAllowed()
 		}
 	}
--- a/internal/group/intervals.go
+++ b/internal/group/intervals.go
@@ -18,7 +18,8 @@
 	// Wait is the timeout of one wait for a position. It is also how long a connection
 	// that falls silent during such a wait goes undetected.
 	Wait time.Duration
-	// Away is the maximum time between two probes of an unreachable member.
+	// Away is the maximum time between two probes of an unreachable member, and the time
+	// between two probes of an overloaded one.
 	Away time.Duration
 	// Spread is how much later than the best replica the others are queried when a caller
 	// waits for a report; zero queries all at the same time. It saves queries where each
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -62,8 +62,8 @@
 		w.primary = ""
 	}
 	w.samples.removeHolder(p.index)
-	for x := range w.waiters {
-		x.holders &^= p.bit()
-		delete(x.reported, p.bit())
+	for wt := range w.waiters {
+		wt.holders &^= p.bit()
+		delete(wt.reported, p.bit())
 	}
 }
--- a/internal/group/observe.go
+++ b/internal/group/observe.go
@@ -29,7 +29,7 @@
 		w.trackProgress(p, t, s)
 	}
 	w.recordSample(p, t, s)
-	w.countStatus(p, t, s)
+	w.countReport(p, t, s)
 	if !w.writesImpossible() {
 		w.searchingSince = time.Time{}
 	}
@@ -79,13 +79,13 @@
 	if s.Role == member.RolePrimary {
 		w.ledTerm = max(w.ledTerm, s.Entered)
 	}
-	leads := s.Role == member.RolePrimary && s.Entered == w.term && w.term != 0
+	isPrimary := s.Role == member.RolePrimary && s.Entered == w.term && w.term != 0
 	switch {
-	case leads && w.primary == "":
+	case isPrimary && w.primary == "":
 		w.log.Info("Primary found.", "group", w.group, "term", w.term, "member", p.view.Address)
 		w.primary, w.termStart = p.view.Address, s.TermStart
 		w.notify()
-	case !leads && w.primary == p.view.Address:
+	case !isPrimary && w.primary == p.view.Address:
 		w.primary = ""
 		w.notify()
 	}
@@ -146,8 +146,8 @@
 	w.logStall(s.StalledSince)
 }
 
-// confirmedAt is the latest time at or after which enough replicas for a confirmation were
-// queried and reported themselves attached in the term.
+// confirmedAt is the latest time for which enough replicas for a confirmation, when queried
+// at that time or later, reported themselves attached in the term.
 func (w *Watcher) confirmedAt() time.Time {
 	if w.quorum.requiredReplicas() == 0 {
 		if p := w.find(w.primary); p != nil {
--- a/internal/group/observe_test.go
+++ b/internal/group/observe_test.go
@@ -102,7 +102,7 @@
 
 // Two connections deliver a member's reports out of order. The view must not revert to the
 // older one.
-func TestOlderReportDoesNotTakeTheViewBack(t *testing.T) {
+func TestOlderReportDoesNotReplaceANewerOne(t *testing.T) {
 	is := is.New(t)
 	w := newPassiveWatcher("p", "r", "q")
 	early := w.Ask()
--- a/internal/group/poller.go
+++ b/internal/group/poller.go
@@ -138,11 +138,11 @@
 		return context.WithTimeout(ctx, timeout)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	latest := t.at.Add(busyFactor * timeout)
+	deadline := t.at.Add(busyFactor * timeout)
 	var expire func()
 	expire = func() {
 		now := p.w.clock.Now()
-		if p.answeredSince(now.Add(-timeout)) && now.Before(latest) && ctx.Err() == nil {
+		if p.answeredSince(now.Add(-timeout)) && now.Before(deadline) && ctx.Err() == nil {
 			p.w.clock.AfterFunc(timeout, expire)
 			return
 		}
@@ -253,7 +253,7 @@
 }
 
 // errConnectionLate is returned if a connection was established after the query's timeout.
-var errConnectionLate = errors.New("the connection came late")
+var errConnectionLate = errors.New("connection was established after the query timed out")
 
 // setStatus makes s the member's newest report.
 func (p *poller) setStatus(t Ticket, s member.Status) {
--- a/internal/group/polling_test.go
+++ b/internal/group/polling_test.go
@@ -186,7 +186,7 @@
 // One replica is unreachable and the other one receives nothing. Writes would be sent and
 // never confirmed. The unreachable replica must not count as making progress: otherwise
 // each write would end with an unknown outcome after its full timeout.
-func TestReplicaOutOfReachDoesNotHideAStall(t *testing.T) {
+func TestUnreachableReplicaDoesNotHideAStall(t *testing.T) {
 	withSparsePolling(t, func(w *Watcher, members countingMembers) {
 		is := is.New(t)
 		members["q"].mu.Lock()
@@ -311,7 +311,7 @@
 
 // A commit is confirmed by a log position from the answer to a read. A verification is
 // not: the replica may have been fenced since.
-func TestAnswersConfirmCommitsAndVerifyNothing(t *testing.T) {
+func TestStatementAnswersConfirmOnlyCommits(t *testing.T) {
 	withSparsePolling(t, func(w *Watcher, members countingMembers) {
 		is := is.New(t)
 		for _, m := range members {
--- a/internal/group/protocol_model_test.go
+++ b/internal/group/protocol_model_test.go
@@ -9,7 +9,7 @@
 
 // modelWalks is the number of random walks, modelSeed the seed of the first one.
 var (
-	modelWalks = flag.Uint64("model.walks", defaultModelWalks, "random walks through the protocol")
+	modelWalks = flag.Uint64("model.walks", defaultModelWalks, "number of random walks through the protocol")
 	modelSeed  = flag.Uint64("model.seed", 0, "seed of the first walk")
 )
 
@@ -83,7 +83,7 @@
 )
 
 // Random walks through the protocol violate none of its invariants.
-func TestModelKeepsWhatWasConfirmed(t *testing.T) {
+func TestModelKeepsConfirmedWrites(t *testing.T) {
 	start := time.Now()
 	confirmed, terms := 0, 0
 	for n := range *modelWalks {
@@ -108,7 +108,7 @@
 
 // With one safeguard disabled, some walk violates an invariant, so the model covers the
 // failure that the safeguard prevents.
-func TestModelNoticesEachMissingSafeguard(t *testing.T) {
+func TestModelDetectsEachDisabledSafeguard(t *testing.T) {
 	// The values are seeds shortly before a violating walk, to shorten the search.
 	for f, first := range map[fault]uint64{
 		faultFenceTooSmall: 0, faultOldPrimaryNotHeld: 23000, faultUnfenced: 0, faultLateOrder: 15000, faultOldReport: 0,
@@ -124,7 +124,7 @@
 					return
 				}
 			}
-			t.Error("no walk breaks anything")
+			t.Error("no walk violates an invariant")
 		})
 	}
 }
--- a/internal/group/protocol_sim_checks_test.go
+++ b/internal/group/protocol_sim_checks_test.go
@@ -51,7 +51,7 @@
 	}
 	for _, m := range x.members {
 		if m.address == i.w.Snapshot().Primary {
-			x.checks = append(x.checks, &simCheck{primary: m, term: v.Term, current: x.leader == m, waiter: v.x})
+			x.checks = append(x.checks, &simCheck{primary: m, term: v.Term, current: x.leader == m, waiter: v.waiter})
 			x.logStep("%s verifies %s", i.name, m.address)
 		}
 	}
@@ -81,7 +81,7 @@
 		// A write that a replaced primary accepted is confirmed only if a later primary
 		// has it.
 		if !holds(x.leader, w.entry) {
-			x.fail("write %d of %s is confirmed and %s, which leads, does not have it", w.entry.number, w.at.address, x.leader.address)
+			x.fail("write %d of %s is confirmed and the primary %s does not have it", w.entry.number, w.at.address, x.leader.address)
 		}
 	}
 	for _, c := range x.checks {
--- a/internal/group/protocol_sim_claims_test.go
+++ b/internal/group/protocol_sim_claims_test.go
@@ -51,8 +51,8 @@
 	x.logStep("%s is fenced for term %d, log %d", m.address, c.term, len(m.log))
 }
 
-// choosePromoted orders the promotion of the fenced member with the longest log.
-func (x *sim) choosePromoted() {
+// orderPromotion orders the promotion of the fenced member with the longest log.
+func (x *sim) orderPromotion() {
 	c := x.claim
 	if c == nil || c.ended || c.target != nil || len(c.fenced) == 0 {
 		return
@@ -78,10 +78,10 @@
 		}
 	}
 	x.promotionOrders = append(x.promotionOrders, c.target)
-	x.logStep("%s is to lead, of %d fenced", c.target.address, len(c.fenced))
+	x.logStep("promotion of %s is ordered, %d fenced", c.target.address, len(c.fenced))
 }
 
-// withoutLeaving returns the view without leaving members.
+// withoutLeaving returns the view without the members that leave.
 func withoutLeaving(s Snapshot) Snapshot {
 	var kept []MemberView
 	for _, m := range s.Members {
@@ -113,7 +113,7 @@
 	x.term++
 	x.leader = m
 	m.primary, m.source, m.term, m.heldFor = true, nil, x.term, 0
-	x.logStep("%s leads term %d with %d records", m.address, x.term, len(m.log))
+	x.logStep("%s becomes primary in term %d with %d records", m.address, x.term, len(m.log))
 	for _, w := range x.writes {
 		if w.confirmed && !holds(m, w.entry) {
 			x.fail("write %d was confirmed and %s does not have it", w.entry.number, m.address)
@@ -131,5 +131,5 @@
 	if x.fault != faultLateOrder {
 		x.promotionOrders = nil
 	}
-	x.logStep("the claim's time is over")
+	x.logStep("the claim expires")
 }
--- a/internal/group/protocol_sim_floors_test.go
+++ b/internal/group/protocol_sim_floors_test.go
@@ -95,7 +95,7 @@
 		f.mark = f.highestReported
 	}
 	if f.proven {
-		x.logStep("%s reads from %v on", f.by.name, f.mark)
+		x.logStep("%s gets the floor %v", f.by.name, f.mark)
 	}
 }
 
@@ -111,7 +111,7 @@
 func (x *sim) checkFloor(f *simFloor, m *simMember) {
 	for _, e := range f.covered {
 		if !holds(m, e) {
-			x.fail("%s reads from %v on at %s, which lacks write %d", f.by.name, f.mark, m.address, e.number)
+			x.fail("%s reads with the floor %v at %s, which lacks write %d", f.by.name, f.mark, m.address, e.number)
 		}
 	}
 }
--- a/internal/group/protocol_sim_members_test.go
+++ b/internal/group/protocol_sim_members_test.go
@@ -74,7 +74,7 @@
 		return
 	}
 	m.log = append(m.log, s.log[len(m.log)])
-	x.logStep("%s receives %d of %s", m.address, m.log[len(m.log)-1].number, s.address)
+	x.logStep("%s receives %d from %s", m.address, m.log[len(m.log)-1].number, s.address)
 }
 
 // query sends a query, or a caller's read, to a member. The member answers immediately,
@@ -89,7 +89,7 @@
 		r.observation = &Observation{Log: m.mark()}
 	}
 	i.reports = append(i.reports, r)
-	x.logStep("%s asks %s: %+v", i.name, m.address, r.status)
+	x.logStep("%s queries %s: %+v", i.name, m.address, r.status)
 }
 
 func holds(m *simMember, e entry) bool {
@@ -117,7 +117,7 @@
 		common++
 	}
 	m.log = m.log[:common:common]
-	x.logStep("%s hears of term %d and keeps %d records", m.address, x.term, common)
+	x.logStep("%s learns of term %d and keeps %d records", m.address, x.term, common)
 }
 
 func (x *sim) stopMember(m *simMember) {
@@ -171,13 +171,13 @@
 	case len(x.members) == 3:
 		m := x.addMember(old.domain)
 		m.term, m.source = x.leader.term, x.leader
-		x.logStep("%s comes beside %s", m.address, old.address)
+		x.logStep("%s joins as the successor of %s", m.address, old.address)
 	case !old.leaving:
 		old.leaving = true
-		x.logStep("%s leaves", old.address)
+		x.logStep("%s is listed as leaving", old.address)
 	case !old.gone && old != x.leader && x.caughtUp(old):
 		old.gone, old.up = true, false
-		x.logStep("%s is gone", old.address)
+		x.logStep("%s is removed", old.address)
 	}
 }
 
--- a/internal/group/protocol_sim_test.go
+++ b/internal/group/protocol_sim_test.go
@@ -107,7 +107,7 @@
 	case 0, 1, 2:
 		x.fence(m)
 	case 3:
-		x.choosePromoted()
+		x.orderPromotion()
 	case 4:
 		x.promote()
 	case 5:
@@ -168,7 +168,7 @@
 	r := i.reports[k]
 	i.reports = append(i.reports[:k], i.reports[k+1:]...)
 	x.recordHighestReport(i, r)
-	x.logStep("%s hears of %s", i.name, r.address)
+	x.logStep("%s receives the answer of %s", i.name, r.address)
 	if x.fault == faultOldReport {
 		r.ticket = i.w.Ask()
 	}
--- a/internal/group/quorum.go
+++ b/internal/group/quorum.go
@@ -107,12 +107,12 @@
 		members[i] = quorumMember{bit: p.bit(), failureDomain: p.view.FailureDomain, leaving: p.view.Leaving}
 	}
 	w.quorum = newQuorum(members, w.minSize)
-	for x := range w.waiters {
+	for wt := range w.waiters {
 		switch {
-		case x.hasMark && w.confirmedBy(x.holders):
-			w.completeWaiter(x, nil)
-		case x.floor:
-			w.completeFloor(x)
+		case wt.hasMark && w.confirmedBy(wt.holders):
+			w.completeWaiter(wt, nil)
+		case wt.floor:
+			w.completeFloor(wt)
 		}
 	}
 }
--- a/internal/group/quorum_test.go
+++ b/internal/group/quorum_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// memberList is a group as one instance may see it: members with bits, in failure domains.
+// memberList is a group's members as one instance may see them.
 type memberList []quorumMember
 
 // majorityOnly removes the rule for replacements from a quorum.
@@ -102,16 +102,16 @@
 		q := newQuorum(v, 3)
 		for j, u := range views[:i+1] {
 			r := newQuorum(u, 3)
-			if v.meets(u, majorityOnly(q), majorityOnly(r), members) && !v.meets(u, q, r, members) {
-				t.Errorf("%s: views %d %+v and %d %+v: two sets share nobody", name, i, v, j, u)
+			if v.intersects(u, majorityOnly(q), majorityOnly(r), members) && !v.intersects(u, q, r, members) {
+				t.Errorf("%s: views %d %+v and %d %+v: two quorums share no member", name, i, v, j, u)
 			}
 		}
 	}
 }
 
-// meets reports whether every set that is a quorum under q, among the members of v,
+// intersects reports whether every set that is a quorum under q, among the members of v,
 // intersects every set that is a quorum under r, among those of u. Bits are below n.
-func (v memberList) meets(u memberList, q, r quorum, n int) bool {
+func (v memberList) intersects(u memberList, q, r quorum, n int) bool {
 	var first, second []uint64
 	for set := uint64(0); set < 1<<n; set++ {
 		if v.listedOnly(set) == set && q.satisfiedBy(set) {
@@ -142,7 +142,7 @@
 		for set := uint64(0); set < 1<<4; set++ {
 			q := newQuorum(seats, 3)
 			if q.satisfiedBy(set) != majorityOnly(q).satisfiedBy(set) {
-				t.Errorf("member %d leaves: %b", leaving, set)
+				t.Errorf("member %d leaves: set %b is judged differently", leaving, set)
 			}
 		}
 	}
--- a/internal/group/responsetimes.go
+++ b/internal/group/responsetimes.go
@@ -23,19 +23,19 @@
 }
 
 // record adds the response time of a successful query.
-func (l *responseTimes) record(duration time.Duration) {
-	l.last[l.next] = duration
-	l.next = (l.next + 1) % responseTimeCount
-	l.seen = true
+func (r *responseTimes) record(duration time.Duration) {
+	r.last[r.next] = duration
+	r.next = (r.next + 1) % responseTimeCount
+	r.seen = true
 }
 
 // timeout returns the timeout of the next query, which is at least minimum.
-func (l *responseTimes) timeout(minimum time.Duration) time.Duration {
-	if !l.seen {
+func (r *responseTimes) timeout(minimum time.Duration) time.Duration {
+	if !r.seen {
 		return initialTimeoutFactor * minimum
 	}
 	slowest := time.Duration(0)
-	for _, d := range l.last {
+	for _, d := range r.last {
 		slowest = max(slowest, d)
 	}
 	return min(max(minimum, timeoutFactor*slowest), maxTimeoutFactor*minimum)
@@ -43,9 +43,9 @@
 
 // fastest returns the shortest of the recent response times: the latency to the member
 // without the effect of momentary load.
-func (l *responseTimes) fastest() time.Duration {
-	fastest := l.last[0]
-	for _, d := range l.last {
+func (r *responseTimes) fastest() time.Duration {
+	fastest := r.last[0]
+	for _, d := range r.last {
 		if d > 0 && (fastest == 0 || d < fastest) {
 			fastest = d
 		}
--- a/internal/group/schedule.go
+++ b/internal/group/schedule.go
@@ -50,7 +50,7 @@
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	if p.control == nil {
-		return query{delay: p.untilNext(p.probeInterval()), timeout: p.probeTimeout()}
+		return query{delay: p.untilNextQuery(p.probeInterval()), timeout: p.probeTimeout()}
 	}
 	if p.view.Address == p.w.primary {
 		return p.nextPrimaryQuery()
@@ -81,18 +81,18 @@
 		q.timeout = p.w.intervals.Wait
 		q.delay = p.w.hedgeDelay(p)
 	case q.wanted:
-		q.delay = max(p.untilNext(p.missInterval()), p.w.hedgeDelay(p))
+		q.delay = max(p.untilNextQuery(p.missInterval()), p.w.hedgeDelay(p))
 	case p.w.writesImpossible():
-		q.delay = p.untilNext(max(p.w.intervals.FastPoll, p.w.searchInterval()))
+		q.delay = p.untilNextQuery(max(p.w.intervals.FastPoll, p.w.searchInterval()))
 	case !p.stalledAt.IsZero():
 		// A stall blocks writes and eventually counts against the primary. Without polls
 		// it would outlast its cause.
-		q.delay = p.untilNext(min(p.w.intervals.ReplicaPoll, stalledPoll))
+		q.delay = p.untilNextQuery(min(p.w.intervals.ReplicaPoll, stalledPoll))
 	default:
 		q.delay = p.untilNextPoll(p.w.intervals.ReplicaPoll)
 	}
 	if p.w.floorNeedsReport(p) {
-		q.delay = min(q.delay, p.untilNext(max(p.w.intervals.FastPoll, floorPoll)))
+		q.delay = min(q.delay, p.untilNextQuery(max(p.w.intervals.FastPoll, floorPoll)))
 	}
 	return q
 }
@@ -110,14 +110,14 @@
 	if w.intervals.Spread == 0 {
 		return 0
 	}
-	rest := time.Duration(0)
+	remaining := time.Duration(0)
 	if p.misses > 0 {
-		rest = p.untilNext(p.missInterval())
+		remaining = p.untilNextQuery(p.missInterval())
 	}
 	if w.bestReplica() == p {
-		return rest
+		return remaining
 	}
-	return max(rest, w.intervals.Spread-w.clock.Now().Sub(w.wantedSince(p)))
+	return max(remaining, w.intervals.Spread-w.clock.Now().Sub(w.wantedSince(p)))
 }
 
 // bestReplica returns the replica that is queried first; nil if none is reachable.
@@ -134,11 +134,11 @@
 	return best
 }
 
-func (p *poller) preferredTo(o *poller) bool {
-	if p.misses != o.misses {
-		return p.misses < o.misses
+func (p *poller) preferredTo(other *poller) bool {
+	if p.misses != other.misses {
+		return p.misses < other.misses
 	}
-	return p.responseTimes.fastest() < o.responseTimes.fastest()
+	return p.responseTimes.fastest() < other.responseTimes.fastest()
 }
 
 // probeInterval is the time between two probes on new connections. The first probe starts
@@ -151,8 +151,8 @@
 	case p.view.Failures == 0:
 		return 0
 	}
-	outage := p.w.clock.Now().Sub(p.view.Failing) / 8
-	return max(i.Probe, p.jitter(min(i.Away, outage)))
+	backoff := p.w.clock.Now().Sub(p.view.Failing) / 8
+	return max(i.Probe, p.jitter(min(i.Away, backoff)))
 }
 
 // probeTimeout is the timeout of a probe on a new connection. It doubles after every few
@@ -173,8 +173,8 @@
 	return p.jitter(interval) - p.w.clock.Now().Sub(last)
 }
 
-// untilNext is the time left of an interval that began at the last query.
-func (p *poller) untilNext(interval time.Duration) time.Duration {
+// untilNextQuery is the time left of an interval that began at the last query.
+func (p *poller) untilNextQuery(interval time.Duration) time.Duration {
 	return interval - p.w.clock.Now().Sub(p.askedAt)
 }
 
--- a/internal/group/snapshot.go
+++ b/internal/group/snapshot.go
@@ -41,9 +41,9 @@
 	// Led is the highest term in which a member reported itself as primary. It is below
 	// Term while members are fenced for a promotion.
 	Led logpos.Term
-	// ConfirmedAt is the latest request time by which enough replicas for a confirmation
-	// reported themselves attached in Term; writes are refused before sending when it is
-	// old.
+	// ConfirmedAt is the latest time for which enough replicas for a confirmation, when
+	// queried at that time or later, reported themselves attached in Term. Writes are
+	// refused before sending when it is old.
 	ConfirmedAt time.Time
 	// StalledSince is the time since which too few replicas for a confirmation have made
 	// progress although the primary is ahead of them; zero while enough do. A primary that
--- a/internal/group/stall.go
+++ b/internal/group/stall.go
@@ -18,9 +18,9 @@
 		w.head = max(w.head, s.Last.Position)
 		return
 	}
-	grows := s.Last.Position > p.highestPosition || s.Last.Position >= w.head
+	progressed := s.Last.Position > p.highestPosition || s.Last.Position >= w.head
 	switch {
-	case attached(s, w.term) && grows:
+	case attached(s, w.term) && progressed:
 		p.highestPosition, p.stalledAt = s.Last.Position, time.Time{}
 	case p.stalledAt.IsZero():
 		p.stalledAt = t.at
@@ -86,11 +86,11 @@
 
 // describeMembers formats the last report of each member.
 func (w *Watcher) describeMembers() []string {
-	all := make([]string, 0, len(w.pollers))
+	descriptions := make([]string, 0, len(w.pollers))
 	for _, p := range w.pollers {
 		s := p.view.Status
-		all = append(all, fmt.Sprintf("%s %s entered %d attached %d log %d.%d age %s failures %d",
+		descriptions = append(descriptions, fmt.Sprintf("%s %s entered %d attached %d log %d.%d age %s failures %d",
 			p.view.Address, s.Role, s.Entered, s.Attached, s.Last.Term, s.Last.Position, w.clock.Now().Sub(p.view.SeenAt), p.view.Failures))
 	}
-	return all
+	return descriptions
 }
--- a/internal/group/verify.go
+++ b/internal/group/verify.go
@@ -11,8 +11,8 @@
 // Verification began. It completes by itself; a caller that does not Wait for it must Drop
 // it.
 type Verification struct {
-	w *Watcher
-	x *waiter
+	watcher *Watcher
+	waiter  *waiter
 	// Term is the term that is verified.
 	Term logpos.Term
 }
@@ -24,10 +24,10 @@
 	if w.primary == "" {
 		return nil, result.New(result.NoPrimary, "group %s", w.group)
 	}
-	v := &Verification{w: w, Term: w.term}
+	v := &Verification{watcher: w, Term: w.term}
 	if w.quorum.requiredReplicas() > 0 {
 		// Every replica holds position zero, so only the term matters.
-		v.x = w.addWaiter(logpos.Mark{Term: w.term}, true)
+		v.waiter = w.addWaiter(logpos.Mark{Term: w.term}, true)
 	}
 	return v, nil
 }
@@ -35,10 +35,10 @@
 // Wait returns nil once the proof is complete. Its errors are PrimaryReplaced, or
 // ConfirmTimeout when ctx ends first.
 func (v *Verification) Wait(ctx context.Context) error {
-	if v.x == nil {
+	if v.waiter == nil {
 		return nil
 	}
-	err, ended := v.w.awaitWaiter(ctx, v.x)
+	err, ended := v.watcher.awaitWaiter(ctx, v.waiter)
 	if !ended {
 		return result.New(result.ConfirmTimeout, "term %d was not verified", v.Term).WithCause(ctx.Err())
 	}
@@ -47,7 +47,7 @@
 
 // Drop cancels a verification that is no longer needed.
 func (v *Verification) Drop() {
-	if v != nil && v.x != nil {
-		v.w.removeWaiter(v.x)
+	if v != nil && v.waiter != nil {
+		v.watcher.removeWaiter(v.waiter)
 	}
 }
--- a/internal/group/waiter.go
+++ b/internal/group/waiter.go
@@ -12,7 +12,8 @@
 // waiter is a Confirm, Barrier, Floor or Verification in progress.
 type waiter struct {
 	ticket Ticket
-	// hasMark is false for a barrier until the primary has reported its position.
+	// hasMark is false for a barrier or a floor until the primary has reported its
+	// position.
 	hasMark bool
 	mark    logpos.Mark
 	// holders has one bit for each member that counts, by index.
@@ -31,62 +32,62 @@
 
 // addWaiter adds a waiter that counts reports requested from now on.
 func (w *Watcher) addWaiter(mark logpos.Mark, hasMark bool) *waiter {
-	x := &waiter{ticket: w.newTicket(), mark: mark, hasMark: hasMark, done: make(chan struct{})}
-	w.waiters[x] = struct{}{}
+	wt := &waiter{ticket: w.newTicket(), mark: mark, hasMark: hasMark, done: make(chan struct{})}
+	w.waiters[wt] = struct{}{}
 	for _, p := range w.pollers {
 		p.wake()
 	}
-	return x
+	return wt
 }
 
 // removeWaiter removes a waiter whose caller has stopped waiting.
-func (w *Watcher) removeWaiter(x *waiter) {
+func (w *Watcher) removeWaiter(wt *waiter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.waiters, x)
+	delete(w.waiters, wt)
 }
 
 // completeWaiter ends a waiter with its result.
-func (w *Watcher) completeWaiter(x *waiter, err error) {
-	delete(w.waiters, x)
-	x.err = err
-	close(x.done)
+func (w *Watcher) completeWaiter(wt *waiter, err error) {
+	delete(w.waiters, wt)
+	wt.err = err
+	close(wt.done)
 }
 
-// awaitWaiter waits for x to end. The second result is false if ctx ended first.
-func (w *Watcher) awaitWaiter(ctx context.Context, x *waiter) (error, bool) {
+// awaitWaiter waits for wt to end. The second result is false if ctx ended first.
+func (w *Watcher) awaitWaiter(ctx context.Context, wt *waiter) (error, bool) {
 	select {
-	case <-x.done:
-		return x.err, true
+	case <-wt.done:
+		return wt.err, true
 	case <-ctx.Done():
-		w.removeWaiter(x)
+		w.removeWaiter(wt)
 		return nil, false
 	}
 }
 
-// countStatus counts a report for every waiter that existed before it was requested.
-func (w *Watcher) countStatus(p *poller, t Ticket, s member.Status) {
-	for x := range w.waiters {
-		if !t.After(x.ticket) {
+// countReport counts a report for every waiter that existed before it was requested.
+func (w *Watcher) countReport(p *poller, t Ticket, s member.Status) {
+	for wt := range w.waiters {
+		if !t.After(wt.ticket) {
 			continue
 		}
-		w.setBarrierMark(x, s)
-		if x.hasMark && attached(s, x.mark.Term) && s.Last.Position >= x.mark.Position {
-			x.holders |= p.bit()
+		w.setBarrierMark(wt, s)
+		if wt.hasMark && attached(s, wt.mark.Term) && s.Last.Position >= wt.mark.Position {
+			wt.holders |= p.bit()
 		}
-		if x.hasMark && w.confirmedBy(x.holders) {
-			w.completeWaiter(x, nil)
+		if wt.hasMark && w.confirmedBy(wt.holders) {
+			w.completeWaiter(wt, nil)
 		}
-		if x.floor && !x.ended() {
-			w.countFloorReport(x, p, s.Last)
+		if wt.floor && !wt.ended() {
+			w.countFloorReport(wt, p, s.Last)
 		}
 	}
 }
 
 // ended reports whether the waiter has its result.
-func (x *waiter) ended() bool {
+func (wt *waiter) ended() bool {
 	select {
-	case <-x.done:
+	case <-wt.done:
 		return true
 	default:
 		return false
@@ -96,13 +97,13 @@
 // countLogPosition counts a replica's log position for every waiter whose commit the log
 // holds.
 func (w *Watcher) countLogPosition(p *poller, log logpos.Mark) {
-	for x := range w.waiters {
-		if !x.commit || x.mark.Term != log.Term || x.mark.Position > log.Position {
+	for wt := range w.waiters {
+		if !wt.commit || wt.mark.Term != log.Term || wt.mark.Position > log.Position {
 			continue
 		}
-		x.holders |= p.bit()
-		if w.confirmedBy(x.holders) {
-			w.completeWaiter(x, nil)
+		wt.holders |= p.bit()
+		if w.confirmedBy(wt.holders) {
+			w.completeWaiter(wt, nil)
 		}
 	}
 }
@@ -111,21 +112,21 @@
 // satisfied; now if there is none.
 func (w *Watcher) wantedSince(p *poller) time.Time {
 	since := w.clock.Now()
-	for x := range w.waiters {
-		if x.hasMark && x.holders&p.bit() == 0 && x.ticket.at.Before(since) {
-			since = x.ticket.at
+	for wt := range w.waiters {
+		if wt.hasMark && wt.holders&p.bit() == 0 && wt.ticket.at.Before(since) {
+			since = wt.ticket.at
 		}
 	}
 	return since
 }
 
 // setBarrierMark sets a barrier's mark from a report of the primary.
-func (w *Watcher) setBarrierMark(x *waiter, s member.Status) {
-	if x.hasMark || s.Role != member.RolePrimary || s.Entered != w.term {
+func (w *Watcher) setBarrierMark(wt *waiter, s member.Status) {
+	if wt.hasMark || s.Role != member.RolePrimary || s.Entered != w.term {
 		return
 	}
-	x.hasMark = true
-	x.mark = logpos.Mark{Term: s.Entered, Position: s.Last.Position}
+	wt.hasMark = true
+	wt.mark = logpos.Mark{Term: s.Entered, Position: s.Last.Position}
 	for _, p := range w.pollers {
 		p.wake()
 	}
@@ -134,13 +135,13 @@
 // failOlderTerms fails every waiter whose mark is of a term below the given one. A waiter
 // for a floor continues without its mark, since reports of a majority can still end it.
 func (w *Watcher) failOlderTerms(term logpos.Term) {
-	for x := range w.waiters {
+	for wt := range w.waiters {
 		switch {
-		case !x.hasMark || x.mark.Term >= term:
-		case x.floor:
-			x.hasMark, x.mark, x.holders = false, logpos.Mark{}, 0
+		case !wt.hasMark || wt.mark.Term >= term:
+		case wt.floor:
+			wt.hasMark, wt.mark, wt.holders = false, logpos.Mark{}, 0
 		default:
-			w.completeWaiter(x, result.New(result.PrimaryReplaced, "term %d was replaced by %d", x.mark.Term, term))
+			w.completeWaiter(wt, result.New(result.PrimaryReplaced, "term %d was replaced by %d", wt.mark.Term, term))
 		}
 	}
 }
@@ -149,21 +150,22 @@
 func (w *Watcher) wantedPosition(p *poller) (logpos.Position, bool) {
 	var lowest logpos.Position
 	found := false
-	for x := range w.waiters {
-		if !x.hasMark || x.holders&p.bit() != 0 {
+	for wt := range w.waiters {
+		if !wt.hasMark || wt.holders&p.bit() != 0 {
 			continue
 		}
-		if !found || x.mark.Position < lowest {
-			lowest, found = x.mark.Position, true
+		if !found || wt.mark.Position < lowest {
+			lowest, found = wt.mark.Position, true
 		}
 	}
 	return lowest, found
 }
 
-// barrierNeedsMark reports whether a barrier is waiting for the primary's position.
+// barrierNeedsMark reports whether a barrier or a floor is waiting for the primary's
+// position.
 func (w *Watcher) barrierNeedsMark() bool {
-	for x := range w.waiters {
-		if !x.hasMark {
+	for wt := range w.waiters {
+		if !wt.hasMark {
 			return true
 		}
 	}
--- a/internal/group/watcher_test.go
+++ b/internal/group/watcher_test.go
@@ -38,7 +38,7 @@
 // A write's confirmation takes one replication lag after its commit, not until the next
 // poll. Writes follow each other closely, so that each one joins while the wait for an
 // earlier one is in progress.
-func TestConfirmCostsOneLagAndNotAPollInterval(t *testing.T) {
+func TestConfirmTakesOneReplicationLag(t *testing.T) {
 	const writes = 200
 	for _, lag := range []time.Duration{0, 5 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond} {
 		withGroup(t, 3, func(x *fixture) {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestBarriersThatWaitTogetherShareARound(t *testing.T) {
+func TestConcurrentBarriersShareARound(t *testing.T) {
 	withGroup(t, 3, func(x *fixture) {
 		is := is.New(x.t)
 		want := x.write(0)
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestKilledMemberIsSeenFailingAndComesBack(t *testing.T) {
+func TestKilledMemberIsDetectedAndRecovers(t *testing.T) {
 	withGroup(t, 3, func(x *fixture) {
 		is := is.New(x.t)
 		x.nodes[0].Kill()
