--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// applyBound is how long an operator waits for a lost answer to be settled.
-	applyBound = 8 * time.Second
-	// applyPause is the time between two attempts to settle.
-	applyPause = 200 * time.Millisecond
-	// applyAttempts bounds the attempts of a change that keeps meeting other
-	// updates of the object.
-	applyAttempts = 64
+	// applyTimeout is how long an operator waits while the outcome of an update
+	// with a lost answer is determined.
+	applyTimeout = 8 * time.Second
+	// applyRetryInterval is the time between two attempts of Apply.
+	applyRetryInterval = 200 * time.Millisecond
+	// maxApplyAttempts limits the attempts of a change that repeatedly
+	// conflicts with other updates of the object.
+	maxApplyAttempts = 64
 )
 
-// attempt is one change on its way to the platform.
-type attempt struct {
+// applyAttempt is a change that is being stored on the platform.
+type applyAttempt struct {
 	name      string
 	text      string
 	change    Change
 	ifVersion int64
-	// lost says that an update was sent on object version sentOn and its answer
-	// did not come, so that it may still take effect.
-	lost   bool
-	sentOn int64
+	// inDoubt reports that the answer to an update conditional on object
+	// version sentAtVersion was lost, so that the update may still take effect.
+	inDoubt       bool
+	sentAtVersion int64
 }
 
-// Check parses a document as Apply would and stores nothing. Its error is a
-// *result.Error that wraps inifile.Problems.
+// Check validates a document as Apply does, without storing it. The error is a
+// *result.Error; it wraps inifile.Problems if the text is not valid.
 func (s *Store) Check(name, text string) error {
 	service, err := parse(name, text)
 	if err != nil {
@@ -50,14 +51,13 @@
 	return nil
 }
 
-// Apply stores a document's text if its version is ifVersion (0: there is
-// none), and says what became of the change. An error says that the change was
-// not tried because the text or the name is not valid.
-//
-// A lost answer is settled by the change's ID: the document is read again, and
-// while it is unchanged the same conditional update is sent once more, which
-// cannot take effect twice. What is not settled when ctx or the bound ends
-// goes on settling in the background.
+// Apply stores a document's text if the document's version is ifVersion (0: the
+// document does not exist), and returns the outcome of the change. An error
+// means that the change was not attempted because the text or the name is not
+// valid. After a lost answer the change is identified by its ID: the document
+// is read again, and while it is unchanged the same conditional update is sent
+// again, which cannot take effect twice. If the outcome is still unknown when
+// ctx ends or applyTimeout expires, it is determined in the background.
 func (s *Store) Apply(ctx context.Context, name, text string, ifVersion int64, by string) (Outcome, error) {
 	if _, err := (inifile.Name{}).Parse(name); err != nil {
 		return Outcome{}, result.New(result.BadAdminRequest, "document name %q", name).WithCause(err)
@@ -65,17 +65,17 @@
 	if err := s.Check(name, text); err != nil {
 		return Outcome{}, err
 	}
-	if !s.peersTried() {
-		// The platform may have lost versions that peers still hold.
-		s.repairOnce(ctx)
+	if !s.triedPeer() {
+		// The platform may have lost versions that peers still have.
+		s.repairWithRandomPeer(ctx)
 	}
-	a := &attempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
-	bounded, cancel := context.WithTimeout(ctx, applyBound)
+	a := &applyAttempt{name: name, text: text, ifVersion: ifVersion, change: s.newChange(ifVersion+1, by)}
+	applyCtx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	outcome := s.run(bounded, a)
+	outcome := s.applyUntilResolved(applyCtx, a)
 	outcome.ChangeID = a.change.ID
 	s.metrics.applies.WithLabelValues(string(outcome.State)).Inc()
-	s.log.Info("Change.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
+	s.log.Info("Change processed.", "service", name, "by", by, "outcome", outcome.State, "version", outcome.Version, "change", a.change.ID)
 	return outcome, nil
 }
 
@@ -86,73 +86,76 @@
 	return Change{Version: version, ID: id, By: by, At: s.options.Clock.Now().UTC().Truncate(time.Millisecond)}
 }
 
-// run tries until the outcome is proved, or until ctx ends or the attempts are
-// spent.
-func (s *Store) run(ctx context.Context, a *attempt) Outcome {
+// applyUntilResolved retries until the outcome is certain, ctx ends, or
+// maxApplyAttempts is reached.
+func (s *Store) applyUntilResolved(ctx context.Context, a *applyAttempt) Outcome {
 	var err error
-	for range applyAttempts {
+	for range maxApplyAttempts {
 		var outcome Outcome
 		var done bool
-		if outcome, done, err = s.try(ctx, a); done {
+		if outcome, done, err = s.applyOnce(ctx, a); done {
 			return outcome
 		}
-		if clock.Sleep(ctx, s.options.Clock, s.jittered(applyPause)) != nil {
+		if clock.Sleep(ctx, s.options.Clock, s.jittered(applyRetryInterval)) != nil {
 			break
 		}
 	}
-	if !a.lost {
+	if !a.inDoubt {
 		return Outcome{State: NoEffect, Detail: fmt.Sprint(err)}
 	}
-	s.settleLater(a)
+	s.queuePending(a)
 	return Outcome{State: Settling, Detail: fmt.Sprint(err)}
 }
 
-// try reads the document and, where the outcome is still open, sends the
-// update once. done is false when it must be tried again.
-func (s *Store) try(ctx context.Context, a *attempt) (o Outcome, done bool, err error) {
+// applyOnce reads the document and, unless the outcome can already be
+// determined from it, sends the update once. done is false if another attempt
+// is needed.
+func (s *Store) applyOnce(ctx context.Context, a *applyAttempt) (o Outcome, done bool, err error) {
 	b, err := s.readBase(ctx, a.name)
 	if err != nil {
-		return Outcome{State: NoEffect, Detail: err.Error()}, !a.lost, err
+		return Outcome{State: NoEffect, Detail: err.Error()}, !a.inDoubt, err
 	}
-	if outcome, settled := s.verdict(a, b); settled {
+	if outcome, settled := s.resolveOutcome(a, b); settled {
 		return outcome, true, nil
 	}
-	// The object has moved on without the change: an update sent on its older
-	// version can no longer take effect.
-	if a.lost && b.object != a.sentOn {
-		a.lost = false
+	// The object changed without including this change: an update conditional
+	// on its older version can no longer take effect.
+	if a.inDoubt && b.objectVersion != a.sentAtVersion {
+		a.inDoubt = false
 	}
-	next := b.next(a.change, a.text)
-	err = s.putEnvelope(ctx, a.name, next, b.object)
+	next := b.withChange(a.change, a.text)
+	err = s.putEnvelope(ctx, a.name, next, b.objectVersion)
 	switch {
 	case err == nil:
-		s.adopt(a.name, next, FromApply)
+		s.adoptVersion(a.name, next, FromApply)
 		return Outcome{State: Accepted, Version: next.Version, By: next.By}, true, nil
 	case errors.Is(err, platform.ErrConflict):
 		return Outcome{}, false, err
 	case errors.Is(err, platform.ErrUnavailable), errors.Is(err, errValueTooLarge):
-		return Outcome{State: NoEffect, Detail: err.Error()}, !a.lost, err
+		return Outcome{State: NoEffect, Detail: err.Error()}, !a.inDoubt, err
 	default:
-		a.lost, a.sentOn = true, b.object
+		a.inDoubt, a.sentAtVersion = true, b.objectVersion
 		return Outcome{}, false, err
 	}
 }
 
-// verdict tells what became of a change from the document as it stands. It is
-// not settled while the version that the change was made from still stands.
-func (s *Store) verdict(a *attempt, b base) (Outcome, bool) {
+// resolveOutcome determines the outcome of a change from the stored document.
+// The result is false while the document still has the version that the change
+// is based on, or if the change is in doubt and the history does not contain
+// its version.
+func (s *Store) resolveOutcome(a *applyAttempt, b baseDocument) (Outcome, bool) {
 	if b.Version == a.ifVersion {
 		return Outcome{}, false
 	}
-	maker, known := b.find(a.change.Version)
+	stored, known := b.findChange(a.change.Version)
 	switch {
-	case known && maker.ID == a.change.ID:
-		s.adopt(a.name, b.Envelope, FromPlatform)
-		return Outcome{State: Accepted, Version: maker.Version, By: maker.By}, true
-	case known || !a.lost:
+	case known && stored.ID == a.change.ID:
+		s.adoptVersion(a.name, b.Envelope, FromPlatform)
+		return Outcome{State: Accepted, Version: stored.Version, By: stored.By}, true
+	case known || !a.inDoubt:
 		return Outcome{State: NotAccepted, Version: b.Version, By: b.By}, true
 	default:
-		// The history does not reach back to the change's version.
+		// The history does not go back to the change's version.
 		return Outcome{}, false
 	}
 }
--- a/internal/config/handlers.go
+++ b/internal/config/handlers.go
@@ -7,15 +7,15 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// register adds the store's handlers.
-func (s *Store) register() {
+// registerHandlers registers the handlers of calls from peers.
+func (s *Store) registerHandlers() {
 	r := s.options.Registry
 	r.Handle(methodPush, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
 		p, err := decodeParams[pushParams](raw)
 		if err != nil {
 			return nil, err
 		}
-		s.receive(p.Documents, FromPush)
+		s.adoptDocuments(p.Documents, FromPush)
 		return pushReply{}, nil
 	})
 	r.Handle(methodDigest, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
@@ -23,14 +23,14 @@
 		if err != nil {
 			return nil, err
 		}
-		return s.answerDigest(p), nil
+		return s.handleDigest(p), nil
 	})
 	r.Handle(methodCompare, func(_ context.Context, _ string, raw json.RawMessage) (any, error) {
 		p, err := decodeParams[compareParams](raw)
 		if err != nil {
 			return nil, err
 		}
-		return s.answerCompare(p), nil
+		return s.handleCompare(p), nil
 	})
 	r.Handle(methodVersions, func(context.Context, string, json.RawMessage) (any, error) {
 		return s.Versions(), nil
@@ -45,54 +45,56 @@
 	return p, nil
 }
 
-// receive adopts documents that a peer sent.
-func (s *Store) receive(list []wireDocument, from Source) {
+// adoptDocuments adopts documents that a peer sent.
+func (s *Store) adoptDocuments(list []wireDocument, from Source) {
 	for _, d := range list {
 		if d.Envelope.Version > 0 {
-			s.adopt(d.Name, d.Envelope, from)
+			s.adoptVersion(d.Name, d.Envelope, from)
 		}
 	}
 }
 
-func (s *Store) answerDigest(p digestParams) digestReply {
+func (s *Store) handleDigest(p digestParams) digestReply {
 	s.mu.RLock()
-	own := s.table.sums
+	ours := s.table.sums
 	s.mu.RUnlock()
-	if own.root() == p.Root {
-		// A peer that has the same documents is as good as one that was asked.
-		s.noteContact(peerContact, s.checkInformed())
+	if ours.rootSum() == p.Root {
+		// An exchange initiated by a peer that has the same documents counts as
+		// a successful call to a peer.
+		s.recordCallResult(remotePeer, s.requireDocuments())
 		return digestReply{}
 	}
-	return digestReply{Sums: own[:]}
+	return digestReply{Sums: ours[:]}
 }
 
-// answerCompare returns what the caller lacks in the parts it asks about.
-func (s *Store) answerCompare(p compareParams) compareReply {
-	asked := make(map[int]bool, len(p.Buckets))
+// handleCompare returns the documents that the caller lacks in the buckets it
+// asks for, and the names of those that it has in a higher version.
+func (s *Store) handleCompare(p compareParams) compareReply {
+	requested := make(map[int]bool, len(p.Buckets))
 	for _, b := range p.Buckets {
-		asked[b] = true
+		requested[b] = true
 	}
 	var reply compareReply
 	var names []string
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for name, a := range s.table.documents {
-		if asked[bucketOf(name)] && a.Version > p.Versions[name] {
+		if requested[bucketOf(name)] && a.Version > p.Versions[name] {
 			names = append(names, name)
 		}
 	}
-	reply.Documents, reply.More = s.batch(names)
+	reply.Documents, reply.More = s.batchDocuments(names)
 	for name, version := range p.Versions {
-		if version > s.held(name) {
+		if version > s.knownVersion(name) {
 			reply.Wanted = append(reply.Wanted, name)
 		}
 	}
 	return reply
 }
 
-// batch returns documents by name up to the bound of one message. The caller
-// holds mu.
-func (s *Store) batch(names []string) (list []wireDocument, more bool) {
+// batchDocuments returns the named documents, up to the size limit of one
+// message. The caller must hold mu.
+func (s *Store) batchDocuments(names []string) (list []wireDocument, more bool) {
 	size := 0
 	for _, name := range names {
 		a, ok := s.table.documents[name]
@@ -107,9 +109,9 @@
 	return list, false
 }
 
-// held returns the highest version that this instance needs no copy of: the
-// one in force, or a higher one that did not pass its checks here. The caller
-// holds mu.
-func (s *Store) held(name string) int64 {
-	return max(s.table.documents[name].Version, s.refused[name].Version)
+// knownVersion returns the highest version that this instance does not need
+// from peers: the current one, or a higher one that was rejected here as
+// invalid. The caller must hold mu.
+func (s *Store) knownVersion(name string) int64 {
+	return max(s.table.documents[name].Version, s.rejected[name].Version)
 }
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is how many parts a digest is made of. With 5,000 documents a
-// part holds about 80 names, which keeps a comparison of one part small.
+// bucketCount is the number of buckets in a digest. With 5,000 documents a
+// bucket contains about 80 names, which keeps the comparison of one bucket
+// small.
 const bucketCount = 64
 
-// sums holds one sum for each part of the documents.
-type sums [bucketCount]uint64
+// bucketSums holds one checksum for each bucket of documents.
+type bucketSums [bucketCount]uint64
 
-// root returns one sum over all parts.
-func (s *sums) root() uint64 {
+// rootSum returns one checksum over all buckets.
+func (s *bucketSums) rootSum() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, sum := range s {
@@ -25,28 +26,28 @@
 	return d.Sum64()
 }
 
-// table holds the documents in force with what is derived from them.
-type table struct {
+// documentTable holds the current documents and data derived from them.
+type documentTable struct {
 	documents map[string]Applied
-	// owners maps a group to the names of the documents that declare it, in
-	// order. There is one unless two operators claimed a group at one moment;
-	// then the first name counts on every instance.
+	// owners maps a group to the sorted names of the documents that declare it.
+	// There is one unless two operators declared the same group concurrently;
+	// in that case the first name is the owner on every instance.
 	owners map[string][]string
-	sums   sums
+	sums   bucketSums
 }
 
-func newTable() table {
-	return table{documents: make(map[string]Applied), owners: make(map[string][]string)}
+func newTable() documentTable {
+	return documentTable{documents: make(map[string]Applied), owners: make(map[string][]string)}
 }
 
-// put replaces a document.
-func (t *table) put(a Applied) {
+// putDocument adds or replaces a document.
+func (t *documentTable) putDocument(a Applied) {
 	bucket := bucketOf(a.Name)
 	if old, ok := t.documents[a.Name]; ok {
-		t.sums[bucket] ^= sumOf(old)
-		t.disown(old)
+		t.sums[bucket] ^= documentSum(old)
+		t.removeOwner(old)
 	}
-	t.sums[bucket] ^= sumOf(a)
+	t.sums[bucket] ^= documentSum(a)
 	t.documents[a.Name] = a
 	for _, g := range a.Service.Groups {
 		i, _ := slices.BinarySearch(t.owners[g.Name], a.Name)
@@ -54,19 +55,19 @@
 	}
 }
 
-func (t *table) disown(a Applied) {
+func (t *documentTable) removeOwner(a Applied) {
 	for _, g := range a.Service.Groups {
-		left := slices.DeleteFunc(t.owners[g.Name], func(name string) bool { return name == a.Name })
-		if len(left) == 0 {
+		remaining := slices.DeleteFunc(t.owners[g.Name], func(name string) bool { return name == a.Name })
+		if len(remaining) == 0 {
 			delete(t.owners, g.Name)
 			continue
 		}
-		t.owners[g.Name] = left
+		t.owners[g.Name] = remaining
 	}
 }
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % bucketCount) }
 
-func sumOf(a Applied) uint64 {
+func documentSum(a Applied) uint64 {
 	return xxhash.Sum64String(a.Name + "\x00" + strconv.FormatInt(a.Version, 10) + "\x00" + a.ID)
 }
--- /dev/null
+++ b/internal/directory/membertable_test.go
@@ -0,0 +1,47 @@
+package directory
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/topazrock/topazrock/internal/platform"
+)
+
+// A member announces that it leaves and its entry is removed, while another member of the group
+// is lost. If the departed member still counted during the grace period, two of four members
+// would be left and nothing could be confirmed until the period ends. A member that did not
+// announce it, or whose entry is removed just after a platform outage, may still be running and
+// keeps the grace period.
+func TestMemberThatLeftCleanlyHasNoGracePeriod(t *testing.T) {
+	is := is.New(t)
+	start := time.Unix(1000, 0)
+	table := newMemberTable()
+	table.setPlatformReachable(true, start)
+	table.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 1)
+	table.update(platform.Upstream{ID: "lost", Address: "2"}, 2)
+	present := func(at time.Time) (addresses string) {
+		for _, u := range table.present(at) {
+			addresses += u.Address
+		}
+		return addresses
+	}
+	is.Equal(present(start), "12")
+
+	removedAt := start.Add(time.Minute)
+	table.markMissing("left", removedAt)
+	table.markMissing("lost", removedAt)
+	is.Equal(present(removedAt), "2")
+	is.Equal(present(removedAt.Add(missingGrace)), "2")
+	is.Equal(present(removedAt.Add(missingGrace+1)), "")
+
+	table.update(platform.Upstream{ID: "left", Address: "1", Leaving: true}, 3)
+	table.setPlatformReachable(false, removedAt)
+	reachableAgain := removedAt.Add(time.Minute)
+	table.setPlatformReachable(true, reachableAgain)
+	table.markMissing("left", reachableAgain.Add(missingGrace))
+	is.Equal(present(reachableAgain.Add(missingGrace)), "12")
+	table.setPlatformReachable(false, reachableAgain)
+	is.Equal(present(reachableAgain.Add(time.Hour)), "12")
+}
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -15,12 +15,12 @@
 )
 
 // after sleeps in virtual time.
-func after(d time.Duration) {
+func sleep(d time.Duration) {
 	_ = clock.Sleep(context.Background(), clock.System{}, d)
 }
 
-// fill opens n connections and returns them.
-func fill(t *testing.T, p *Limited, address string, n int) []wire.Conn {
+// acquireN acquires n connections and returns them.
+func acquireN(t *testing.T, p *Limited, address string, n int) []wire.Conn {
 	t.Helper()
 	var held []wire.Conn
 	for range n {
@@ -29,35 +29,34 @@
 	return held
 }
 
-// releaseAll gives connections back.
+// releaseAll releases connections.
 func releaseAll(p *Limited, held []wire.Conn) {
 	for _, c := range held {
 		p.Release(c)
 	}
 }
 
-func TestIdleConnectionMakesRoomForAnotherMember(t *testing.T) {
-	// The share is full of idle connections to the old primary when the new one
-	// takes over. One of them is closed, and the new one is opened only after
-	// the member let the old one go, so the members never hold more than the
-	// share allows.
+func TestIdleConnectionIsEvictedForAnotherMember(t *testing.T) {
+	// The share is used up by idle connections to the old primary when a new one takes
+	// over. One of them is closed, and the new connection is opened only after the member
+	// has confirmed that, so that the members never hold more than the share.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
 		p := members.newPool(2)
 		defer closePool(t, p)
-		releaseAll(p, fill(t, p, firstMember, 2))
+		releaseAll(p, acquireN(t, p, firstMember, 2))
 		began := time.Now()
 		c := acquire(t, p, secondMember)
 		is.Equal(time.Since(began), roundTrip+openLatency)
-		is.Equal(members.highest, 2)
+		is.Equal(members.maxTotal, 2)
 		p.Release(c)
 	})
 }
 
-func TestUnconfirmedCloseGoesOnCounting(t *testing.T) {
-	// A close is not confirmed by the member, which may still hold the
-	// connection. Its place is used again only after the hold.
+func TestUnconfirmedCloseCountsUntilTimeout(t *testing.T) {
+	// The member does not confirm a close and may still hold the connection. It must count
+	// until the close timeout has passed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
@@ -67,14 +66,14 @@
 		members.unconfirmed = true
 		began := time.Now()
 		c := acquire(t, p, secondMember)
-		is.Equal(time.Since(began), DefaultCloseHold+openLatency)
+		is.Equal(time.Since(began), DefaultCloseTimeout+openLatency)
 		p.Release(c)
 	})
 }
 
 func TestWaitersAreServedInOrderOfDeadline(t *testing.T) {
-	// The share is in use and two callers wait; the one that came second has the
-	// nearer deadline and is served first.
+	// The share is in use and two requests wait; the later one has the earlier deadline and
+	// is served first.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(1)
@@ -99,35 +98,35 @@
 }
 
 func TestLeavingMemberGetsNoNewWork(t *testing.T) {
-	// A member is listed as leaving. Its idle connections are closed at once,
-	// those in use end their work first, waiters and newcomers are refused.
+	// A member is listed as leaving. Its idle connections are closed at once, those in use
+	// after their work, and new requests are refused.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
 		p := members.newPool(2)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 2)
+		held := acquireN(t, p, firstMember, 2)
 		p.Release(held[0])
 		p.SetLeaving([]string{firstMember})
 		is.Equal(p.Stats().Idle, 0)
 		_, err := p.Acquire(t.Context(), firstMember, "")
 		is.Equal(code(err), result.UpstreamUnreachable)
 		p.Release(held[1])
-		after(roundTrip)
+		sleep(roundTrip)
 		is.Equal(members.count(), 0)
 	})
 }
 
-func TestLowerLimitSettlesWhenTheMemberLetGo(t *testing.T) {
-	// Half of a share is to be lent. Idle connections are closed first, one in
-	// use when it is released; Settle returns only when the members hold no more
-	// than the new limit, so the lender cannot tell too early.
+func TestSettleWaitsForConfirmedCloses(t *testing.T) {
+	// Half of a share is to be lent to another instance. Idle connections are closed first,
+	// those in use when they are released; Settle must return only when the members hold no
+	// more than the new limit, or the share would be lent too early.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
 		p := members.newPool(4)
 		defer closePool(t, p)
-		held := fill(t, p, firstMember, 4)
+		held := acquireN(t, p, firstMember, 4)
 		p.Release(held[0])
 		p.SetLimit(2)
 		settled := make(chan int, 1)
@@ -135,7 +134,7 @@
 			is.NoErr(p.Settle(context.Background()))
 			settled <- members.count()
 		}()
-		after(time.Second)
+		sleep(time.Second)
 		is.Equal(len(settled), 0)
 		p.Release(held[1])
 		is.Equal(<-settled, 2)
@@ -145,8 +144,8 @@
 }
 
 func TestSecondReleaseDoesNotShareAConnection(t *testing.T) {
-	// A connection is released twice by mistake. It must not be handed to two
-	// transactions: their statements would mix on it.
+	// A connection is released twice by mistake. It must not be handed to two transactions:
+	// their statements would mix on it.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newFakeMembers().newPool(3)
@@ -154,14 +153,14 @@
 		c := acquire(t, p, firstMember)
 		p.Release(c)
 		p.Release(c)
-		held := fill(t, p, firstMember, 2)
+		held := acquireN(t, p, firstMember, 2)
 		is.True(held[0] != held[1])
 		releaseAll(p, held)
 	})
 }
 
 func TestCloseRefusesWaitersAndWaitsForUse(t *testing.T) {
-	// The instance stops. A waiter is told at once; a connection in use ends its
+	// The instance stops. A waiter is refused at once; a connection in use finishes its
 	// work, and Close returns after it was closed.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/pool/fake_test.go
+++ b/internal/pool/fake_test.go
@@ -13,7 +13,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 const (
 	openLatency  = 10 * time.Millisecond
@@ -22,41 +22,44 @@
 	secondMember = "10.0.0.2:5432"
 )
 
-// fakeMembers counts the connections that members hold, as the members see it.
+// fakeMembers simulates members and counts the connections that they hold.
 type fakeMembers struct {
 	mu sync.Mutex
-	// held counts by member, sum over all; highest is the highest sum seen.
-	held    map[string]int
-	sum     int
-	highest int
-	// openings counts the attempts, concurrent and peak how many ran at once.
-	openings   int
-	concurrent int
-	peak       int
-	attempts   []time.Time
-	// full members refuse; down ones are out of reach.
+	// connections counts the connections by member, total those of all members; maxTotal is
+	// the highest total seen.
+	connections map[string]int
+	total       int
+	maxTotal    int
+	// openings counts the attempts to open, concurrent those in progress, and maxConcurrent
+	// is the highest number in progress at once.
+	openings      int
+	concurrent    int
+	maxConcurrent int
+	attempts      []time.Time
+	// full members refuse connections; down ones cannot be reached.
 	full map[string]bool
 	down map[string]bool
-	// silent connections answer no probe; gone ones were closed by the member.
-	silent map[wire.Conn]bool
-	gone   map[wire.Conn]bool
-	// unconfirmed makes closings go unanswered.
+	// silent connections do not answer probes; the member has closed those in
+	// closedByMember.
+	silent         map[wire.Conn]bool
+	closedByMember map[wire.Conn]bool
+	// unconfirmed disables the confirmation of closes.
 	unconfirmed bool
 }
 
 func newFakeMembers() *fakeMembers {
 	return &fakeMembers{
-		held:   make(map[string]int),
-		full:   make(map[string]bool),
-		down:   make(map[string]bool),
-		silent: make(map[wire.Conn]bool),
-		gone:   make(map[wire.Conn]bool),
+		connections:    make(map[string]int),
+		full:           make(map[string]bool),
+		down:           make(map[string]bool),
+		silent:         make(map[wire.Conn]bool),
+		closedByMember: make(map[wire.Conn]bool),
 	}
 }
 
 func (f *fakeMembers) open(ctx context.Context, address, _ string) (wire.Conn, error) {
-	f.begin()
-	defer f.end()
+	f.beginOpening()
+	defer f.endOpening()
 	if err := clock.Sleep(ctx, clock.System{}, openLatency); err != nil {
 		return nil, err
 	}
@@ -66,37 +69,38 @@
 		return nil, wire.ErrFull
 	}
 	if f.down[address] {
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
-	f.held[address]++
-	f.sum++
-	f.highest = max(f.highest, f.sum)
-	near, _ := net.Pipe()
-	return upstream.NewConn(address, time.Now(), near, nil), nil
+	f.connections[address]++
+	f.total++
+	f.maxTotal = max(f.maxTotal, f.total)
+	client, _ := net.Pipe()
+	return upstream.NewConn(address, time.Now(), client, nil), nil
 }
 
-func (f *fakeMembers) begin() {
+func (f *fakeMembers) beginOpening() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.openings++
 	f.attempts = append(f.attempts, time.Now())
 	f.concurrent++
-	f.peak = max(f.peak, f.concurrent)
+	f.maxConcurrent = max(f.maxConcurrent, f.concurrent)
 }
 
-func (f *fakeMembers) end() {
+func (f *fakeMembers) endOpening() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.concurrent--
 }
 
-// close lets the member notice after half a round trip and confirm after one.
+// close simulates a member that sees the end of a connection after half a round trip; the
+// confirmation arrives after a whole one.
 func (f *fakeMembers) close(ctx context.Context, c wire.Conn) error {
 	_ = c.Close()
 	_ = clock.Sleep(ctx, clock.System{}, roundTrip/2)
 	f.mu.Lock()
-	f.held[c.Address()]--
-	f.sum--
+	f.connections[c.Address()]--
+	f.total--
 	unconfirmed := f.unconfirmed
 	f.mu.Unlock()
 	if unconfirmed {
@@ -112,7 +116,7 @@
 	f.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return errSilent
+		return errNoAnswer
 	}
 	return clock.Sleep(ctx, clock.System{}, roundTrip)
 }
@@ -120,20 +124,20 @@
 func (f *fakeMembers) check(c wire.Conn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gone[c] {
+	if f.closedByMember[c] {
 		return net.ErrClosed
 	}
 	return nil
 }
 
-// count returns the connections the members hold now.
+// count returns the number of connections that the members hold now.
 func (f *fakeMembers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sum
+	return f.total
 }
 
-// newPool returns a pool over the members.
+// newPool returns a pool of connections to the simulated members.
 func (f *fakeMembers) newPool(limit int) *Limited {
 	return New(f.config(limit))
 }
