--- a/internal/callers/bounds.go
+++ b/internal/callers/bounds.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// RetryAfterFull is when a caller should come back to an instance that is full
-// or has not learned its documents yet.
+// RetryAfterFull is the retry delay sent to a caller whose instance has reached its
+// maximum of callers or has not loaded its documents yet.
 const RetryAfterFull = time.Second
--- a/internal/callers/idlewait.go
+++ b/internal/callers/idlewait.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// ErrWoken is the end of a wait that Wake interrupted before the caller sent anything.
+// ErrWoken is returned by a wait that Wake interrupted before the caller sent any data.
 var ErrWoken = errors.New("the wait for a message was interrupted")
 
-// wakeDeadline makes a read that waits end at once.
+// wakeDeadline is a read deadline in the past, which makes a blocked read return at once.
 var wakeDeadline = time.Unix(1, 0)
 
-// IdleWait is a session's wait for the first bytes of its caller's next message. Only that wait
-// can be woken. A deadline in the past that struck while a message is half read would end the
-// read behind bytes that were taken, and the rest of the message would be read as another one.
+// IdleWait waits for the first bytes of a caller's next message. Only this wait can be
+// interrupted: if a deadline in the past applied while a message is partly read, the read would
+// fail after consuming some bytes, and the rest of the message would be parsed as a new one.
 //
-// Lock order: IdleWait.mu alone; it is not held while a read waits.
+// Lock order: IdleWait.mu alone; it is not held while a read blocks.
 type IdleWait struct {
 	conn net.Conn
 
 	mu sync.Mutex
-	// waiting says that a read waits, and woken that Wake was called since the last wait ended.
+	// waiting is set while a read blocks, and woken after Wake until the next wait ends.
 	waiting, woken bool
-	// limited says that the connection has a read deadline.
-	limited bool
+	// hasDeadline is set while the connection has a read deadline.
+	hasDeadline bool
 }
 
-// NewIdleWait returns the IdleWait of a caller's connection.
+// NewIdleWait returns an IdleWait for a caller's connection.
 func NewIdleWait(conn net.Conn) *IdleWait { return &IdleWait{conn: conn} }
 
-// Read calls read, which waits for the first bytes of a message and takes nothing when it
-// fails. The wait ends at the time until; zero for no bound. It returns ErrWoken when Wake was
-// called during the wait or since the last one. No read deadline is left behind.
-func (w *IdleWait) Read(until time.Time, read func() error) error {
-	if err := w.begin(until); err != nil {
+// Read calls read, which waits for the first bytes of a message and must not consume any bytes
+// if it fails. The wait times out at the deadline; the zero time means no deadline. Read returns
+// ErrWoken if Wake was called during the wait or since the previous one. It clears the read
+// deadline that it has set.
+func (w *IdleWait) Read(deadline time.Time, read func() error) error {
+	if err := w.beginWait(deadline); err != nil {
 		return err
 	}
-	return w.end(read())
+	return w.endWait(read())
 }
 
-func (w *IdleWait) begin(until time.Time) error {
+func (w *IdleWait) beginWait(deadline time.Time) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.woken {
 		w.woken = false
 		return ErrWoken
 	}
-	if !until.IsZero() {
-		if err := w.limit(until); err != nil {
+	if !deadline.IsZero() {
+		if err := w.setReadDeadline(deadline); err != nil {
 			return err
 		}
 	}
@@ -57,16 +58,16 @@
 	return nil
 }
 
-// end ends a wait with what its read returned. What has arrived counts also where Wake came at
-// the same moment: the session serves it first.
-func (w *IdleWait) end(err error) error {
+// endWait ends a wait with the result of its read. If bytes arrived at the same moment as a
+// call of Wake, the read counts as successful, and the session serves the message first.
+func (w *IdleWait) endWait(err error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	woken := w.woken
 	w.waiting, w.woken = false, false
-	if w.limited {
-		if cleared := w.limit(time.Time{}); cleared != nil {
-			return cleared
+	if w.hasDeadline {
+		if clearErr := w.setReadDeadline(time.Time{}); clearErr != nil {
+			return clearErr
 		}
 	}
 	var timeout net.Error
@@ -76,19 +77,19 @@
 	return err
 }
 
-// limit sets the read deadline; zero for none. The caller holds w.mu.
-func (w *IdleWait) limit(t time.Time) error {
-	w.limited = !t.IsZero()
+// setReadDeadline sets the read deadline; the zero time clears it. The caller holds w.mu.
+func (w *IdleWait) setReadDeadline(t time.Time) error {
+	w.hasDeadline = !t.IsZero()
 	return w.conn.SetReadDeadline(t)
 }
 
-// Wake interrupts the wait under way, or else the next one.
+// Wake interrupts the current wait, or the next one if there is none.
 func (w *IdleWait) Wake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.woken = true
 	if w.waiting {
-		// A connection that has no deadlines any more is closed, which ends the wait as well.
-		_ = w.limit(wakeDeadline)
+		// Setting the deadline fails only on a closed connection, where the read ends anyway.
+		_ = w.setReadDeadline(wakeDeadline)
 	}
 }
--- a/internal/callers/idlewait_test.go
+++ b/internal/callers/idlewait_test.go
@@ -12,67 +12,67 @@
 	"github.com/matryer/is"
 )
 
-// waitOn returns an IdleWait of a connection, the connection, and its other end.
-func waitOn() (w *IdleWait, near, far net.Conn) {
-	near, far = net.Pipe()
-	return NewIdleWait(near), near, far
+// newPipeWait returns an IdleWait on one end of a pipe, that end, and the other end.
+func newPipeWait() (w *IdleWait, conn, peer net.Conn) {
+	conn, peer = net.Pipe()
+	return NewIdleWait(conn), conn, peer
 }
 
-// readOne reads one byte.
-func readOne(conn net.Conn) func() error {
+// readByte returns a function that reads one byte.
+func readByte(conn net.Conn) func() error {
 	return func() error {
 		_, err := io.ReadFull(conn, make([]byte, 1))
 		return err
 	}
 }
 
-// Guards against an idle session that a stop does not reach.
-func TestWakeEndsTheWait(t *testing.T) {
+// Guards against an idle session that does not notice a shutdown.
+func TestWakeInterruptsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, near, far := waitOn()
-		defer far.Close()
+		w, conn, peer := newPipeWait()
+		defer peer.Close()
 		go func() {
 			time.Sleep(time.Second)
 			w.Wake()
 		}()
-		is.True(errors.Is(w.Read(time.Time{}, readOne(near)), ErrWoken))
+		is.True(errors.Is(w.Read(time.Time{}, readByte(conn)), ErrWoken))
 		w.Wake()
-		is.True(errors.Is(w.Read(time.Time{}, readOne(near)), ErrWoken))
-		go func() { _, _ = far.Write([]byte{1}) }()
-		is.NoErr(w.Read(time.Time{}, readOne(near)))
+		is.True(errors.Is(w.Read(time.Time{}, readByte(conn)), ErrWoken))
+		go func() { _, _ = peer.Write([]byte{1}) }()
+		is.NoErr(w.Read(time.Time{}, readByte(conn)))
 	})
 }
 
-// Guards against a wake that takes bytes of a message that has begun.
-func TestWakeLeavesAReadBehindTheWaitAlone(t *testing.T) {
+// Guards against a Wake that interrupts the read of the rest of a message.
+func TestWakeDoesNotInterruptReadAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, near, far := waitOn()
+		w, conn, peer := newPipeWait()
 		go func() {
-			_, _ = far.Write([]byte{1})
+			_, _ = peer.Write([]byte{1})
 			time.Sleep(time.Second)
-			_, _ = far.Write([]byte{2})
-			far.Close()
+			_, _ = peer.Write([]byte{2})
+			peer.Close()
 		}()
-		is.NoErr(w.Read(time.Time{}, readOne(near)))
+		is.NoErr(w.Read(time.Time{}, readByte(conn)))
 		w.Wake()
-		is.NoErr(readOne(near)())
+		is.NoErr(readByte(conn)())
 	})
 }
 
-// Guards against a wait without bound of a caller that sends nothing, and against a bound that
-// outlives its wait.
-func TestWaitEndsAtItsBound(t *testing.T) {
+// Guards against waiting forever for a caller that sends nothing, and against a deadline that
+// still applies after the wait has ended.
+func TestWaitEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, near, far := waitOn()
-		defer far.Close()
-		is.True(errors.Is(w.Read(time.Now().Add(time.Second), readOne(near)), os.ErrDeadlineExceeded))
+		w, conn, peer := newPipeWait()
+		defer peer.Close()
+		is.True(errors.Is(w.Read(time.Now().Add(time.Second), readByte(conn)), os.ErrDeadlineExceeded))
 		go func() {
 			time.Sleep(time.Minute)
-			_, _ = far.Write([]byte{1})
+			_, _ = peer.Write([]byte{1})
 		}()
-		is.NoErr(readOne(near)())
+		is.NoErr(readByte(conn)())
 	})
 }
--- a/internal/callers/linger.go
+++ b/internal/callers/linger.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// lingerTime bounds how long a connection that ends is read: several round trips between
-	// regions, and a part of what a drain leaves.
-	lingerTime = 500 * time.Millisecond
-	// lingerBytes bounds how much of it is read, in bytes: a few of the largest messages.
-	lingerBytes = 4 << 20
+	// lingerTimeout limits how long a closing connection is still read. It allows several
+	// round trips between regions and is a part of the time available after a drain.
+	lingerTimeout = 500 * time.Millisecond
+	// maxLingerBytes limits how much of it is read, in bytes: a few of the largest messages.
+	maxLingerBytes = 4 << 20
 )
 
-// lingeringClose closes a connection whose last answer was written. It ends what is sent, and
-// reads and drops what the caller still sends until the caller closes or the bounds are
-// reached. TCP resets a connection that is closed with bytes unread, and the reset overtakes the
-// answer: the caller would see a broken connection in place of what it was told.
+// lingeringClose closes a connection after its last reply was written. It closes the write side,
+// then reads and discards data until the caller closes the connection or a limit is reached. TCP
+// resets a connection that is closed with unread data, and the reset can overtake the reply: the
+// caller would see a connection error instead of the reply.
 func lingeringClose(conn net.Conn, now time.Time) {
 	defer conn.Close()
-	half, ok := conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil || conn.SetReadDeadline(now.Add(lingerTime)) != nil {
+	writeCloser, ok := conn.(interface{ CloseWrite() error })
+	if !ok || writeCloser.CloseWrite() != nil || conn.SetReadDeadline(now.Add(lingerTimeout)) != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(conn, lingerBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxLingerBytes))
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,5 +1,5 @@
-// Package callers accepts callers' connections and keeps count of their
-// sessions, whatever protocol the callers speak.
+// Package callers accepts callers' connections, runs and counts their sessions,
+// and drains them. It does not depend on the callers' protocol.
 //
 // Lock order: Server.mu alone; it is not held across I/O.
 package callers
@@ -21,56 +21,56 @@
 
 // Session serves one caller.
 type Session interface {
-	// Run serves until the caller leaves, until the session is idle and the server
-	// drains, or until sessions are cut off.
+	// Run serves the caller until it disconnects, until the session is idle and the
+	// server is draining, or until the drain times out.
 	Run()
-	// Wake makes a session that waits for a message look whether it is to end.
+	// Wake makes a session that waits for a message check whether it should end.
 	Wake()
 }
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
-	// Max bounds the connections of callers.
+	// Max is the maximum number of connected callers.
 	Max int
-	// Open makes the session of a connection.
+	// Open creates the session of a connection.
 	Open func(net.Conn) Session
-	// Refuse tells a caller why it is not taken.
+	// Refuse sends a caller the reason why its connection is rejected.
 	Refuse func(net.Conn, *result.Error)
-	// EndUnits ends what members work on, when sessions are cut off. What waits for anything
-	// else ends by the context of the Server.
+	// EndUnits cancels the units that members are running, when a drain times out. Units
+	// that wait for anything else are cancelled through Server.Units.
 	EndUnits func()
 	Clock    clock.Clock
-	// Connected counts the callers.
+	// Connected is the number of connected callers.
 	Connected prometheus.Gauge
 	Logger    hclog.Logger
 }
 
-// answerWait is how long sessions that are cut off have to tell their callers what became of the
-// statement under way: several times what an answer takes, and a part of what the platform
-// leaves between the end of a drain and that of the process.
-const answerWait = 250 * time.Millisecond
+// finalReplyTimeout is how long sessions have, after a drain timed out, to send their callers
+// the outcome of the running statement. It is several times what a reply takes, and a part of
+// the time that the platform leaves between the end of a drain and that of the process.
+const finalReplyTimeout = 250 * time.Millisecond
 
 // Server accepts callers and runs their sessions.
 type Server struct {
 	config Config
 
-	// units ends when sessions are cut off, and endUnits ends it.
-	units    context.Context
-	endUnits context.CancelFunc
-	// dismissals counts the calls of Dismiss.
+	// unitContext is the context of all units. cancelUnits cancels it when a drain times out.
+	unitContext context.Context
+	cancelUnits context.CancelFunc
+	// dismissals is the number of calls of Dismiss.
 	dismissals atomic.Uint64
 
 	mu       sync.Mutex
 	sessions map[Session]net.Conn
 	draining bool
-	// ended is closed when draining and the last session has ended.
-	ended chan struct{}
+	// drained is closed when the server is draining and the last session has ended.
+	drained chan struct{}
 }
 
-// New returns a Server that accepts nothing yet.
+// New returns a Server. It accepts callers once Serve is called.
 func New(c Config) *Server {
-	s := &Server{config: c, sessions: make(map[Session]net.Conn), ended: make(chan struct{})}
-	s.units, s.endUnits = context.WithCancel(context.Background())
+	s := &Server{config: c, sessions: make(map[Session]net.Conn), drained: make(chan struct{})}
+	s.unitContext, s.cancelUnits = context.WithCancel(context.Background())
 	return s
 }
 
@@ -89,18 +89,19 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	n, refusal := s.register(conn)
+	session, refusal := s.register(conn)
 	if refusal != nil {
 		s.config.Refuse(conn, refusal)
 		lingeringClose(conn, s.config.Clock.Now())
 		return
 	}
-	defer s.unregister(n)
-	n.Run()
+	defer s.unregister(session)
+	session.Run()
 	lingeringClose(conn, s.config.Clock.Now())
 }
 
-// register adds a session, or refuses it when the instance is full or draining.
+// register adds a session, or rejects it if the instance is draining or has reached the
+// maximum of callers.
 func (s *Server) register(conn net.Conn) (Session, *result.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,78 +111,78 @@
 	if len(s.sessions) >= s.config.Max {
 		return nil, result.New(result.TooManyCallers, "at most %d", s.config.Max).WithRetryAfter(RetryAfterFull)
 	}
-	n := s.config.Open(conn)
-	s.sessions[n] = conn
+	session := s.config.Open(conn)
+	s.sessions[session] = conn
 	s.config.Connected.Inc()
-	return n, nil
+	return session, nil
 }
 
-func (s *Server) unregister(n Session) {
+func (s *Server) unregister(session Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, n)
+	delete(s.sessions, session)
 	s.config.Connected.Dec()
 	if s.draining && len(s.sessions) == 0 {
-		close(s.ended)
+		close(s.drained)
 	}
 }
 
-// Callers returns how many callers are connected.
+// Callers returns the number of connected callers.
 func (s *Server) Callers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
-// Draining reports whether the server is shutting down.
+// Draining reports whether Drain has been called.
 func (s *Server) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining
 }
 
-// Dismiss sends the callers that are idle now elsewhere: their sessions end as soon
-// as nothing of theirs is open. Callers that come later are taken as usual.
+// Dismiss makes idle callers reconnect to another instance: every present session ends
+// as soon as it is idle. Callers that connect later are accepted as usual.
 func (s *Server) Dismiss() {
 	s.dismissals.Add(1)
 	s.mu.Lock()
-	all := s.list()
+	sessions := s.sessionList()
 	s.mu.Unlock()
-	for _, n := range all {
-		n.Wake()
+	for _, session := range sessions {
+		session.Wake()
 	}
 }
 
-// Dismissals counts the calls of Dismiss. A session that sees it rise is to end when
-// it is idle.
+// Dismissals returns the number of calls of Dismiss. A session must end when it is
+// idle and the number has increased since the session began.
 func (s *Server) Dismissals() uint64 { return s.dismissals.Load() }
 
-// list returns the sessions. The caller holds s.mu.
-func (s *Server) list() []Session {
-	all := make([]Session, 0, len(s.sessions))
-	for n := range s.sessions {
-		all = append(all, n)
+// sessionList returns the sessions. The caller holds s.mu.
+func (s *Server) sessionList() []Session {
+	sessions := make([]Session, 0, len(s.sessions))
+	for session := range s.sessions {
+		sessions = append(sessions, session)
 	}
-	return all
+	return sessions
 }
 
-// Units is the context that sessions run their units in. It ends when sessions are cut off, also
-// those that have a transaction open.
-func (s *Server) Units() context.Context { return s.units }
+// Units returns the context in which sessions run their units. It is cancelled when a drain
+// times out, also for sessions with an open transaction.
+func (s *Server) Units() context.Context { return s.unitContext }
 
-// Drain refuses new callers, wakes idle sessions so that they end, and lets
-// units and transactions in flight finish. It returns when every session has
-// ended; when ctx ends first, the units under way are ended and answered, and the
-// sessions that are left are cut off.
+// Drain rejects new callers, wakes idle sessions so that they end, and lets
+// running units and open transactions finish. It returns when every session has
+// ended. If ctx ends first, running units are cancelled, their callers get a final
+// reply, and the remaining connections are closed.
 func (s *Server) Drain(ctx context.Context) error {
-	for _, n := range s.beginDrain() {
-		n.Wake()
+	for _, session := range s.beginDrain() {
+		session.Wake()
 	}
 	select {
-	case <-s.ended:
+	case <-s.drained:
 		return nil
 	case <-ctx.Done():
-		s.cutOff()
+		s.closeSessions()
 		return ctx.Err()
 	}
 }
@@ -194,39 +195,39 @@
 	}
 	s.draining = true
 	if len(s.sessions) == 0 {
-		close(s.ended)
+		close(s.drained)
 	}
-	return s.list()
+	return s.sessionList()
 }
 
-// cutOff ends the units under way and wakes the sessions that wait for a message, gives all of
-// them the time to tell their callers, and closes the connections that are left. Closed at
-// once, a caller whose statement waits for its turn or for a member would not learn whether it
-// was taken, nor one in a transaction that it is lost.
-func (s *Server) cutOff() {
-	s.endUnits()
+// closeSessions cancels the running units, wakes the sessions that wait for a message, gives all
+// of them time to send a final reply, and then closes the remaining connections. If connections
+// were closed at once, a caller whose statement is queued or waits for a member would not learn
+// whether it ran, and a caller in a transaction would not learn that the transaction is lost.
+func (s *Server) closeSessions() {
+	s.cancelUnits()
 	s.config.EndUnits()
 	s.mu.Lock()
-	all := s.list()
+	sessions := s.sessionList()
 	s.mu.Unlock()
-	for _, n := range all {
-		n.Wake()
+	for _, session := range sessions {
+		session.Wake()
 	}
-	timer := s.config.Clock.NewTimer(answerWait)
+	timer := s.config.Clock.NewTimer(finalReplyTimeout)
 	defer timer.Stop()
 	select {
-	case <-s.ended:
+	case <-s.drained:
 		return
 	case <-timer.C:
 	}
 	s.mu.Lock()
-	left := make([]net.Conn, 0, len(s.sessions))
+	remaining := make([]net.Conn, 0, len(s.sessions))
 	for _, conn := range s.sessions {
-		left = append(left, conn)
+		remaining = append(remaining, conn)
 	}
 	s.mu.Unlock()
-	s.config.Logger.Warn("Drain ran out of time. Sessions are cut off.", "sessions", len(left))
-	for _, conn := range left {
+	s.config.Logger.Warn("Drain timed out. Closing the remaining sessions.", "sessions", len(remaining))
+	for _, conn := range remaining {
 		conn.Close()
 	}
 }
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -15,34 +15,34 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// waiting is a session that runs until it is woken or its caller hangs up.
-type waiting struct {
+// idleSession is a session that runs until it is woken or its caller disconnects.
+type idleSession struct {
 	conn  net.Conn
 	woken chan struct{}
 }
 
 // Run implements Session.
-func (w *waiting) Run() {
-	gone := make(chan struct{})
+func (w *idleSession) Run() {
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		var one [1]byte
 		_, _ = w.conn.Read(one[:])
 	}()
 	select {
 	case <-w.woken:
-	case <-gone:
+	case <-disconnected:
 	}
 }
 
 // Wake implements Session.
-func (w *waiting) Wake() { close(w.woken) }
+func (w *idleSession) Wake() { close(w.woken) }
 
-// accepted is a listener that hands out the connections it is given.
-type accepted chan net.Conn
+// pipeListener is a listener that accepts the connections sent on the channel.
+type pipeListener chan net.Conn
 
 // Accept implements net.Listener.
-func (a accepted) Accept() (net.Conn, error) {
+func (a pipeListener) Accept() (net.Conn, error) {
 	conn, ok := <-a
 	if !ok {
 		return nil, net.ErrClosed
@@ -51,131 +51,131 @@
 }
 
 // Close implements net.Listener.
-func (a accepted) Close() error { close(a); return nil }
+func (a pipeListener) Close() error { close(a); return nil }
 
 // Addr implements net.Listener.
-func (a accepted) Addr() net.Addr { return nil }
-
-// bed is a server and the codes of the callers it refused.
-type bed struct {
-	server  *Server
-	listen  accepted
-	refused []result.Code
-	// unitsEnded says that what members work on was ended.
-	unitsEnded bool
+func (a pipeListener) Addr() net.Addr { return nil }
+
+// serverFixture is a server and the result codes with which it rejected callers.
+type serverFixture struct {
+	server   *Server
+	listener pipeListener
+	rejected []result.Code
+	// unitsCancelled is set when the server has called Config.EndUnits.
+	unitsCancelled bool
 }
 
-func newBed(most int) *bed {
-	b := &bed{listen: make(accepted)}
-	b.server = New(Config{
-		Max:       most,
-		Open:      func(c net.Conn) Session { return &waiting{conn: c, woken: make(chan struct{})} },
-		Refuse:    func(_ net.Conn, e *result.Error) { b.refused = append(b.refused, e.Code) },
-		EndUnits:  func() { b.unitsEnded = true },
+func newServerFixture(maxCallers int) *serverFixture {
+	f := &serverFixture{listener: make(pipeListener)}
+	f.server = New(Config{
+		Max:       maxCallers,
+		Open:      func(c net.Conn) Session { return &idleSession{conn: c, woken: make(chan struct{})} },
+		Refuse:    func(_ net.Conn, e *result.Error) { f.rejected = append(f.rejected, e.Code) },
+		EndUnits:  func() { f.unitsCancelled = true },
 		Clock:     clock.System{},
 		Connected: prometheus.NewGauge(prometheus.GaugeOpts{Name: "callers"}),
 		Logger:    hclog.NewNullLogger(),
 	})
-	go func() { _ = b.server.Serve(b.listen) }()
-	return b
+	go func() { _ = f.server.Serve(f.listener) }()
+	return f
 }
 
-// call connects one caller.
-func (b *bed) call() net.Conn {
-	near, far := net.Pipe()
-	b.listen <- far
+// connect connects one caller.
+func (f *serverFixture) connect() net.Conn {
+	client, conn := net.Pipe()
+	f.listener <- conn
 	synctest.Wait()
-	return near
+	return client
 }
 
-// Callers connect until the instance is full. One more is refused, so that the
-// memory for those who are there suffices; when one leaves, the next is taken.
-func TestServerTakesNoMoreThanItsBound(t *testing.T) {
+// Callers connect until the maximum is reached. The next one is rejected, so that
+// memory suffices for the connected ones. After one disconnects, another is accepted.
+func TestServerRejectsCallersAboveMax(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(2)
-		first := b.call()
-		b.call()
-		b.call()
-		is.Equal(b.refused, []result.Code{result.TooManyCallers})
+		f := newServerFixture(2)
+		first := f.connect()
+		f.connect()
+		f.connect()
+		is.Equal(f.rejected, []result.Code{result.TooManyCallers})
 		first.Close()
 		synctest.Wait()
-		b.call()
-		is.Equal(b.server.Callers(), 2)
-		is.NoErr(b.server.Drain(t.Context()))
-		b.listen.Close()
+		f.connect()
+		is.Equal(f.server.Callers(), 2)
+		is.NoErr(f.server.Drain(t.Context()))
+		f.listener.Close()
 	})
 }
 
-// The instance drains. Sessions that are idle end, and a caller that comes now is
-// told to connect elsewhere.
-func TestDrainEndsSessionsAndRefusesCallers(t *testing.T) {
+// The instance drains. Idle sessions end, and a caller that connects now is rejected
+// and asked to connect again.
+func TestDrainEndsIdleSessionsAndRejectsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(9)
-		b.call()
-		is.NoErr(b.server.Drain(context.Background()))
-		is.Equal(b.server.Callers(), 0)
-		b.call()
-		is.Equal(b.refused, []result.Code{result.Draining})
-		b.listen.Close()
+		f := newServerFixture(9)
+		f.connect()
+		is.NoErr(f.server.Drain(context.Background()))
+		is.Equal(f.server.Callers(), 0)
+		f.connect()
+		is.Equal(f.rejected, []result.Code{result.Draining})
+		f.listener.Close()
 	})
 }
 
-// The instance lost sight of most members, and its idle callers are better off
-// elsewhere. They are woken and leave; callers that come later are taken, because the
-// balancer has nowhere better for them.
-func TestDismissSendsIdleCallersAwayOnce(t *testing.T) {
+// The instance cannot reach most members, and another instance can serve its idle
+// callers better. Their sessions are woken and end. Callers that connect later are
+// accepted, because the load balancer has no better instance for them.
+func TestDismissEndsOnlyPresentIdleSessions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(9)
-		b.call()
-		before := b.server.Dismissals()
-		b.server.Dismiss()
+		f := newServerFixture(9)
+		f.connect()
+		before := f.server.Dismissals()
+		f.server.Dismiss()
 		synctest.Wait()
-		is.True(b.server.Dismissals() > before)
-		is.Equal(b.server.Callers(), 0)
-		b.call()
-		is.Equal(b.server.Callers(), 1)
-		is.Equal(len(b.refused), 0)
-		is.NoErr(b.server.Drain(t.Context()))
-		b.listen.Close()
+		is.True(f.server.Dismissals() > before)
+		is.Equal(f.server.Callers(), 0)
+		f.connect()
+		is.Equal(f.server.Callers(), 1)
+		is.Equal(len(f.rejected), 0)
+		is.NoErr(f.server.Drain(t.Context()))
+		f.listener.Close()
 	})
 }
 
-// atWork is a session with a statement under way, which ends by the context of units.
-type atWork struct {
+// busySession is a session with a running statement, which the context of units cancels.
+type busySession struct {
 	server *Server
 	conn   net.Conn
 }
 
-// Run implements Session: it answers when its statement was ended.
-func (a *atWork) Run() {
+// Run implements Session: it replies when its statement was cancelled.
+func (a *busySession) Run() {
 	<-a.server.Units().Done()
 	_, _ = a.conn.Write([]byte("answer"))
 }
 
 // Wake implements Session. The session is not idle.
-func (*atWork) Wake() {}
+func (*busySession) Wake() {}
 
-// The instance may wait no longer, and a caller's statement is under way. The statement is
-// ended, and the caller has its answer before the connection is closed.
+// A drain times out while a caller's statement is running. The statement is cancelled, and
+// the caller gets its reply before the connection is closed.
 func TestCutOffEndsUnitsAndLetsThemBeAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBed(9)
-		b.server.config.Open = func(c net.Conn) Session { return &atWork{server: b.server, conn: c} }
-		caller := b.call()
+		f := newServerFixture(9)
+		f.server.config.Open = func(c net.Conn) Session { return &busySession{server: f.server, conn: c} }
+		caller := f.connect()
 		answer := make(chan string, 1)
 		go func() {
-			got, _ := io.ReadAll(caller)
-			answer <- string(got)
+			data, _ := io.ReadAll(caller)
+			answer <- string(data)
 		}()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		is.True(b.server.Drain(ctx) != nil)
-		is.True(b.unitsEnded)
+		is.True(f.server.Drain(ctx) != nil)
+		is.True(f.unitsCancelled)
 		is.Equal(<-answer, "answer")
-		b.listen.Close()
+		f.listener.Close()
 	})
 }
--- a/internal/execution/unit.go
+++ b/internal/execution/unit.go
@@ -1,14 +1,15 @@
-// Package execution runs one unit of a caller's work at a group: admission,
-// choice of a member, sending, confirmation, and the whole answer.
+// Package execution defines a unit of a caller's work, its reply, and the Executor
+// that runs it at a group: admission, choice of a member, sending, confirmation,
+// and the complete reply.
 //
-// A unit is what a caller sends between two answers that tell it to go on: one
+// A unit is what a caller sends before it waits for the next ReadyForQuery: one
 // statement, or the messages of a batch. The caller's session builds it on the
-// entry instance; a home instance of the group runs it. The two may be one
-// process or be joined by a peer connection, and the same types serve both.
+// entry instance, and a home instance of the group runs it. The two may be the
+// same process or connected by a peer connection; both cases use the same types.
 //
-// The core reads of a unit what decides where and how it runs. What its
-// messages look like is known to the two codecs at the ends: the one that the
-// caller speaks and the one that the group's members speak.
+// The core reads only the fields that decide where and how a unit runs. The
+// format of the messages is known only to the two codecs at the ends: that of the
+// caller's protocol and that of the members' protocol.
 package execution
 
 import (
@@ -19,11 +20,12 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Step is one extended-protocol message in a Unit's Shape, by the answer it gets.
+// Step is the type of one extended-protocol message in a Unit's Shape. It determines
+// which response the message gets.
 type Step = byte
 
-// Steps. The synthetic ones were left out of Messages, and their answer is
-// added where it belongs in the order of answers.
+// Steps. The messages of synthetic steps are left out of Unit.Messages, and their
+// responses are inserted at the right place among those of the member.
 const (
 	StepParse          Step = 'P'
 	StepBind           Step = 'B'
@@ -41,101 +43,102 @@
 	ParameterOIDs []uint32 `json:"parameter_oids,omitempty"`
 }
 
-// Value is a session value: a name that the caller's session has set.
+// Value is a setting that the caller's session has changed, with its new value.
 type Value struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// Unit is one piece of work.
+// Unit is one unit of a caller's work, as described in the package comment.
 type Unit struct {
-	// ID names the unit on its entry instance, for cancel and partial answers.
+	// ID identifies the unit on its entry instance, for cancels and partial replies.
 	ID string `json:"id"`
-	// Request is the caller's own name for the unit, for logs; it may be empty.
+	// Request is the name that the caller gave the unit, for logs; it may be empty.
 	Request string `json:"request,omitempty"`
-	// ReplyTo is the peer address of the entry instance; empty when it is this one.
+	// ReplyTo is the peer address of the entry instance; empty if that is this instance.
 	ReplyTo string `json:"reply_to,omitempty"`
-	// Relayed says that a home which could not serve the unit passed it on. It is
-	// passed on once, so that it does not travel in circles.
+	// Relayed is set when a home instance that could not serve the unit forwarded it.
+	// A unit is forwarded only once, which prevents forwarding loops.
 	Relayed bool   `json:"relayed,omitempty"`
 	Group   string `json:"group"`
-	// Workspace is who the unit is run for; empty where callers belong to none.
+	// Workspace is the workspace that the unit runs for; empty if the caller has none.
 	Workspace string `json:"workspace,omitempty"`
-	// Owner is the workspace whose connections to members alone may run the unit; empty
-	// where they are shared.
+	// Owner is the workspace on whose own member connections the unit must run; empty if
+	// connections are shared between workspaces.
 	Owner string `json:"owner,omitempty"`
-	// Class and Key come from the request's tag; empty when untagged.
+	// Class and Key come from the request's tag; empty if there is no tag.
 	Class string `json:"class,omitempty"`
 	Key   string `json:"key,omitempty"`
-	// Token is what the session must see at least.
+	// Token is the minimum log position that the session must observe.
 	Token logpos.Token `json:"token"`
-	// Roaming says that the session came without a token and has not run
-	// anything here yet, so that even an aged read takes a barrier.
+	// Roaming is set when the session started without a token and has not run
+	// anything on this instance yet. It may have written through another instance,
+	// so even a read that accepts stale data needs a barrier.
 	Roaming bool `json:"roaming,omitempty"`
-	// Timeout is the time left to the caller's deadline when the unit was sent.
+	// Timeout is the time that remained until the caller's deadline when the unit was sent.
 	Timeout time.Duration `json:"timeout"`
-	// Waited is how long the caller has asked for this before: the time since its first try
-	// where the unit repeats one that was refused.
+	// Waited is the time since the caller's first attempt, if the unit retries one that
+	// was refused.
 	Waited time.Duration `json:"waited,omitempty"`
-	// Messages are encoded messages of the caller. Named statements go by names
-	// made of their content, and what defines or drops them is left out: they
-	// are shared between sessions.
+	// Messages are the caller's encoded messages. Named statements are renamed after
+	// a hash of their content, and the messages that define or close them are left
+	// out, because sessions share these statements.
 	Messages []byte `json:"messages"`
 	// Shape lists the extended-protocol messages in order, one Step each; empty
-	// where the unit is one plain statement.
+	// if the unit is one simple query.
 	Shape string `json:"shape,omitempty"`
 	// Statements holds the named statements that Messages refer to.
 	Statements map[string]Statement `json:"statements,omitempty"`
-	// Unnamed is the session's unnamed statement where Messages refer to it
-	// without defining it.
+	// Unnamed is the session's unnamed statement, if Messages use it without
+	// defining it.
 	Unnamed *Statement `json:"unnamed,omitempty"`
-	// Values are the session's values, by name. The connection that runs the unit
-	// must carry exactly these.
+	// Values are the session's values, sorted by name. The connection that runs the
+	// unit must have exactly these set.
 	Values []Value `json:"values,omitempty"`
-	// Sets says that the unit does nothing but change session values, and
-	// NextValues what they are when it has gone well.
+	// Sets is set when the unit only changes session values. NextValues are the
+	// session's values after the unit has succeeded.
 	Sets       bool    `json:"sets,omitempty"`
 	NextValues []Value `json:"next_values,omitempty"`
-	// Ends hints that the unit ends a transaction, Begins that it opens one. A
-	// wrong hint costs a round trip, never a promise.
+	// Ends is a hint that the unit ends a transaction, Begins that it opens one. A
+	// wrong hint costs a round trip but does not affect correctness.
 	Ends   bool `json:"ends,omitempty"`
 	Begins bool `json:"begins,omitempty"`
-	// ReadOnly says that the unit itself only reads. False where the codec cannot
-	// tell.
+	// ReadOnly is set when the unit itself only reads. It is false if the codec
+	// cannot determine this.
 	ReadOnly bool `json:"read_only,omitempty"`
-	// ReadTransaction says of a unit that Begins that its transaction only reads.
+	// ReadTransaction is set when the transaction that the unit opens only reads.
 	ReadTransaction bool `json:"read_transaction,omitempty"`
-	// Transaction names the open transaction; empty outside of one.
+	// Transaction is the ID of the open transaction; empty outside a transaction.
 	Transaction string `json:"transaction,omitempty"`
 }
 
-// Reply is the answer to one unit.
+// Reply is the reply to one unit.
 type Reply struct {
-	// Messages are encoded messages for the caller, without the one that tells
-	// it to go on.
+	// Messages are the encoded messages for the caller, without the final
+	// ReadyForQuery.
 	Messages []byte `json:"messages"`
-	// Token is the session's token from now on.
+	// Token is the session's new token.
 	Token logpos.Token `json:"token"`
-	// Transaction names the transaction that is open after the unit.
+	// Transaction is the ID of the transaction that is open after the unit.
 	Transaction string `json:"transaction,omitempty"`
-	// TransactionStatus is the status after the unit: I, T or E.
+	// TransactionStatus is the status after the unit: I (idle), T (in a transaction)
+	// or E (in a failed transaction).
 	TransactionStatus byte `json:"transaction_status"`
-	// Failed says that the answer ends in an error of the member.
+	// Failed is set when the messages end with an error from the member.
 	Failed bool `json:"failed,omitempty"`
-	// Member is the address of the member that answered.
+	// Member is the address of the member that replied.
 	Member string `json:"member,omitempty"`
-	// Replica says that a replica answered.
+	// Replica is set when that member is a replica.
 	Replica bool `json:"replica,omitempty"`
 }
 
-// Runs reports whether the unit executes anything, rather than only preparing
+// Runs reports whether the unit executes a statement rather than only preparing
 // or describing statements.
 func (u *Unit) Runs() bool {
 	return u.Shape == "" || strings.IndexByte(u.Shape, StepExecute) >= 0
 }
 
-// OnlyReads reports whether neither the unit nor the transaction that it opens
-// writes.
+// OnlyReads reports whether the unit, and the transaction if it opens one, only reads.
 func (u *Unit) OnlyReads() bool {
 	if u.Begins {
 		return u.ReadTransaction
@@ -145,15 +148,15 @@
 
 // Executor runs units.
 type Executor interface {
-	// Execute runs one unit. Large answers go to partial piece by piece before
-	// the Reply, each piece a number of whole messages; an error after the first
-	// piece means that the caller has seen a partial answer and must be cut off
-	// with an error. Errors are *result.Error.
+	// Execute runs one unit. The start of a large reply is passed to partial in
+	// chunks of whole messages before Execute returns the Reply. An error after the
+	// first chunk means that the caller has received part of a reply, which must then
+	// be ended with an error. Errors are *result.Error.
 	Execute(ctx context.Context, u *Unit, partial func([]byte) error) (*Reply, error)
-	// Abandon rolls back and releases an open transaction whose caller has ended
-	// it without a commit or is gone. It does not wait for the member.
+	// Abandon rolls back and releases an open transaction whose caller ended it
+	// without a commit or has disconnected. It does not wait for the member.
 	Abandon(group, transaction string)
-	// Cancel asks the member to stop the statement that a unit is running. The
-	// unit still gets its own answer.
+	// Cancel asks the member to cancel the statement that a unit is running. The
+	// unit still gets its own reply.
 	Cancel(group, unitID string)
 }
--- a/internal/logpos/logpos.go
+++ b/internal/logpos/logpos.go
@@ -1,27 +1,28 @@
-// Package logpos holds the coordinates of a replicated log: terms, positions,
-// and the session token made of them.
+// Package logpos defines the coordinates of a replicated log: terms, positions,
+// and the session token that combines them.
 //
-// A term numbers the reign of one primary and only rises. A position counts
-// bytes of the log. Two marks compare by term first: a longer tail of an older
-// term is a tail to discard.
+// A term is the number of one primary's leadership period and never decreases.
+// A position is a byte offset in the log. Two marks are compared by term first,
+// because records that an older primary wrote past the start of the next term
+// are discarded.
 package logpos
 
-// Term numbers the reign of one primary of a group. Zero means none.
+// Term is the number of one primary's leadership period in a group. Zero means none.
 type Term uint64
 
 // Position is an offset in a group's log, in bytes.
 type Position uint64
 
-// Mark names a log record by the term that wrote it and its end position.
+// Mark identifies a log record by the term that wrote it and its end position.
 type Mark struct {
 	Term     Term     `json:"term"`
 	Position Position `json:"position"`
 }
 
-// Less reports whether m stands before o, terms first.
-func (m Mark) Less(o Mark) bool {
-	if m.Term != o.Term {
-		return m.Term < o.Term
+// Less reports whether m precedes o. Terms are compared before positions.
+func (m Mark) Less(other Mark) bool {
+	if m.Term != other.Term {
+		return m.Term < other.Term
 	}
-	return m.Position < o.Position
+	return m.Position < other.Position
 }
--- a/internal/logpos/token.go
+++ b/internal/logpos/token.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// ErrBadToken says that a text is not a session token.
+// ErrBadToken is returned for text that is not a session token.
 var ErrBadToken = errors.New("not a session token")
 
-// maxTokenLength bounds what a caller may send as a token, in bytes.
+// maxTokenLength limits the token text that a caller may send, in bytes.
 const maxTokenLength = 256
 
-// Token is what a session must see at least: a mark in one group's log.
-// The zero Token demands nothing.
+// Token is the minimum position in one group's log that a session must observe.
+// The zero Token requires nothing.
 type Token struct {
 	Group string `json:"group"`
 	Mark
 }
 
-// IsZero reports whether the token demands nothing.
+// IsZero reports whether the token requires nothing.
 func (t Token) IsZero() bool { return t == Token{} }
 
 // String returns the token's wire form: group:term:position.
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("%s:%d:%d", t.Group, t.Term, t.Position)
 }
 
-// ParseToken reads the wire form of a token. The empty text is the zero Token.
-// It returns ErrBadToken for anything else that is malformed.
+// ParseToken parses the wire form of a token. An empty string is the zero Token.
+// Any other malformed text gives ErrBadToken.
 func ParseToken(s string) (Token, error) {
 	if s == "" {
 		return Token{}, nil
--- a/internal/logpos/token_fuzz_test.go
+++ b/internal/logpos/token_fuzz_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A caller may send any text as its token. It is either refused as no token, or
-// names a group and a term, and its wire form leads back to the same token:
-// otherwise a session would be held against another mark than it was given.
+// A caller may send any text as its token. ParseToken must either reject it, or
+// return a token with a group and a term whose wire form parses to the same token.
+// Otherwise a session would be checked against a position other than its own.
 func FuzzParseToken(f *testing.F) {
 	for _, s := range []string{
 		"", "base-1:3:4096", "base-1:0:1", ":1:1", "a:b:c", "base-1:1", "base-1:1:1:1",
@@ -30,9 +30,9 @@
 		if !token.IsZero() && (token.Group == "" || token.Term == 0) {
 			t.Fatalf("%q: token %v has no group or no term", s, token)
 		}
-		again, err := ParseToken(token.String())
-		if err != nil || again != token {
-			t.Fatalf("%q: %v became %v, error %v", s, token, again, err)
+		reparsed, err := ParseToken(token.String())
+		if err != nil || reparsed != token {
+			t.Fatalf("%q: %v became %v, error %v", s, token, reparsed, err)
 		}
 	})
 }
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -1,6 +1,6 @@
-// Package logqueue takes log lines from any goroutine and writes them from one, so
-// that nobody ever waits for whoever reads the log. When the queue is full, lines
-// are dropped and counted; the next line that is written says how many.
+// Package logqueue accepts log lines from any goroutine and writes them from a single
+// one, so that a slow reader of the log never blocks a goroutine that logs. When the
+// queue is full, lines are dropped and counted; the next write reports how many.
 package logqueue
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	// capacity bounds the lines that wait, by their bytes: some hundred lines, the
-	// decisions of a second under load.
-	capacity = 256 << 10
-	// batch is how many bytes go out in one write at most.
-	batch = 64 << 10
+	// maxQueuedBytes limits the queued lines, in bytes. It holds some hundred lines,
+	// about what one second under load logs.
+	maxQueuedBytes = 256 << 10
+	// maxWriteBytes limits the queued bytes in one write to the output.
+	maxWriteBytes = 64 << 10
 )
 
 // Queue is an io.Writer that never blocks.
@@ -24,11 +24,11 @@
 	out     io.Writer
 	dropped prometheus.Counter
 
-	mu      sync.Mutex
-	waiting []byte
-	lost    int
-	closed  bool
-	// ready has room for one signal that there is something to write.
+	mu              sync.Mutex
+	queued          []byte
+	unreportedDrops int
+	closed          bool
+	// ready signals that lines are queued. Its buffer of one makes the signal sticky.
 	ready chan struct{}
 	quit  chan struct{}
 	done  chan struct{}
@@ -54,13 +54,13 @@
 // Write implements io.Writer. One call is one line.
 func (q *Queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
-	if q.closed || len(q.waiting)+len(line) > capacity {
-		q.lost++
+	if q.closed || len(q.queued)+len(line) > maxQueuedBytes {
+		q.unreportedDrops++
 		q.mu.Unlock()
 		q.dropped.Inc()
 		return len(line), nil
 	}
-	q.waiting = append(q.waiting, line...)
+	q.queued = append(q.queued, line...)
 	q.mu.Unlock()
 	select {
 	case q.ready <- struct{}{}:
@@ -69,7 +69,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits and ends the queue.
+// Close writes the queued lines and stops the queue.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	q.closed = true
@@ -84,36 +84,36 @@
 	for {
 		select {
 		case <-q.ready:
-			buffer = q.drain(buffer)
+			buffer = q.writeQueued(buffer)
 		case <-q.quit:
-			q.drain(buffer)
+			q.writeQueued(buffer)
 			return
 		}
 	}
 }
 
-// drain writes all that waits, and returns the buffer for the next time.
-func (q *Queue) drain(buffer []byte) []byte {
+// writeQueued writes all queued lines, and returns the buffer for reuse.
+func (q *Queue) writeQueued(buffer []byte) []byte {
 	for {
-		buffer = q.take(buffer[:0])
+		buffer = q.dequeue(buffer[:0])
 		if len(buffer) == 0 {
 			return buffer
 		}
-		// There is nowhere to report a log that cannot be written.
+		// A failure to write the log cannot be reported anywhere.
 		_, _ = q.out.Write(buffer)
 	}
 }
 
-// take moves what waits into buffer.
-func (q *Queue) take(buffer []byte) []byte {
+// dequeue moves queued bytes into buffer, after a line that reports dropped lines.
+func (q *Queue) dequeue(buffer []byte) []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.lost > 0 {
-		buffer = fmt.Appendf(buffer, "{\"@level\":\"warn\",\"@message\":\"Log lines were dropped.\",\"lines\":%d}\n", q.lost)
-		q.lost = 0
+	if q.unreportedDrops > 0 {
+		buffer = fmt.Appendf(buffer, "{\"@level\":\"warn\",\"@message\":\"Log lines were dropped.\",\"lines\":%d}\n", q.unreportedDrops)
+		q.unreportedDrops = 0
 	}
-	n := min(len(q.waiting), batch)
-	buffer = append(buffer, q.waiting[:n]...)
-	q.waiting = append(q.waiting[:0], q.waiting[n:]...)
+	n := min(len(q.queued), maxWriteBytes)
+	buffer = append(buffer, q.queued[:n]...)
+	q.queued = append(q.queued[:0], q.queued[n:]...)
 	return buffer
 }
--- a/internal/logqueue/queue_test.go
+++ b/internal/logqueue/queue_test.go
@@ -10,26 +10,26 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// gate is a writer that takes nothing until it is opened.
-type gate struct {
-	open chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// blockedWriter is a writer that blocks until it is unblocked.
+type blockedWriter struct {
+	unblocked chan struct{}
+	mu        sync.Mutex
+	written   bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (g *gate) Write(b []byte) (int, error) {
-	<-g.open
+func (g *blockedWriter) Write(b []byte) (int, error) {
+	<-g.unblocked
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.text.Write(b)
+	return g.written.Write(b)
 }
 
-// Whoever reads the log has stopped. Lines wait up to the bound, the rest is dropped and
-// counted, and no writer waits; afterwards the log says how many are missing.
-func TestStoppedReaderHoldsNobodyUp(t *testing.T) {
+// The reader of the log has stalled. Lines are queued up to the limit, further ones are
+// dropped and counted, and Write never blocks. Later the log reports how many were dropped.
+func TestWriteDoesNotBlockOnStalledReader(t *testing.T) {
 	is := is.New(t)
-	g := &gate{open: make(chan struct{})}
+	g := &blockedWriter{unblocked: make(chan struct{})}
 	r := prometheus.NewRegistry()
 	q := New(g, r)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
@@ -43,15 +43,15 @@
 	is.NoErr(err)
 	dropped := int(families[0].GetMetric()[0].GetCounter().GetValue())
 	is.True(dropped > 0)
-	close(g.open)
+	close(g.unblocked)
 	q.Close()
-	is.Equal(strings.Count(g.text.String(), string(line)), lines-dropped)
-	is.True(strings.Contains(g.text.String(), "Log lines were dropped."))
-	_, err = q.Write(line) // behind the end nothing is written, and nothing breaks
+	is.Equal(strings.Count(g.written.String(), string(line)), lines-dropped)
+	is.True(strings.Contains(g.written.String(), "Log lines were dropped."))
+	_, err = q.Write(line) // a Write after Close is dropped without an error
 	is.NoErr(err)
 }
 
-// BenchmarkWrite is the cost of one line of 200 bytes while the log is read.
+// BenchmarkWrite measures one line of 200 bytes while the output accepts all writes.
 func BenchmarkWrite(b *testing.B) {
 	q := New(discard{}, prometheus.NewRegistry())
 	defer q.Close()
--- a/internal/netio/idle.go
+++ b/internal/netio/idle.go
@@ -9,12 +9,13 @@
 // Errors of CheckIdle.
 var (
 	errClosed     = errors.New("the peer closed the connection")
-	errUnexpected = errors.New("bytes on an idle connection")
+	errUnexpected = errors.New("unexpected data on an idle connection")
 )
 
-// CheckIdle returns an error when the peer has closed an idle connection or sent
-// something on it. It looks at the socket without a round trip, and says nothing
-// about a connection that has gone silent or is no socket.
+// CheckIdle returns an error if the peer has closed an idle connection or sent data
+// on it. It peeks at the socket without a round trip, so it does not detect a
+// peer that has become unreachable, and it returns nil for a connection that is
+// not a socket.
 func CheckIdle(conn net.Conn) error {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -24,12 +25,12 @@
 	if err != nil {
 		return err
 	}
-	var found error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		found = peek(int(fd))
+		peekErr = peek(int(fd))
 		return true
 	})
-	return errors.Join(err, found)
+	return errors.Join(err, peekErr)
 }
 
 func peek(fd int) error {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,5 +1,5 @@
-// Package netio is the seam between the product and the network, so that the
-// same code runs over TCP in production and over pipes under virtual time.
+// Package netio abstracts the network, so that the same code runs over TCP in
+// production and over in-memory pipes in tests with virtual time.
 package netio
 
 import (
--- a/internal/netio/tcp.go
+++ b/internal/netio/tcp.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// keepAlive has the kernel probe an idle connection. Something between two ends
-// may lose track of an open connection; without probes it stays open and silent
-// for ever. With these it breaks within three seconds.
+// keepAlive makes the kernel probe idle connections. A device between the two ends
+// may drop its state of an open connection; without probes the connection would then
+// stay open forever without data. With these settings it fails within three seconds.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 4}
 
-// userTimeout is how long sent bytes may stay without an acknowledgement before
-// the kernel breaks the connection, in milliseconds. It covers a connection that
-// goes silent while something is under way, which no keep-alive probe does.
+// userTimeout is how long sent data may remain unacknowledged before the kernel
+// closes the connection, in milliseconds. It covers a peer that becomes unreachable
+// while data is in flight, when no keep-alive probes are sent.
 const userTimeout = 3000
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-// TCP is the Network of the running process.
+// TCP is the Network over the operating system's TCP sockets.
 type TCP struct{}
 
 // Dial implements Dialer.
 func (TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{KeepAliveConfig: keepAlive, Control: boundSilence}
+	d := net.Dialer{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// boundSilence sets the user timeout of a new connection.
-func boundSilence(_, _ string, raw syscall.RawConn) error {
-	var failure error
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeout)
+		setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeout)
 	})
-	return errors.Join(err, failure)
+	return errors.Join(err, setErr)
 }
 
 // Listen implements Network.
