--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -22,28 +22,28 @@
 }
 
 // Run implements Session.
-func (w *idleSession) Run() {
+func (s *idleSession) Run() {
 	disconnected := make(chan struct{})
 	go func() {
 		defer close(disconnected)
 		var one [1]byte
-		_, _ = w.conn.Read(one[:])
+		_, _ = s.conn.Read(one[:])
 	}()
 	select {
-	case <-w.woken:
+	case <-s.woken:
 	case <-disconnected:
 	}
 }
 
 // Wake implements Session.
-func (w *idleSession) Wake() { close(w.woken) }
+func (s *idleSession) Wake() { close(s.woken) }
 
 // pipeListener is a listener that accepts the connections sent on the channel.
 type pipeListener chan net.Conn
 
 // Accept implements net.Listener.
-func (a pipeListener) Accept() (net.Conn, error) {
-	conn, ok := <-a
+func (l pipeListener) Accept() (net.Conn, error) {
+	conn, ok := <-l
 	if !ok {
 		return nil, net.ErrClosed
 	}
@@ -51,10 +51,10 @@
 }
 
 // Close implements net.Listener.
-func (a pipeListener) Close() error { close(a); return nil }
+func (l pipeListener) Close() error { close(l); return nil }
 
 // Addr implements net.Listener.
-func (a pipeListener) Addr() net.Addr { return nil }
+func (l pipeListener) Addr() net.Addr { return nil }
 
 // serverFixture is a server and the result codes with which it rejected callers.
 type serverFixture struct {
@@ -150,9 +150,9 @@
 }
 
 // Run implements Session: it replies when its statement was cancelled.
-func (a *busySession) Run() {
-	<-a.server.Units().Done()
-	_, _ = a.conn.Write([]byte("answer"))
+func (s *busySession) Run() {
+	<-s.server.Units().Done()
+	_, _ = s.conn.Write([]byte("answer"))
 }
 
 // Wake implements Session. The session is not idle.
--- a/internal/execution/unit.go
+++ b/internal/execution/unit.go
@@ -2,7 +2,7 @@
 // that runs it at a group: admission, choice of a member, sending, confirmation,
 // and the complete reply.
 //
-// A unit is what a caller sends before it waits for the next ReadyForQuery: one
+// A unit is what a caller sends before it waits for the complete reply: one
 // statement, or the messages of a batch. The caller's session builds it on the
 // entry instance, and a home instance of the group runs it. The two may be the
 // same process or connected by a peer connection; both cases use the same types.
@@ -114,8 +114,8 @@
 
 // Reply is the reply to one unit.
 type Reply struct {
-	// Messages are the encoded messages for the caller, without the final
-	// ReadyForQuery.
+	// Messages are the encoded messages for the caller, without the one that ends the
+	// reply (ReadyForQuery in the PostgreSQL protocol).
 	Messages []byte `json:"messages"`
 	// Token is the session's new token.
 	Token logpos.Token `json:"token"`
--- a/internal/frontend/authenticate.go
+++ b/internal/frontend/authenticate.go
@@ -10,23 +10,23 @@
 	"github.com/xdg-go/scram"
 )
 
-// mechanism is the one SASL mechanism that callers may use.
-const mechanism = "SCRAM-SHA-256"
+// saslMechanism is the only supported SASL mechanism.
+const saslMechanism = "SCRAM-SHA-256"
 
 // noDeadline clears a connection's deadlines.
 var noDeadline time.Time
 
 // authenticate checks the caller's user and password against the service
-// document. The same error answers an unknown user and a wrong password, and
-// both go through the whole exchange, so that neither tells which users exist.
-func (n *session) authenticate(backend *pgproto3.Backend, m *pgproto3.StartupMessage) error {
-	directory := n.server.config.Directory
+// document. An unknown user and a wrong password get the same error after the
+// same exchange, so that the reply does not reveal which users exist.
+func (s *session) authenticate(backend *pgproto3.Backend, m *pgproto3.StartupMessage) error {
+	directory := s.server.config.Directory
 	if !directory.Ready() {
 		return result.New(result.NotReady, "no service document is known yet").WithRetryAfter(callers.RetryAfterFull)
 	}
-	service, ok := directory.FindService(n.state.Group)
+	service, ok := directory.FindService(s.state.Group)
 	if !ok {
-		return result.New(result.UnknownGroup, "%q", n.state.Group)
+		return result.New(result.UnknownGroup, "%q", s.state.Group)
 	}
 	user, known := service.FindUser(m.Parameters["user"])
 	credentials := decoyCredentials
@@ -37,21 +37,21 @@
 		}
 		credentials = c
 	}
-	if err := n.exchangeSCRAM(backend, credentials); err != nil || !known {
+	if err := s.exchangeSCRAM(backend, credentials); err != nil || !known {
 		return result.New(result.AuthFailed, "user %q", m.Parameters["user"])
 	}
-	n.user = user.Name
+	s.user = user.Name
 	return nil
 }
 
-// decoyCredentials match no password.
+// decoyCredentials stand in for an unknown user's credentials. They match no password.
 var decoyCredentials = scram.StoredCredentials{
 	KeyFactors: scram.KeyFactors{Salt: "topazrock-no-user", Iters: 4096},
 	StoredKey:  make([]byte, 32),
 	ServerKey:  make([]byte, 32),
 }
 
-func (n *session) exchangeSCRAM(backend *pgproto3.Backend, credentials scram.StoredCredentials) error {
+func (s *session) exchangeSCRAM(backend *pgproto3.Backend, credentials scram.StoredCredentials) error {
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) {
 		return credentials, nil
 	})
@@ -59,7 +59,7 @@
 		return err
 	}
 	conversation := server.NewConversation()
-	if !n.send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{mechanism}}) {
+	if !s.send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{saslMechanism}}) {
 		return errMalformed
 	}
 	first, err := receiveInitial(backend)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	if !n.send(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)}) {
+	if !s.send(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)}) {
 		return errMalformed
 	}
 	final, err := receiveFinal(backend)
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if !n.send(&pgproto3.AuthenticationSASLFinal{Data: []byte(proof)}) {
+	if !s.send(&pgproto3.AuthenticationSASLFinal{Data: []byte(proof)}) {
 		return errMalformed
 	}
 	return nil
@@ -96,7 +96,7 @@
 		return "", err
 	}
 	r, ok := m.(*pgproto3.SASLInitialResponse)
-	if !ok || r.AuthMechanism != mechanism {
+	if !ok || r.AuthMechanism != saslMechanism {
 		return "", errMalformed
 	}
 	return string(r.Data), nil
--- a/internal/frontend/batch_fuzz_test.go
+++ b/internal/frontend/batch_fuzz_test.go
@@ -10,11 +10,10 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// A caller sends extended-protocol messages whose bodies are anything. A body
-// that cannot be read fails the batch with a code of the family "did not run",
-// and the messages behind it are not taken; what goes on to a member is made of
-// whole messages, one step each. Otherwise a member would get a batch that
-// lacks its middle.
+// A caller sends extended-protocol messages with arbitrary bodies. A body that
+// cannot be decoded fails the batch with a code of the family "did not run", and
+// the messages after it are ignored. What is sent to a member consists of complete
+// messages, one per step. Otherwise a member could get a batch with missing messages.
 func FuzzBatch(f *testing.F) {
 	f.Add(encode(&pgproto3.Parse{Query: "SELECT 1"}, &pgproto3.Bind{}, &pgproto3.Describe{ObjectType: 'P'}, &pgproto3.Execute{}))
 	f.Add(encode(&pgproto3.Parse{Name: "s", Query: "SELECT $1", ParameterOIDs: []uint32{23}}, &pgproto3.Describe{ObjectType: 'S', Name: "s"}))
@@ -41,29 +40,29 @@
 			if err != nil {
 				break
 			}
-			failed, steps := b.failure, len(b.shape)
-			b.add(message, fuzzLimit)
-			checkStep(t, b, failed, steps)
+			priorFailure, priorSteps := b.failure, len(b.shape)
+			b.addMessage(message, fuzzLimit)
+			checkStep(t, b, priorFailure, priorSteps)
 		}
 		checkBatch(t, b)
 	})
 }
 
-// checkStep checks what one message did to the batch.
-func checkStep(t *testing.T, b *batch, failed error, steps int) {
+// checkStep checks the effect of one message on the batch.
+func checkStep(t *testing.T, b *batch, priorFailure error, priorSteps int) {
 	t.Helper()
-	grown := len(b.shape) - steps
+	added := len(b.shape) - priorSteps
 	switch {
-	case failed != nil && (b.failure != failed || grown != 0):
-		t.Fatal("a message was taken behind a failed one")
-	case b.failure != nil && grown != 0:
-		t.Fatal("a refused message left a step")
-	case b.failure == nil && grown != 1:
-		t.Fatalf("a message that was taken left %d steps", grown)
+	case priorFailure != nil && (b.failure != priorFailure || added != 0):
+		t.Fatal("a message was added after a failed one")
+	case b.failure != nil && added != 0:
+		t.Fatal("a rejected message added a step")
+	case b.failure == nil && added != 1:
+		t.Fatalf("an accepted message added %d steps", added)
 	}
 }
 
-// checkBatch checks the batch as it would go to a member.
+// checkBatch checks the batch as it would be sent to a member.
 func checkBatch(t *testing.T, b *batch) {
 	t.Helper()
 	if e, ok := result.As(b.failure); b.failure != nil && (!ok || e.Code.Family() != result.FamilyDidNotRun) {
@@ -84,16 +83,16 @@
 			t.Fatalf("message %d of %q: %q, error %v", i, sent, kind, err)
 		}
 		if err := decode(message); err != nil {
-			t.Fatalf("message %d of %q goes to a member malformed: %v", i, sent, err)
+			t.Fatalf("message %d of %q is malformed when sent to a member: %v", i, sent, err)
 		}
 	}
 	if r.Len() != 0 {
-		t.Fatalf("%d bytes behind the last step", r.Len())
+		t.Fatalf("%d bytes after the last step", r.Len())
 	}
-	stepAnswers(string(b.shape))
+	stepReplies(string(b.shape))
 }
 
-// decode reads a message as a member does.
+// decode decodes a message as a member does.
 func decode(f frame) error {
 	decoders := map[byte]pgproto3.FrontendMessage{
 		'P': &pgproto3.Parse{}, 'B': &pgproto3.Bind{}, 'D': &pgproto3.Describe{},
--- a/internal/frontend/config.go
+++ b/internal/frontend/config.go
@@ -1,9 +1,10 @@
-// Package frontend serves callers: it accepts their connections, authenticates
-// them, cuts what they send into units, and passes each unit's answer back.
+// Package frontend serves callers that speak the PostgreSQL protocol: it accepts
+// and authenticates their connections, divides what they send into units, and
+// sends them the reply to each unit.
 //
-// An idle caller costs one goroutine that waits for the first byte of the next
+// An idle caller costs one goroutine, which waits for the first byte of the next
 // message, and a small session. Buffers come from a pool, and a worker runs each
-// unit, so that the waiting goroutine's stack stays small.
+// unit, so that the stack of the waiting goroutine stays small.
 //
 // Lock order: Server.mu, then session.mu. Neither is held across I/O.
 package frontend
@@ -19,40 +20,41 @@
 
 // Directory finds the service document in force for a group.
 type Directory interface {
-	// FindService returns the service that names the group.
+	// FindService returns the service document that contains the group.
 	FindService(group string) (*document.Service, bool)
-	// Ready reports whether any document has been learned.
+	// Ready reports whether any document has been loaded.
 	Ready() bool
 }
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	// Instance is this instance's ID.
 	Instance  string
 	Directory Directory
 	Executor  execution.Executor
-	// EndUnits ends the units that members work on, when sessions are cut off. It may be nil.
+	// EndUnits cancels the units that members are running, when a drain times out. It may be nil.
 	EndUnits func()
 	Clock    clock.Clock
 	Logger   hclog.Logger
 	Metrics  *Metrics
-	// MaxCallers bounds the connections of callers.
+	// MaxCallers is the maximum number of connected callers.
 	MaxCallers int
-	// StartupTimeout bounds the time from accept to authenticated.
+	// StartupTimeout limits the time from accepting a connection to the end of
+	// authentication.
 	StartupTimeout time.Duration
-	// MessageTimeout bounds the time from a message's first byte to its last,
+	// MessageTimeout limits the time from a message's first byte to its last,
 	// and from a batch's first message to its Sync.
 	MessageTimeout time.Duration
-	// WriteTimeout bounds one write to a caller that takes nothing.
+	// WriteTimeout limits one write to a caller that does not read.
 	WriteTimeout time.Duration
-	// MaxUnit bounds one unit, in bytes.
+	// MaxUnit limits the size of one unit, in bytes.
 	MaxUnit int
-	// ForeignCancel passes on a cancel request whose process ID is of another
+	// ForeignCancel forwards a cancel request whose process ID belongs to another
 	// instance. It may be nil.
 	ForeignCancel func(processID, secret uint32)
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultMaxCallers     = 20000
 	DefaultStartupTimeout = 10 * time.Second
--- a/internal/frontend/flush.go
+++ b/internal/frontend/flush.go
@@ -6,66 +6,66 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// flush answers what a batch has so far, before its Sync. Some drivers wait for
-// the description of a statement in this way. Only preparing and describing can
-// be answered early: what a batch runs is one unit with its Sync, since its
-// outcome is not known before.
-func (n *session) flush(b **batch) bool {
+// handleFlush replies to the messages that a batch has so far, before its Sync. Some
+// drivers use Flush to get the description of a statement. Only preparing and
+// describing can be replied to early: statements that run form one unit with the
+// Sync, because their outcome is not known before it.
+func (s *session) handleFlush(b **batch) bool {
 	switch {
-	case (*b).empty() || (*b).reported:
+	case (*b).isEmpty() || (*b).errorReported:
 		return true
 	case (*b).failure != nil:
-		return n.reportEarly(*b, (*b).failure)
-	case n.state.Lost() || (*b).runs():
-		return n.reportEarly(*b, result.New(result.NotSupported, "Flush behind a statement that runs"))
-	case (*b).local():
-		done := *b
-		*b = &batch{session: n}
-		return n.write(stepAnswers(string(done.shape))) == nil
+		return s.reportEarly(*b, (*b).failure)
+	case s.state.Lost() || (*b).executes():
+		return s.reportEarly(*b, result.New(result.NotSupported, "Flush behind a statement that runs"))
+	case (*b).isLocal():
+		completed := *b
+		*b = &batch{session: s}
+		return s.write(stepReplies(string(completed.shape))) == nil
 	}
-	r := (*b).request()
-	reply, err := n.submit(r)
+	r := (*b).toRequest()
+	reply, err := s.submit(r)
 	if err != nil {
-		return n.reportEarly(*b, err)
+		return s.reportEarly(*b, err)
 	}
-	(*b).reported = reply.Failed
+	(*b).errorReported = reply.Failed
 	if !reply.Failed {
-		*b = &batch{session: n}
+		*b = &batch{session: s}
 	}
-	return n.write(n.adopt(r, reply)) == nil
+	return s.write(s.applyReply(r, reply)) == nil
 }
 
-// reportEarly sends a batch's error before its Sync, which then answers with
+// reportEarly sends a batch's error before its Sync. The Sync is then answered with
 // ReadyForQuery alone.
-func (n *session) reportEarly(b *batch, err error) bool {
-	b.failure, b.reported = err, true
-	if n.state.Transaction != "" {
-		n.lose()
+func (s *session) reportEarly(b *batch, err error) bool {
+	b.failure, b.errorReported = err, true
+	if s.state.Transaction != "" {
+		s.loseTransaction()
 	}
 	if e, ok := result.As(err); ok {
-		n.server.config.Metrics.refused(e)
+		s.server.config.Metrics.countError(e)
 	}
-	return n.send(errorResponse(err))
+	return s.send(errorResponse(err))
 }
 
-// ready tells the caller where it stands.
-func (n *session) ready() bool {
-	return n.send(&pgproto3.ReadyForQuery{TxStatus: n.status()})
+// sendReady sends ReadyForQuery with the transaction status.
+func (s *session) sendReady() bool {
+	return s.send(&pgproto3.ReadyForQuery{TxStatus: s.status()})
 }
 
-// request is the batch as one unit with its Sync.
-func (b *batch) request() *request {
+// toRequest returns the batch and its Sync as one request.
+func (b *batch) toRequest() *request {
 	u := &execution.Unit{
 		Messages:   append(b.messages, encodedSync...),
 		Shape:      string(b.shape),
 		Statements: b.statements,
 		Unnamed:    b.unnamed,
 	}
-	return &request{unit: u, sql: b.sql, batch: b, settings: b.settings, others: b.others}
+	return &request{unit: u, sql: b.sql, batch: b, settings: b.settings, otherEffects: b.otherEffects}
 }
 
-// runs reports whether the batch does more than prepare and describe statements.
-func (b *batch) runs() bool {
+// executes reports whether the batch does more than prepare and describe statements.
+func (b *batch) executes() bool {
 	for _, step := range b.shape {
 		if step == execution.StepBind || step == execution.StepExecute {
 			return true
--- a/internal/frontend/fuzz_test.go
+++ b/internal/frontend/fuzz_test.go
@@ -12,12 +12,12 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// fuzzLimit bounds a message or a batch in the fuzz tests, in bytes.
+// fuzzLimit is the maximum size of a message or a batch in the fuzz tests, in bytes.
 const fuzzLimit = 1 << 16
 
-// A tag is cut out of whatever SQL a caller sends. It is read, left alone, or
-// refused with its own code; a class or key that is read holds nothing that a
-// member could take for an escape when the key is stored.
+// parseTag gets any SQL that a caller sends. It returns a tag, finds none, or returns
+// BadRequestTag. The class and key must not contain anything that a member could
+// interpret as an escape when the key is stored.
 func FuzzParseTag(f *testing.F) {
 	for _, s := range []string{
 		"", "SELECT 1", "SELECT 1 /*request='application'*/", "/*request='fee-payment',key='42'*/ INSERT",
@@ -44,9 +44,9 @@
 	})
 }
 
-// SET topazrock.token is answered here and every other statement goes on to a
-// member. A text that is not that SET must never be taken for it: the statement
-// would be answered as done and not run.
+// The instance itself replies to SET topazrock.token; every other statement is sent to
+// a member. Other text must never be mistaken for that SET: the caller would get a
+// success reply for a statement that has not run.
 func FuzzTokenSetting(f *testing.F) {
 	for _, s := range []string{
 		"", "SET topazrock.token = 'base-1:3:4096'", "set topazrock.token to 'x';", "SET topazrock.token='x'",
@@ -57,7 +57,7 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
-		text, ok := tokenSetting(sql)
+		text, ok := parseTokenSetting(sql)
 		if !ok {
 			if text != "" {
 				t.Fatalf("%q: %q without a setting", sql, text)
@@ -65,18 +65,17 @@
 			return
 		}
 		if firstWord(sql) != "set" || !strings.Contains(strings.ToLower(sql), TokenParameter) {
-			t.Fatalf("%q was taken for a token", sql)
+			t.Fatalf("%q was parsed as a token setting", sql)
 		}
 		token, err := logpos.ParseToken(text)
-		if err == nil && !strings.Contains(token.Group, ";") && severalStatements(sql) {
-			t.Fatalf("%q: the token %q is taken and a statement behind it dropped", sql, text)
+		if err == nil && !strings.Contains(token.Group, ";") && mayHaveSeveralStatements(sql) {
+			t.Fatalf("%q: the token %q is accepted and the statement after it is dropped", sql, text)
 		}
 	})
 }
 
-// A caller's bytes claim any length. The message is whole and as long as it
-// claims, or it is refused; no claim makes the instance set aside more than the
-// bound.
+// A message may declare any length. readFrame must return a complete message of the
+// declared length or an error, and never a message longer than the limit.
 func FuzzReadFrame(f *testing.F) {
 	f.Add([]byte{}, byte('Q'))
 	f.Add([]byte{0, 0, 0, 4}, byte('S'))
@@ -97,12 +96,12 @@
 			}
 			return
 		}
-		taken := len(data) - r.Len()
-		if got.kind != kind || len(got.bytes) != taken+1 || len(got.bytes) > fuzzLimit {
-			t.Fatalf("%d bytes taken, frame of %d", taken, len(got.bytes))
+		consumed := len(data) - r.Len()
+		if got.kind != kind || len(got.bytes) != consumed+1 || len(got.bytes) > fuzzLimit {
+			t.Fatalf("%d bytes consumed, frame of %d", consumed, len(got.bytes))
 		}
-		if claimed := binary.BigEndian.Uint32(got.bytes[1:]); int(claimed) != len(got.body())+4 {
-			t.Fatalf("length %d, body of %d", claimed, len(got.body()))
+		if declared := binary.BigEndian.Uint32(got.bytes[1:]); int(declared) != len(got.body())+4 {
+			t.Fatalf("length %d, body of %d", declared, len(got.body()))
 		}
 	})
 }
--- a/internal/frontend/hints.go
+++ b/internal/frontend/hints.go
@@ -2,14 +2,15 @@
 
 import "strings"
 
-// The marks around a comment in SQL.
+// Delimiters of a comment in SQL.
 const (
 	commentStart = "/*"
 	commentEnd   = "*/"
 )
 
-// firstWord returns the first word of an SQL text in lower case, past leading
-// comments and blanks. It is a hint that saves round trips; no promise rests on it.
+// firstWord returns the first word of an SQL text in lower case, after leading
+// comments and white space. It is a hint that saves round trips; correctness does
+// not depend on it.
 func firstWord(sql string) string {
 	sql = skipComments(sql)
 	end := strings.IndexFunc(sql, func(r rune) bool {
@@ -36,13 +37,13 @@
 	}
 }
 
-func hintBegins(sql string) bool {
+func hintBeginsTransaction(sql string) bool {
 	w := firstWord(sql)
-	return (w == "begin" || w == "start") && !severalStatements(sql)
+	return (w == "begin" || w == "start") && !mayHaveSeveralStatements(sql)
 }
 
-// hintEnds leaves out ROLLBACK TO SAVEPOINT, which ends nothing.
-func hintEnds(sql string) bool {
+// hintEndsTransaction excludes ROLLBACK TO SAVEPOINT, which does not end a transaction.
+func hintEndsTransaction(sql string) bool {
 	switch firstWord(sql) {
 	case "commit", "end", "abort":
 		return true
@@ -52,18 +53,18 @@
 	return false
 }
 
-// severalStatements reports whether more may follow the first statement.
-func severalStatements(sql string) bool {
+// mayHaveSeveralStatements reports whether another statement may follow the first one.
+func mayHaveSeveralStatements(sql string) bool {
 	i := strings.IndexByte(sql, ';')
 	return i >= 0 && strings.TrimSpace(sql[i+1:]) != ""
 }
 
-// TokenParameter is the name under which a session token goes out as a
-// ParameterStatus and comes in as a start-up parameter or SET.
+// TokenParameter is the parameter name of the session token, in the ParameterStatus
+// sent to the caller and in the caller's start-up parameters and SET statements.
 const TokenParameter = "topazrock.token"
 
-// tokenSetting returns the token of SET topazrock.token = '...' (or TO).
-func tokenSetting(sql string) (string, bool) {
+// parseTokenSetting returns the token of SET topazrock.token = '...' (or TO).
+func parseTokenSetting(sql string) (string, bool) {
 	text := strings.TrimRight(skipComments(sql), "; \t\r\n")
 	fields := strings.Fields(strings.Replace(text, "=", " = ", 1))
 	if len(fields) != 4 || !strings.EqualFold(fields[0], "set") || !strings.EqualFold(fields[1], TokenParameter) {
--- a/internal/frontend/metrics.go
+++ b/internal/frontend/metrics.go
@@ -5,10 +5,10 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Metrics counts what happens at the caller's side.
+// Metrics are the metrics of callers' connections.
 type Metrics struct {
 	callers       prometheus.Gauge
-	refusals      *prometheus.CounterVec
+	callerErrors  *prometheus.CounterVec
 	stalledWrites prometheus.Counter
 	cancels       prometheus.Counter
 }
@@ -20,7 +20,7 @@
 			Name: "topazrock_callers",
 			Help: "Callers that are connected.",
 		}),
-		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
+		callerErrors: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazrock_caller_errors_total",
 			Help: "Result codes sent to callers, by code.",
 		}, []string{"code"}),
@@ -33,12 +33,12 @@
 			Help: "Cancel requests that named a session of this instance.",
 		}),
 	}
-	r.MustRegister(m.callers, m.refusals, m.stalledWrites, m.cancels)
+	r.MustRegister(m.callers, m.callerErrors, m.stalledWrites, m.cancels)
 	return m
 }
 
-func (m *Metrics) refused(e *result.Error) {
+func (m *Metrics) countError(e *result.Error) {
 	if e != nil {
-		m.refusals.WithLabelValues(e.Code.Label()).Inc()
+		m.callerErrors.WithLabelValues(e.Code.Label()).Inc()
 	}
 }
--- a/internal/frontend/processids.go
+++ b/internal/frontend/processids.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// processIDs finds sessions by the process ID that their callers were given, for
+// processIDs finds sessions by the process ID that was sent to their callers, for
 // cancel requests.
 type processIDs struct {
-	// prefix is the upper part of every process ID that this instance gives out,
-	// so that a cancel request finds the instance it is meant for.
+	// prefix is the upper part of every process ID that this instance assigns, so
+	// that a cancel request can be forwarded to the instance of its session.
 	prefix uint32
 
 	mu       sync.Mutex
@@ -18,8 +18,8 @@
 	return &processIDs{prefix: prefix, sessions: make(map[uint32]*session)}
 }
 
-// add gives a session a process ID that no other session has.
-func (p *processIDs) add(n *session) {
+// add assigns a session a process ID that no other session has.
+func (p *processIDs) add(s *session) {
 	const mask = 1<<processIDBits - 1
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,16 +29,16 @@
 		if _, taken := p.sessions[id]; taken {
 			continue
 		}
-		n.processID = id
-		p.sessions[id] = n
+		s.processID = id
+		p.sessions[id] = s
 		return
 	}
 }
 
-func (p *processIDs) remove(n *session) {
+func (p *processIDs) remove(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.sessions, n.processID)
+	delete(p.sessions, s.processID)
 }
 
 func (p *processIDs) find(processID uint32) *session {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -4,31 +4,31 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// request is one unit on its way, with what the session has to know of it.
+// request is one unit and what the session needs to handle its reply.
 type request struct {
 	unit *execution.Unit
-	// sql is the text that carries the tag and the hints.
+	// sql is the SQL text from which the tag and the hints are read.
 	sql string
-	// batch is nil for a simple query.
+	// batch is the batch of the unit; nil for a simple query.
 	batch *batch
 	// settings are the session values that the unit changes, in order.
 	settings []setting
-	// others says that the unit does more than change session values.
-	others bool
+	// otherEffects is set when the unit does more than change session values.
+	otherEffects bool
 }
 
-// settle keeps what a good answer made of the session's values. What a
-// transaction changes lasts when it commits.
-func (n *session) settle(r *request, reply *execution.Reply) {
+// updateValues updates the session's values after a reply without an error. Changes
+// within a transaction take effect when it commits.
+func (s *session) updateValues(r *request, reply *execution.Reply) {
 	if reply.Failed {
 		r.settings = nil
 	}
-	n.staged = append(n.staged, r.settings...)
-	if n.state.Transaction != "" || len(n.staged) == 0 {
+	s.pendingSettings = append(s.pendingSettings, r.settings...)
+	if s.state.Transaction != "" || len(s.pendingSettings) == 0 {
 		return
 	}
 	if !rolledBack(reply.Messages) {
-		applySettings(&n.state, n.staged)
+		applySettings(&s.state, s.pendingSettings)
 	}
-	n.staged = nil
+	s.pendingSettings = nil
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -11,19 +11,19 @@
 // Server accepts callers and serves their sessions.
 type Server struct {
 	*callers.Server
-	config  Config
-	workers *workers
-	ids     *processIDs
+	config     Config
+	workers    *workerPool
+	processIDs *processIDs
 }
 
-// NewServer returns a Server that accepts nothing yet.
+// NewServer returns a Server. It accepts callers once Serve is called.
 func NewServer(c Config) *Server {
 	c.setDefaults()
 	c.Logger = c.Logger.Named("frontend")
-	s := &Server{config: c, workers: newWorkers(), ids: newProcessIDs(ProcessIDPrefix(c.Instance))}
+	s := &Server{config: c, workers: newWorkerPool(), processIDs: newProcessIDs(ProcessIDPrefix(c.Instance))}
 	s.Server = callers.New(callers.Config{
 		Max:       c.MaxCallers,
-		Open:      s.open,
+		Open:      s.openSession,
 		Refuse:    s.refuse,
 		EndUnits:  c.EndUnits,
 		Clock:     c.Clock,
@@ -33,34 +33,35 @@
 	return s
 }
 
-func (s *Server) open(conn net.Conn) callers.Session {
-	n := newSession(s, conn)
-	s.ids.add(n)
-	return n
+func (s *Server) openSession(conn net.Conn) callers.Session {
+	sess := newSession(s, conn)
+	s.processIDs.add(sess)
+	return sess
 }
 
-// processIDBits is how many bits of a process ID count sessions: more than the
-// settings allow callers, so that a free ID is always found.
+// processIDBits is the number of low bits of a process ID that number the sessions of
+// an instance. They allow more sessions than the settings allow callers, so that
+// there is always a free ID.
 const processIDBits = 20
 
-// PrefixOf returns the part of a process ID that tells its instance.
+// PrefixOf returns the part of a process ID that identifies its instance.
 func PrefixOf(processID uint32) uint32 { return processID >> processIDBits }
 
-// ProcessIDPrefix returns the upper half of the process IDs of an instance.
+// ProcessIDPrefix returns the upper bits that all process IDs of an instance share.
 func ProcessIDPrefix(instance string) uint32 {
 	return uint32(xxhash.Sum64String(instance)) >> processIDBits
 }
 
-// Close ends what serves sessions. Drain comes first.
+// Close stops the workers that serve sessions. Drain must be called before.
 func (s *Server) Close() { s.workers.stop() }
 
-// Cancel stops the statement of the session that a cancel request names, if the
-// session is here and the secret is right.
+// Cancel cancels the running statement of the session that a cancel request names, if
+// the session is on this instance and the secret is correct.
 func (s *Server) Cancel(processID, secret uint32) {
-	n := s.ids.find(processID)
-	if n == nil || n.secret != secret {
+	sess := s.processIDs.find(processID)
+	if sess == nil || sess.secret != secret {
 		return
 	}
 	s.config.Metrics.cancels.Inc()
-	n.cancel()
+	sess.cancel()
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -10,10 +10,10 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// An instance is allowed 70,000 callers and gets them. Each has a process ID of
-// its own; were there fewer IDs than callers, the next one to come would look for
-// a free ID for ever, with the table locked.
-func TestEveryAllowedCallerGetsItsOwnID(t *testing.T) {
+// An instance that allows 70,000 callers has that many. Each must have its own process
+// ID. If there were fewer IDs than callers, the next caller would search for a free ID
+// forever while the table is locked.
+func TestProcessIDsAreUniqueAtMaxCallers(t *testing.T) {
 	is := is.New(t)
 	const callers = 70_000
 	s := NewServer(Config{
@@ -24,10 +24,10 @@
 		MaxCallers: callers,
 	})
 	for range callers {
-		n := s.open(nil).(*session)
-		if PrefixOf(n.processID) != ProcessIDPrefix("i0") {
-			t.Fatalf("process ID %d is not of this instance", n.processID)
+		sess := s.openSession(nil).(*session)
+		if PrefixOf(sess.processID) != ProcessIDPrefix("i0") {
+			t.Fatalf("process ID %d does not have this instance's prefix", sess.processID)
 		}
 	}
-	is.Equal(len(s.ids.sessions), callers)
+	is.Equal(len(s.processIDs.sessions), callers)
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -19,22 +19,22 @@
 type session struct {
 	server    *Server
 	conn      net.Conn
-	wait      *callers.IdleWait
+	idleWait  *callers.IdleWait
 	processID uint32
 	secret    uint32
 
 	// user is the account that the caller authenticated as.
 	user  string
 	state state.State
-	// staged are the session values that the open transaction has changed.
-	staged     []setting
-	statements map[string]*statement
-	unnamed    *statement
-	units      uint64
+	// pendingSettings are the changes of session values in the open transaction.
+	pendingSettings []setting
+	statements      map[string]*statement
+	unnamed         *statement
+	unitCount       uint64
 
 	// mu guards running.
 	mu sync.Mutex
-	// running is the ID of the unit at work; empty when there is none.
+	// running is the ID of the running unit; empty if there is none.
 	running string
 }
 
@@ -42,99 +42,101 @@
 	var secret [4]byte
 	_, _ = rand.Read(secret[:])
 	return &session{
-		server: s,
-		conn:   conn,
-		wait:   callers.NewIdleWait(conn),
-		secret: binary.BigEndian.Uint32(secret[:]),
-		state:  state.State{Roaming: true},
+		server:   s,
+		conn:     conn,
+		idleWait: callers.NewIdleWait(conn),
+		secret:   binary.BigEndian.Uint32(secret[:]),
+		state:    state.State{Roaming: true},
 	}
 }
 
-func (n *session) define(name string, s *statement) {
-	if n.statements == nil {
-		n.statements = make(map[string]*statement)
+func (s *session) defineStatement(name string, st *statement) {
+	if s.statements == nil {
+		s.statements = make(map[string]*statement)
 	}
-	n.statements[name] = s
+	s.statements[name] = st
 }
 
 // Run implements callers.Session.
-func (n *session) Run() {
-	defer n.server.ids.remove(n)
+func (s *session) Run() {
+	defer s.server.processIDs.remove(s)
 	started := false
-	n.server.workers.do(func() { started = n.start() })
+	s.server.workers.run(func() { started = s.start() })
 	if !started {
 		return
 	}
-	defer func() { n.state.Abandon(n.server.config.Executor) }()
+	defer func() { s.state.Abandon(s.server.config.Executor) }()
 	for {
-		kind, err := n.waitForMessage()
+		kind, err := s.waitForMessage()
 		if err != nil {
-			n.leave(err)
+			s.sendShutdownNotice(err)
 			return
 		}
-		var open bool
-		n.server.workers.do(func() { open = n.serve(kind) })
-		if !open {
+		var keepOpen bool
+		s.server.workers.run(func() { keepOpen = s.serve(kind) })
+		if !keepOpen {
 			return
 		}
 	}
 }
 
-// waitForMessage waits for the first byte of the next message. An open transaction goes on
-// through a drain until the caller ends it or sessions are cut off.
-func (n *session) waitForMessage() (byte, error) {
+// waitForMessage waits for the first byte of the next message. During a drain, a session with
+// an open transaction continues until the caller ends it or the drain times out.
+func (s *session) waitForMessage() (byte, error) {
 	for {
-		if n.server.Draining() && n.state.Transaction == "" || n.server.Units().Err() != nil {
+		if s.server.Draining() && s.state.Transaction == "" || s.server.Units().Err() != nil {
 			return 0, errDraining
 		}
-		first, err := n.firstByte(time.Time{})
+		first, err := s.readFirstByte(time.Time{})
 		if !errors.Is(err, callers.ErrWoken) {
 			return first, err
 		}
 	}
 }
 
-// firstByte waits for the first byte of a message until a time; zero for no bound.
-func (n *session) firstByte(until time.Time) (byte, error) {
+// readFirstByte waits for the first byte of a message until the deadline; the zero time
+// means no deadline.
+func (s *session) readFirstByte(deadline time.Time) (byte, error) {
 	var first [1]byte
-	err := n.wait.Read(until, func() error {
-		_, err := n.conn.Read(first[:])
+	err := s.idleWait.Read(deadline, func() error {
+		_, err := s.conn.Read(first[:])
 		return err
 	})
 	return first[0], err
 }
 
 // Wake implements callers.Session: it interrupts the wait for a message.
-func (n *session) Wake() { n.wait.Wake() }
+func (s *session) Wake() { s.idleWait.Wake() }
 
 var errDraining = errors.New("instance is draining")
 
-// leave tells the caller of a planned stop. Other ends need no words.
-func (n *session) leave(err error) {
+// sendShutdownNotice tells the caller about a planned shutdown. A session that ends for
+// another reason gets no message.
+func (s *session) sendShutdownNotice(err error) {
 	if errors.Is(err, errDraining) {
-		n.send(fatal(shutdownState, "this instance is shutting down; connect again"))
+		s.send(fatal(sqlStateAdminShutdown, "this instance is shutting down; connect again"))
 	}
 }
 
-// serve handles messages until nothing more has arrived. It returns false when
-// the session is over.
-func (n *session) serve(kind byte) bool {
-	r := readers.Get().(*bufio.Reader)
-	r.Reset(n.conn)
+// serve handles messages until no further data has arrived. It returns false when
+// the session has ended.
+func (s *session) serve(kind byte) bool {
+	r := readerPool.Get().(*bufio.Reader)
+	r.Reset(s.conn)
 	defer func() {
 		r.Reset(nil)
-		readers.Put(r)
+		readerPool.Put(r)
 	}()
-	b := &batch{session: n}
+	b := &batch{session: s}
 	for {
-		open := n.serveMessage(r, kind, &b)
-		if !open {
+		keepOpen := s.serveMessage(r, kind, &b)
+		if !keepOpen {
 			return false
 		}
-		if r.Buffered() == 0 && b.empty() {
+		if r.Buffered() == 0 && b.isEmpty() {
 			return true
 		}
-		next, err := n.nextKind(r)
+		next, err := s.readMessageType(r)
 		if err != nil {
 			return false
 		}
@@ -142,82 +144,84 @@
 	}
 }
 
-// nextKind reads the type of a message that belongs to what has begun.
-func (n *session) nextKind(r *bufio.Reader) (byte, error) {
-	if err := n.limitRead(); err != nil {
+// readMessageType reads the type of the next message in the buffer or in an unfinished
+// batch.
+func (s *session) readMessageType(r *bufio.Reader) (byte, error) {
+	if err := s.setReadDeadline(); err != nil {
 		return 0, err
 	}
 	return r.ReadByte()
 }
 
-// limitRead bounds the wait for bytes that must follow. A caller that sends
-// half a message and stalls would otherwise hold a worker and a buffer for ever.
-func (n *session) limitRead() error {
-	return n.conn.SetReadDeadline(n.server.config.Clock.Now().Add(n.server.config.MessageTimeout))
+// setReadDeadline limits the wait for the rest of a message or batch. Without it, a
+// caller that sends half a message and stalls would occupy a worker and a buffer
+// forever.
+func (s *session) setReadDeadline() error {
+	return s.conn.SetReadDeadline(s.server.config.Clock.Now().Add(s.server.config.MessageTimeout))
 }
 
-func (n *session) serveMessage(r *bufio.Reader, kind byte, b **batch) bool {
-	if err := n.limitRead(); err != nil {
+func (s *session) serveMessage(r *bufio.Reader, kind byte, b **batch) bool {
+	if err := s.setReadDeadline(); err != nil {
 		return false
 	}
-	f, err := readFrame(r, kind, n.server.config.MaxUnit)
+	f, err := readFrame(r, kind, s.server.config.MaxUnit)
 	if err != nil {
-		n.broken(err)
+		s.reportProtocolError(err)
 		return false
 	}
-	if err := n.conn.SetReadDeadline(time.Time{}); err != nil {
+	if err := s.conn.SetReadDeadline(time.Time{}); err != nil {
 		return false
 	}
 	switch kind {
 	case 'X':
 		return false
 	case 'Q':
-		return n.query(f)
+		return s.handleQuery(f)
 	case 'S':
-		done := *b
-		*b = &batch{session: n}
-		return n.sync(done)
+		completed := *b
+		*b = &batch{session: s}
+		return s.handleSync(completed)
 	case 'd', 'c', 'f':
-		// Copy data that was under way when the copy was refused.
+		// Copy data that the caller sent before it saw that the copy was rejected.
 		return true
 	case 'H':
-		return n.flush(b)
+		return s.handleFlush(b)
 	case 'P', 'B', 'D', 'E', 'C', 'F':
-		(*b).add(f, n.server.config.MaxUnit)
+		(*b).addMessage(f, s.server.config.MaxUnit)
 		return true
 	default:
-		n.broken(errMalformed)
+		s.reportProtocolError(errMalformed)
 		return false
 	}
 }
 
-// broken tells the caller that its bytes make no sense, and counts it. A caller
-// that only hung up is not counted.
-func (n *session) broken(err error) {
+// reportProtocolError sends the caller a protocol error and counts it. A caller that
+// only disconnected is not counted.
+func (s *session) reportProtocolError(err error) {
 	if errors.Is(err, io.EOF) {
 		return
 	}
 	e := result.New(result.ProtocolViolation, "%v", err)
 	if errors.Is(err, errMessageTooLarge) {
-		e = result.New(result.StatementTooLarge, "at most %d bytes", n.server.config.MaxUnit)
+		e = result.New(result.StatementTooLarge, "at most %d bytes", s.server.config.MaxUnit)
 	}
-	n.server.config.Metrics.refused(e)
-	n.send(fatal(e.Code.SQLState(), e.Error()))
+	s.server.config.Metrics.countError(e)
+	s.send(fatal(e.Code.SQLState(), e.Error()))
 }
 
-func (n *session) setRunning(id string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.running = id
+func (s *session) setRunning(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.running = id
 }
 
-// cancel stops the unit at work, if there is one.
-func (n *session) cancel() {
-	n.mu.Lock()
-	id := n.running
-	n.mu.Unlock()
+// cancel cancels the running unit, if there is one.
+func (s *session) cancel() {
+	s.mu.Lock()
+	id := s.running
+	s.mu.Unlock()
 	if id != "" {
-		n.server.config.Executor.Cancel(n.state.Group, id)
+		s.server.config.Executor.Cancel(s.state.Group, id)
 	}
 }
 
--- a/internal/frontend/setting.go
+++ b/internal/frontend/setting.go
@@ -9,32 +9,33 @@
 	state "github.com/topazrock/topazrock/internal/session"
 )
 
-// setting is one change of a session value that a statement asks for.
+// setting is one change of a session value by a statement.
 type setting struct {
-	// name is the value's, in lower case; allSettings stands for every one.
+	// name is the name of the value in lower case; allSettings means all values.
 	name string
-	// value is the new value as SQL text; empty for the member's own.
+	// value is the new value as SQL text; empty for the member's default.
 	value string
 }
 
-// allSettings is the name by which RESET takes back every value.
+// allSettings is the name with which RESET resets all values.
 const allSettings = "all"
 
-// timeZoneName is the setting that SET TIME ZONE changes.
+// timeZoneName is the name of the setting that SET TIME ZONE changes.
 const timeZoneName = "timezone"
 
-// unkeptSettings are not the session's to set. The first two change who a
-// statement runs as, which the instance decides. The others make a member refuse
-// writes with the error by which it says that it does not lead, and the instance
-// would look for another primary.
-var unkeptSettings = []string{
+// unsupportedSettings are settings that a session must not change. The first two change
+// the role that a statement runs as, which the instance decides. The next two make a
+// member reject writes with the same error as a member that is not the primary, and the
+// instance would search for another primary. The session token is set by a statement of
+// its own.
+var unsupportedSettings = []string{
 	"role", "session_authorization", "default_transaction_read_only", "transaction_read_only", TokenParameter,
 }
 
-// parseSettings reads a text that does nothing but change session values. Settings
-// is false for a text that does not begin with such a statement. A text that does
-// and cannot be kept gives an error.
-func parseSettings(sql string) (changes []setting, settings bool, err error) {
+// parseSettings parses a text that only changes session values. The result isSettings
+// is false if the text does not begin with such a statement. If it does, but is not
+// supported as a whole, parseSettings returns an error.
+func parseSettings(sql string) (changes []setting, isSettings bool, err error) {
 	if !changesSettings(sql) {
 		return nil, false, nil
 	}
@@ -55,15 +56,15 @@
 		return nil, true, result.New(result.NotSupported, "this SET is not kept for the session; plain values are: SET name = 'value'")
 	}
 	for _, c := range changes {
-		if slices.Contains(unkeptSettings, c.name) {
+		if slices.Contains(unsupportedSettings, c.name) {
 			return nil, true, result.New(result.NotSupported, "%s is not kept for the session", c.name)
 		}
 	}
 	return changes, true, nil
 }
 
-// changesSettings reports whether sql begins with a statement whose effect would
-// outlive its transaction.
+// changesSettings reports whether sql begins with a statement that changes settings
+// beyond the current transaction.
 func changesSettings(sql string) bool {
 	fields := strings.Fields(strings.ToLower(skipComments(sql)))
 	if len(fields) < 2 {
@@ -80,7 +81,7 @@
 	return false
 }
 
-// parseSetting reads one statement.
+// parseSetting parses one SET, RESET or DISCARD statement.
 func parseSetting(tokens []string) (setting, bool) {
 	first, rest := strings.ToLower(tokens[0]), tokens[1:]
 	if first == "set" && len(rest) > 0 && strings.EqualFold(rest[0], "session") {
@@ -91,8 +92,8 @@
 	}
 	c := setting{name: strings.ToLower(rest[0])}
 	rest = rest[1:]
-	zone := c.name == "time" && len(rest) > 0 && strings.EqualFold(rest[0], "zone")
-	if zone {
+	isTimeZone := c.name == "time" && len(rest) > 0 && strings.EqualFold(rest[0], "zone")
+	if isTimeZone {
 		c.name, rest = timeZoneName, rest[1:]
 	}
 	switch first {
@@ -101,7 +102,7 @@
 	case "discard":
 		return c, len(rest) == 0 && c.name == allSettings
 	}
-	if !zone {
+	if !isTimeZone {
 		if len(rest) == 0 || rest[0] != "=" && !strings.EqualFold(rest[0], "to") {
 			return setting{}, false
 		}
@@ -112,8 +113,8 @@
 	return c, ok && isSettingName(c.name) && c.name != allSettings
 }
 
-// parseValue reads the values of SET, with commas between them. DEFAULT gives the
-// member's own.
+// parseValue parses the comma-separated values of SET. DEFAULT gives an empty value,
+// which means the member's default.
 func parseValue(tokens []string) (string, bool) {
 	if len(tokens)%2 == 0 {
 		return "", false
@@ -134,7 +135,7 @@
 	return strings.Join(values, ", "), true
 }
 
-// isSettingName reports whether name is a setting's: words with dots between them.
+// isSettingName reports whether name is a valid setting name: words separated by dots.
 func isSettingName(name string) bool {
 	for _, word := range strings.Split(name, ".") {
 		if word == "" || wordLength(word) != len(word) || word[0] < 'A' {
@@ -144,9 +145,9 @@
 	return true
 }
 
-// settingTokens cuts a text into words, numbers, quoted texts and the marks
-// between them. False means that it holds anything else, which is then not known
-// to be harmless in front of another session's statement.
+// settingTokens splits a text into words, numbers, quoted strings and punctuation. It
+// returns false if the text contains anything else, because that might not be safe to
+// run before another session's statement.
 func settingTokens(sql string) ([]string, bool) {
 	var tokens []string
 	for {
@@ -163,33 +164,32 @@
 	}
 }
 
-// tokenLength returns the length of the token that sql begins with, in bytes; 0
-// when it is none.
+// tokenLength returns the length of the token at the start of sql, in bytes; 0 if there
+// is no valid token.
 func tokenLength(sql string) int {
 	switch c := sql[0]; c {
 	case '=', ',', ';':
 		return 1
 	case '\'', '"':
 		end := strings.IndexByte(sql[1:], c) + 2
-		text := sql[:end]
-		// Two quotes inside of a text stand for one; where that is so the text
-		// goes on, and is left to SET LOCAL.
-		if end < 2 || strings.ContainsAny(text, "\\\x00") || strings.HasPrefix(sql[end:], string(c)) {
+		quoted := sql[:end]
+		// A doubled quote inside a string is an escaped quote, after which the string
+		// continues. Such strings are rejected; SET LOCAL accepts them.
+		if end < 2 || strings.ContainsAny(quoted, "\\\x00") || strings.HasPrefix(sql[end:], string(c)) {
 			return 0
 		}
 		return end
 	}
 	n := wordLength(sql)
 	if n > 0 && n < len(sql) && (sql[n] == '\'' || sql[n] == '"') {
-		// E'...' and its like have rules of their own.
+		// Strings with a prefix, such as E'...', have other escape rules.
 		return 0
 	}
 	return n
 }
 
-// wordLength returns the length of the word, dotted name or number, with its sign,
-// at the start of s, in bytes. A second sign is none of it: two dashes would begin
-// a comment.
+// wordLength returns the length of the word, dotted name or signed number at the start
+// of s, in bytes. Only one sign is accepted, because two dashes begin a comment.
 func wordLength(s string) int {
 	for i := range len(s) {
 		c := s[i]
@@ -202,7 +202,7 @@
 	return len(s)
 }
 
-// applySettings changes a session's values.
+// applySettings applies changes to a session's values.
 func applySettings(s *state.State, changes []setting) {
 	for _, c := range changes {
 		switch {
--- a/internal/frontend/setting_test.go
+++ b/internal/frontend/setting_test.go
@@ -6,10 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// What goes in front of other statements on a shared connection is written by a
-// caller. Only texts that are surely one value each are taken; a text that hides
-// a second statement would run it for somebody else.
-func TestOnlyPlainValuesAreKept(t *testing.T) {
+// The settings that are applied before other statements on a shared connection come from
+// a caller. Only text that is certain to be a single value per setting is accepted: a
+// second statement hidden in it would run in another caller's session.
+func TestParseSettingsAcceptsOnlyPlainValues(t *testing.T) {
 	is := is.New(t)
 	for sql, want := range map[string][]setting{
 		"SET a = 1":                             {{"a", "1"}},
@@ -21,9 +21,9 @@
 		"DISCARD ALL;":                          {{"all", ""}},
 		"SET a = 'x' /*request='pay',key='1'*/": {{"a", "'x'"}},
 	} {
-		changes, settings, err := parseSettings(sql)
+		changes, isSettings, err := parseSettings(sql)
 		is.NoErr(err)
-		is.True(settings)
+		is.True(isSettings)
 		is.Equal(changes, want)
 	}
 	for _, sql := range []string{
@@ -32,20 +32,20 @@
 		"SET SESSION", "SET ROLE x", "SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY", "SET 1a = 1", "SET a = (1)",
 		"RESET SESSION AUTHORIZATION", "SET topazrock.token = 'x'; SET a = 1", "RESET role", "SET a = --x", "SET a = x--y", "SET +a = 1",
 	} {
-		changes, settings, err := parseSettings(sql)
-		is.True(settings)
+		changes, isSettings, err := parseSettings(sql)
+		is.True(isSettings)
 		if err == nil {
-			t.Errorf("%s: taken as %v", sql, changes)
+			t.Errorf("%s: accepted as %v", sql, changes)
 		}
 	}
 	for _, sql := range []string{"SELECT 1", "SET LOCAL a = 1", "SET TRANSACTION READ ONLY", "", "DISCARD PLANS", "SETTLE x"} {
-		_, settings, err := parseSettings(sql)
+		_, isSettings, err := parseSettings(sql)
 		is.NoErr(err)
-		is.True(!settings)
+		is.True(!isSettings)
 	}
 }
 
-// FuzzSettings looks for a text that is taken as settings and still holds a mark
+// FuzzSettings searches for a text that is accepted as settings but contains a character
 // that could end a value early.
 func FuzzSettings(f *testing.F) {
 	for _, sql := range []string{"SET a = 'x', \"y\"; RESET b", "SET TIME ZONE 'UTC'", "SET a = 'x\\'; SELECT 1"} {
@@ -63,10 +63,10 @@
 			if c.value == "" {
 				continue
 			}
-			// The statement that a member will get must read as the same one change.
-			again, ok, err := parseSettings("SET " + c.name + " = " + c.value)
-			if err != nil || !ok || len(again) != 1 || again[0] != c {
-				t.Fatalf("%q gives %v, which reads as %v, %v", sql, c, again, err)
+			// The statement that is sent to a member must parse to the same single change.
+			reparsed, ok, err := parseSettings("SET " + c.name + " = " + c.value)
+			if err != nil || !ok || len(reparsed) != 1 || reparsed[0] != c {
+				t.Fatalf("%q gives %v, which parses as %v, error %v", sql, c, reparsed, err)
 			}
 		}
 	})
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -11,26 +11,27 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// refusedEncryption is the answer to a request for TLS or GSS encryption, which
-// the instance leaves to the balancer in front of it.
-const refusedEncryption = 'N'
+// encryptionRefused is the reply to a request for TLS or GSS encryption, which is
+// handled by the load balancer in front of the instance.
+const encryptionRefused = 'N'
 
-// maxStartupBody bounds each message before the caller is authenticated, in
-// bytes. Those of SCRAM are a few hundred.
+// maxStartupBody limits each message before the caller is authenticated, in
+// bytes. SCRAM messages take a few hundred.
 const maxStartupBody = 16 << 10
 
-// newBackend returns the codec of a connection's start. The codec has no bound
-// of its own and sets aside what a message claims to hold: anybody who reaches
-// the port could take gigabytes with five bytes, before any password.
+// newBackend returns the codec for the start of a connection. By default the codec
+// has no size limit and allocates the length that a message declares: without the
+// limit, anyone who can reach the port could make the instance allocate gigabytes
+// with five bytes, before authentication.
 func newBackend(conn io.ReadWriter) *pgproto3.Backend {
 	b := pgproto3.NewBackend(conn, conn)
 	b.SetMaxBodyLen(maxStartupBody)
 	return b
 }
 
-// refuse tells a caller that was never registered why.
+// refuse sends the reason to a caller whose connection was rejected.
 func (s *Server) refuse(conn net.Conn, err *result.Error) {
-	s.config.Metrics.refused(err)
+	s.config.Metrics.countError(err)
 	_ = conn.SetDeadline(s.config.Clock.Now().Add(s.config.StartupTimeout))
 	backend := newBackend(conn)
 	message, receiveErr := receiveStartup(conn, backend)
@@ -46,44 +47,46 @@
 	_, _ = conn.Write(encode(r))
 }
 
-// start brings the session from accept to its first ReadyForQuery.
-func (n *session) start() bool {
-	deadline := n.server.config.Clock.Now().Add(n.server.config.StartupTimeout)
-	first, err := n.firstByte(deadline)
+// start runs the start-up of the session, up to its first ReadyForQuery.
+func (s *session) start() bool {
+	deadline := s.server.config.Clock.Now().Add(s.server.config.StartupTimeout)
+	first, err := s.readFirstByte(deadline)
 	if errors.Is(err, callers.ErrWoken) {
-		n.leave(errDraining)
+		s.sendShutdownNotice(errDraining)
 		return false
 	}
 	if err != nil {
-		n.broken(err)
+		s.reportProtocolError(err)
 		return false
 	}
-	if err := n.conn.SetDeadline(deadline); err != nil {
+	if err := s.conn.SetDeadline(deadline); err != nil {
 		return false
 	}
-	backend := newBackend(begun{n.conn, io.MultiReader(bytes.NewReader([]byte{first}), n.conn)})
-	message, err := receiveStartup(n.conn, backend)
+	backend := newBackend(startupConn{s.conn, io.MultiReader(bytes.NewReader([]byte{first}), s.conn)})
+	message, err := receiveStartup(s.conn, backend)
 	if err != nil {
-		n.broken(err)
+		s.reportProtocolError(err)
 		return false
 	}
 	switch m := message.(type) {
 	case *pgproto3.CancelRequest:
-		n.server.cancelRequest(m)
+		s.server.cancelRequest(m)
 		return false
 	case *pgproto3.StartupMessage:
-		return n.admit(backend, m)
+		return s.completeStartup(backend, m)
 	}
 	return false
 }
 
-// begun is a connection of which the first bytes were read already.
-type begun struct {
+// startupConn is a connection whose Reader first returns the byte that has already
+// been read from it.
+type startupConn struct {
 	io.Writer
 	io.Reader
 }
 
-// receiveStartup reads the start-up message, past requests for encryption.
+// receiveStartup reads the start-up message, and refuses requests for encryption that
+// precede it.
 func receiveStartup(conn net.Conn, backend *pgproto3.Backend) (pgproto3.FrontendMessage, error) {
 	for {
 		m, err := backend.ReceiveStartupMessage()
@@ -92,7 +95,7 @@
 		}
 		switch m.(type) {
 		case *pgproto3.SSLRequest, *pgproto3.GSSEncRequest:
-			if _, err := conn.Write([]byte{refusedEncryption}); err != nil {
+			if _, err := conn.Write([]byte{encryptionRefused}); err != nil {
 				return nil, err
 			}
 		default:
@@ -106,29 +109,30 @@
 		return
 	}
 	secret := uint32(m.SecretKey[0])<<24 | uint32(m.SecretKey[1])<<16 | uint32(m.SecretKey[2])<<8 | uint32(m.SecretKey[3])
-	if PrefixOf(m.ProcessID) != s.ids.prefix && s.config.ForeignCancel != nil {
+	if PrefixOf(m.ProcessID) != s.processIDs.prefix && s.config.ForeignCancel != nil {
 		s.config.ForeignCancel(m.ProcessID, secret)
 		return
 	}
 	s.Cancel(m.ProcessID, secret)
 }
 
-// admit checks who the caller is and what it wants, and tells it the initial settings.
-func (n *session) admit(backend *pgproto3.Backend, m *pgproto3.StartupMessage) bool {
-	n.state.Group = m.Parameters["database"]
-	err := n.authenticate(backend, m)
+// completeStartup authenticates the caller, applies its start-up parameters, and sends it
+// the initial settings.
+func (s *session) completeStartup(backend *pgproto3.Backend, m *pgproto3.StartupMessage) bool {
+	s.state.Group = m.Parameters["database"]
+	err := s.authenticate(backend, m)
 	if err == nil {
-		err = n.takeParameters(m.Parameters)
+		err = s.applyStartupToken(m.Parameters)
 	}
 	if err == nil {
-		err = n.takeValues(m.Parameters)
+		err = s.applyStartupValues(m.Parameters)
 	}
 	if err != nil {
-		n.refuseStartup(err)
+		s.refuseStartup(err)
 		return false
 	}
-	secret := []byte{byte(n.secret >> 24), byte(n.secret >> 16), byte(n.secret >> 8), byte(n.secret)}
-	welcome := encode(
+	secret := []byte{byte(s.secret >> 24), byte(s.secret >> 16), byte(s.secret >> 8), byte(s.secret)}
+	startupReply := encode(
 		&pgproto3.AuthenticationOk{},
 		&pgproto3.ParameterStatus{Name: "server_version", Value: serverVersion},
 		&pgproto3.ParameterStatus{Name: "client_encoding", Value: initialSettings["client_encoding"]},
@@ -136,57 +140,57 @@
 		&pgproto3.ParameterStatus{Name: "DateStyle", Value: initialSettings["datestyle"]},
 		&pgproto3.ParameterStatus{Name: "integer_datetimes", Value: "on"},
 		&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"},
-		n.tokenStatus(),
-		&pgproto3.BackendKeyData{ProcessID: n.processID, SecretKey: secret},
+		s.tokenStatus(),
+		&pgproto3.BackendKeyData{ProcessID: s.processID, SecretKey: secret},
 		&pgproto3.ReadyForQuery{TxStatus: statusIdle},
 	)
-	if n.write(welcome) != nil {
+	if s.write(startupReply) != nil {
 		return false
 	}
-	return n.conn.SetDeadline(noDeadline) == nil
+	return s.conn.SetDeadline(noDeadline) == nil
 }
 
-// initialSettings holds the values that a session is told to begin with, by setting. A
-// caller that asks for one of them needs nothing.
+// initialSettings holds the initial values that are reported to a new session, by setting
+// name. A start-up parameter that asks for the same value is ignored.
 var initialSettings = map[string]string{
 	"client_encoding": "UTF8",
 	"datestyle":       "ISO, MDY",
 }
 
-// serverVersion is what clients learn as the server's version.
+// serverVersion is the server version that is reported to clients.
 const serverVersion = "16.0 (topazrock)"
 
-func (n *session) refuseStartup(err error) {
+func (s *session) refuseStartup(err error) {
 	if e, ok := result.As(err); ok {
-		n.server.config.Metrics.refused(e)
+		s.server.config.Metrics.countError(e)
 	}
 	r := errorResponse(err)
 	r.Severity, r.SeverityUnlocalized = "FATAL", "FATAL"
 	if e, ok := result.As(err); ok && e.Code == result.AuthFailed {
-		// Drivers know PostgreSQL's own code for a wrong password.
-		r.Code = invalidPassword
+		// Drivers recognize PostgreSQL's own code for a wrong password.
+		r.Code = sqlStateInvalidPassword
 	}
-	n.send(r)
+	s.send(r)
 }
 
-// invalidPassword is PostgreSQL's SQLSTATE invalid_password.
-const invalidPassword = "28P01"
+// sqlStateInvalidPassword is PostgreSQL's SQLSTATE invalid_password.
+const sqlStateInvalidPassword = "28P01"
 
-// takeParameters takes the session's token from the start-up parameters. It may
-// come as a parameter of its own or in options, as -c topazrock.token=....
-func (n *session) takeParameters(parameters map[string]string) error {
+// applyStartupToken sets the session's token from the start-up parameters. The token
+// is either a separate parameter or part of options, as -c topazrock.token=....
+func (s *session) applyStartupToken(parameters map[string]string) error {
 	text, ok := parameters[TokenParameter]
 	if !ok {
-		text, ok = optionValues(parameters["options"])[TokenParameter]
+		text, ok = parseOptions(parameters["options"])[TokenParameter]
 	}
 	if !ok || text == "" {
 		return nil
 	}
-	t, err := n.checkToken(text)
+	t, err := s.checkToken(text)
 	if err != nil {
 		return err
 	}
-	n.state.Token = t
-	n.state.Roaming = false
+	s.state.Token = t
+	s.state.Roaming = false
 	return nil
 }
--- a/internal/frontend/tag.go
+++ b/internal/frontend/tag.go
@@ -7,20 +7,20 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Names that a request's tag may carry.
+// Names in a request's tag.
 const (
 	tagRequest = "request"
 	tagKey     = "key"
 )
 
-// tag names a request: its class in the service document, and its key.
+// tag identifies a request by its class in the service document and its key.
 type tag struct {
 	class, key string
 }
 
-// parseTag reads the request's tag from the comment that begins or ends an SQL
-// text, in the sqlcommenter form: /*request='pay-fee',key='42'*/. No SQL is
-// parsed. A comment without a request is no tag.
+// parseTag parses the request's tag in the comment at the start or end of an SQL
+// text, which has the sqlcommenter format: /*request='pay-fee',key='42'*/. The SQL
+// itself is not parsed. A comment without a request is not a tag.
 func parseTag(sql string) (tag, error) {
 	comment, ok := outerComment(sql)
 	if !ok || !strings.Contains(comment, tagRequest+"=") {
@@ -42,13 +42,13 @@
 	return t, nil
 }
 
-// outerComment returns the inside of the comment at the end of sql, or else of
-// the one at its start.
+// outerComment returns the content of the comment at the end of sql, or of the one
+// at its start if there is none at the end.
 func outerComment(sql string) (string, bool) {
 	sql = strings.TrimRight(sql, "; \t\r\n")
 	if before, ok := strings.CutSuffix(sql, commentEnd); ok {
-		// The marks must not share a byte: of "/*/" no comment is left between
-		// them, and to cut there would bring the instance down.
+		// The delimiters must not overlap, as they do in "/*/": slicing between
+		// overlapping delimiters would panic and crash the instance.
 		if i := strings.LastIndex(before, commentStart); i >= 0 {
 			return before[i+len(commentStart):], true
 		}
@@ -71,8 +71,8 @@
 		return "", "", result.New(result.BadRequestTag, "%q", pair).WithCause(err)
 	}
 	if strings.ContainsAny(value, "\\\x00") {
-		// A backslash would end up in an SQL literal, where a member may take
-		// it for an escape.
+		// The value is put into an SQL literal, where a member may interpret a
+		// backslash as an escape.
 		return "", "", result.New(result.BadRequestTag, "%q holds a backslash or a zero byte", pair)
 	}
 	return name, value, nil
--- a/internal/frontend/units.go
+++ b/internal/frontend/units.go
@@ -10,100 +10,100 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// query runs one simple query.
-func (n *session) query(f frame) bool {
+// handleQuery runs one simple query.
+func (s *session) handleQuery(f frame) bool {
 	var q pgproto3.Query
 	if err := q.Decode(f.body()); err != nil {
-		n.broken(err)
+		s.reportProtocolError(err)
 		return false
 	}
-	if text, ok := tokenSetting(q.String); ok {
-		return n.setToken(text)
+	if text, ok := parseTokenSetting(q.String); ok {
+		return s.setToken(text)
 	}
-	changes, settings, err := parseSettings(q.String)
+	changes, isSettings, err := parseSettings(q.String)
 	if err != nil {
-		return n.answerError(err, n.state.Transaction != "")
+		return s.sendError(err, s.state.Transaction != "")
 	}
-	return n.execute(&request{unit: &execution.Unit{Messages: f.bytes}, sql: q.String, settings: changes, others: !settings})
+	return s.execute(&request{unit: &execution.Unit{Messages: f.bytes}, sql: q.String, settings: changes, otherEffects: !isSettings})
 }
 
-// sync runs a batch.
-func (n *session) sync(b *batch) bool {
+// handleSync runs a batch.
+func (s *session) handleSync(b *batch) bool {
 	switch {
-	case b.reported:
-		return n.ready()
+	case b.errorReported:
+		return s.sendReady()
 	case b.failure != nil:
-		return n.answerError(b.failure, n.state.Transaction != "")
-	case b.local():
-		return n.answerLocally(b)
+		return s.sendError(b.failure, s.state.Transaction != "")
+	case b.isLocal():
+		return s.replyLocally(b)
 	}
-	return n.execute(b.request())
+	return s.execute(b.toRequest())
 }
 
-// execute runs a unit and passes its answer to the caller.
-func (n *session) execute(r *request) bool {
-	if n.state.Lost() {
-		return n.answerAborted(r.unit, r.sql)
+// execute runs a request's unit and sends the caller its reply.
+func (s *session) execute(r *request) bool {
+	if s.state.Lost() {
+		return s.replyInLostTransaction(r.unit, r.sql)
 	}
-	reply, err := n.submit(r)
+	reply, err := s.submit(r)
 	if err != nil {
-		return n.answerError(err, n.state.Transaction != "")
+		return s.sendError(err, s.state.Transaction != "")
 	}
-	return n.answer(r, reply)
+	return s.sendReply(r, reply)
 }
 
-// submit sends a unit to the executor.
-func (n *session) submit(r *request) (*execution.Reply, error) {
+// submit passes a request's unit to the executor.
+func (s *session) submit(r *request) (*execution.Reply, error) {
 	t, err := parseTag(r.sql)
 	if err != nil {
 		return nil, err
 	}
 	u := r.unit
-	n.fill(u, t, r.sql)
-	if err := n.announceValues(r); err != nil {
+	s.fillUnit(u, t, r.sql)
+	if err := s.setNextValues(r); err != nil {
 		return nil, err
 	}
-	if n.state.Transaction == "" {
-		u.Waited = n.state.Repeats.Begin(u.Messages, n.server.config.Clock.Now(), u.Timeout)
+	if s.state.Transaction == "" {
+		u.Waited = s.state.Repeats.Begin(u.Messages, s.server.config.Clock.Now(), u.Timeout)
 	}
-	ctx, cancel := context.WithCancel(n.server.Units())
+	ctx, cancel := context.WithCancel(s.server.Units())
 	defer cancel()
-	n.setRunning(u.ID)
-	reply, err := n.server.config.Executor.Execute(ctx, u, n.write)
-	n.setRunning("")
+	s.setRunning(u.ID)
+	reply, err := s.server.config.Executor.Execute(ctx, u, s.write)
+	s.setRunning("")
 	if r.batch != nil && (err != nil || reply.Failed) {
-		n.forget(r.batch.defined)
+		s.deleteStatements(r.batch.definedNames)
 	}
 	if err != nil {
-		n.state.Repeats.Refused(n.server.config.Clock.Now())
+		s.state.Repeats.Refused(s.server.config.Clock.Now())
 	}
 	if err != nil && u.Ends {
-		// Whatever became of it, the transaction is over; its home may not know.
-		n.state.Abandon(n.server.config.Executor)
-		n.staged = nil
+		// The transaction has ended, whatever its outcome; its home may not know this.
+		s.state.Abandon(s.server.config.Executor)
+		s.pendingSettings = nil
 	}
 	return reply, err
 }
 
-func (n *session) fill(u *execution.Unit, t tag, sql string) {
-	n.units++
-	u.ID = n.server.config.Instance + "-" + strconv.FormatUint(uint64(n.processID), 36) + "-" + strconv.FormatUint(n.units, 36)
-	n.state.Fill(u)
+func (s *session) fillUnit(u *execution.Unit, t tag, sql string) {
+	s.unitCount++
+	u.ID = s.server.config.Instance + "-" + strconv.FormatUint(uint64(s.processID), 36) + "-" + strconv.FormatUint(s.unitCount, 36)
+	s.state.Fill(u)
 	u.Class, u.Key = t.class, t.key
-	n.fillWorkspace(u)
-	u.Timeout = n.timeout(t.class)
-	u.Begins = hintBegins(sql)
-	u.Ends = hintEnds(sql)
+	s.setWorkspace(u)
+	u.Timeout = s.timeout(t.class)
+	u.Begins = hintBeginsTransaction(sql)
+	u.Ends = hintEndsTransaction(sql)
 }
 
-// fillWorkspace names the workspace that the unit is run for by the document in force, so that
-// an account that moves is the other workspace's from its next operation on.
-func (n *session) fillWorkspace(u *execution.Unit) {
-	service, ok := n.server.config.Directory.FindService(n.state.Group)
+// setWorkspace sets the workspace that the unit runs for according to the current document, so
+// that after a user moves to another workspace, its next operation belongs to the new one.
+func (s *session) setWorkspace(u *execution.Unit) {
+	service, ok := s.server.config.Directory.FindService(s.state.Group)
 	if !ok {
 		return
 	}
-	user, _ := service.FindUser(n.user)
+	user, _ := service.FindUser(s.user)
 	w, ok := service.FindWorkspace(user.Workspace)
 	if !ok {
 		return
@@ -114,40 +114,40 @@
 	}
 }
 
-// announceValues tells the members' side which values the session will have when
-// the unit goes well, so that the connection that ran it may be kept. What a
-// transaction sets may be rolled back; its connection is not used again.
-func (n *session) announceValues(r *request) error {
+// setNextValues sets the values that the session will have after the unit succeeds, so
+// that the connection that ran the unit can be reused. Changes within a transaction may
+// be rolled back, so the connection of such a transaction is not reused.
+func (s *session) setNextValues(r *request) error {
 	if len(r.settings) == 0 {
 		return nil
 	}
-	next, err := valuesAfter(n.state, append(slices.Clone(n.staged), r.settings...))
+	next, err := valuesAfter(s.state, append(slices.Clone(s.pendingSettings), r.settings...))
 	if err != nil {
 		return err
 	}
-	r.unit.Sets = n.state.Transaction == "" && !r.others
+	r.unit.Sets = s.state.Transaction == "" && !r.otherEffects
 	if r.unit.Sets {
 		r.unit.NextValues = next
 	}
 	return nil
 }
 
-// timeout returns the time that the service document gives a class. The entry
-// instance needs it too: a home that falls silent never answers in time.
-func (n *session) timeout(class string) time.Duration {
-	service, ok := n.server.config.Directory.FindService(n.state.Group)
+// timeout returns the timeout of a class in the service document. The entry instance
+// also applies it, in case the home instance stops responding.
+func (s *session) timeout(class string) time.Duration {
+	service, ok := s.server.config.Directory.FindService(s.state.Group)
 	if !ok {
 		return defaultTimeout
 	}
 	return service.TimeoutOf(class)
 }
 
-// defaultTimeout bounds a unit whose group no document names any more.
+// defaultTimeout limits a unit of a group that is no longer in any document.
 const defaultTimeout = 5 * time.Second
 
-// forget drops statements whose definition the member refused.
-func (n *session) forget(names []string) {
+// deleteStatements deletes prepared statements whose definition the member rejected.
+func (s *session) deleteStatements(names []string) {
 	for _, name := range names {
-		delete(n.statements, name)
+		delete(s.statements, name)
 	}
 }
--- a/internal/frontend/wire.go
+++ b/internal/frontend/wire.go
@@ -9,26 +9,26 @@
 	"sync"
 )
 
-// headerSize is the size of a message's type and length, in bytes.
+// headerSize is the size of a message's type and length fields, in bytes.
 const headerSize = 5
 
-// firstRead is how much of a message is read at first, in bytes; then as much
-// again as has arrived.
-const firstRead = 16 << 10
+// initialReadSize is the maximum size of the first read of a message, in bytes. Each further
+// read is at most as large as all data received so far.
+const initialReadSize = 16 << 10
 
 // readerSize is the size of a pooled read buffer, in bytes.
 const readerSize = 4096
 
 var (
-	errMessageTooLarge = errors.New("message is larger than the bound")
+	errMessageTooLarge = errors.New("message exceeds the size limit")
 	errMalformed       = errors.New("message is malformed")
 )
 
-// readers holds buffers that sessions use only while they have something to
-// read: an idle caller costs no buffer.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerSize) }}
+// readerPool holds read buffers. A session uses one only while it has data to read, so
+// an idle caller costs no buffer.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerSize) }}
 
-// frame is one message as it came: the whole bytes, header included.
+// frame is one encoded message, including its header.
 type frame struct {
 	kind  byte
 	bytes []byte
@@ -36,7 +36,7 @@
 
 func (f frame) body() []byte { return f.bytes[headerSize:] }
 
-// readFrame reads one message of at most limit bytes, whose type was read.
+// readFrame reads one message of at most limit bytes, whose type has already been read.
 func readFrame(r io.Reader, kind byte, limit int) (frame, error) {
 	var header [headerSize]byte
 	header[0] = kind
@@ -57,17 +57,18 @@
 	return frame{kind: kind, bytes: bytes}, nil
 }
 
-// readRest reads a message up to its length, behind what is there of it. Memory
-// follows what has arrived: callers that claim large messages and send nothing
-// would otherwise hold the bound of a unit each until the message timeout.
-func readRest(r io.Reader, begun []byte, length int) ([]byte, error) {
-	bytes := append(make([]byte, 0, min(length, firstRead)), begun...)
+// readRest reads the rest of a message of the given length, of which prefix has been
+// read. The buffer grows with the data received: otherwise each caller that declares
+// a large message and sends nothing would occupy MaxUnit bytes until the message
+// timeout.
+func readRest(r io.Reader, prefix []byte, length int) ([]byte, error) {
+	bytes := append(make([]byte, 0, min(length, initialReadSize)), prefix...)
 	for len(bytes) < length {
 		start := len(bytes)
-		n := min(length-start, max(start, firstRead-start))
+		n := min(length-start, max(start, initialReadSize-start))
 		bytes = slices.Grow(bytes, n)[:start+n]
 		_, err := io.ReadFull(r, bytes[start:])
-		if errors.Is(err, io.EOF) && start > len(begun) {
+		if errors.Is(err, io.EOF) && start > len(prefix) {
 			return nil, io.ErrUnexpectedEOF
 		}
 		if err != nil {
--- a/internal/frontend/workers.go
+++ b/internal/frontend/workers.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// workerIdle is how long a worker waits for its next task.
-const workerIdle = 10 * time.Second
+// workerIdleTimeout is how long a worker waits for its next task before it ends.
+const workerIdleTimeout = 10 * time.Second
 
-// workers runs tasks on goroutines that are kept for a while. A unit's deep
-// stack then belongs to a worker and not to each idle caller.
-type workers struct {
+// workerPool runs tasks on goroutines that are reused. The deep stack that a unit needs
+// then belongs to a worker and not to each idle caller.
+type workerPool struct {
 	tasks chan func()
-	// quit ends the workers that have no task.
+	// quit is closed to end the workers that have no task.
 	quit chan struct{}
 }
 
-func newWorkers() *workers {
-	return &workers{tasks: make(chan func()), quit: make(chan struct{})}
+func newWorkerPool() *workerPool {
+	return &workerPool{tasks: make(chan func()), quit: make(chan struct{})}
 }
 
-// stop ends the workers. No task may follow.
-func (w *workers) stop() { close(w.quit) }
+// stop ends the workers. No task may be submitted afterwards.
+func (w *workerPool) stop() { close(w.quit) }
 
-// do runs f on a worker and returns when f has ended.
-func (w *workers) do(f func()) {
+// run runs f on a worker and returns when f has ended.
+func (w *workerPool) run(f func()) {
 	done := make(chan struct{})
 	task := func() {
 		defer close(done)
@@ -30,20 +30,20 @@
 	select {
 	case w.tasks <- task:
 	default:
-		go w.work(task)
+		go w.runWorker(task)
 	}
 	<-done
 }
 
-func (w *workers) work(task func()) {
-	idle := time.NewTimer(workerIdle)
-	defer idle.Stop()
+func (w *workerPool) runWorker(task func()) {
+	idleTimer := time.NewTimer(workerIdleTimeout)
+	defer idleTimer.Stop()
 	for {
 		task()
-		idle.Reset(workerIdle)
+		idleTimer.Reset(workerIdleTimeout)
 		select {
 		case task = <-w.tasks:
-		case <-idle.C:
+		case <-idleTimer.C:
 			return
 		case <-w.quit:
 			return
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -1,6 +1,6 @@
-// Package logqueue accepts log lines from any goroutine and writes them from a single
-// one, so that a slow reader of the log never blocks a goroutine that logs. When the
-// queue is full, lines are dropped and counted; the next write reports how many.
+// Package logqueue accepts log lines from any goroutine and writes them in a single
+// goroutine, so that a slow reader of the log never blocks the code that logs. When
+// the queue is full, lines are dropped and counted; the next write reports how many.
 package logqueue
 
 import (
--- a/internal/logqueue/queue_test.go
+++ b/internal/logqueue/queue_test.go
@@ -18,20 +18,20 @@
 }
 
 // Write implements io.Writer.
-func (g *blockedWriter) Write(b []byte) (int, error) {
-	<-g.unblocked
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.written.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(b)
 }
 
 // The reader of the log has stalled. Lines are queued up to the limit, further ones are
 // dropped and counted, and Write never blocks. Later the log reports how many were dropped.
 func TestWriteDoesNotBlockOnStalledReader(t *testing.T) {
 	is := is.New(t)
-	g := &blockedWriter{unblocked: make(chan struct{})}
+	w := &blockedWriter{unblocked: make(chan struct{})}
 	r := prometheus.NewRegistry()
-	q := New(g, r)
+	q := New(w, r)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 1000
 	for range lines {
@@ -43,10 +43,10 @@
 	is.NoErr(err)
 	dropped := int(families[0].GetMetric()[0].GetCounter().GetValue())
 	is.True(dropped > 0)
-	close(g.unblocked)
+	close(w.unblocked)
 	q.Close()
-	is.Equal(strings.Count(g.written.String(), string(line)), lines-dropped)
-	is.True(strings.Contains(g.written.String(), "Log lines were dropped."))
+	is.Equal(strings.Count(w.written.String(), string(line)), lines-dropped)
+	is.True(strings.Contains(w.written.String(), "Log lines were dropped."))
 	_, err = q.Write(line) // a Write after Close is dropped without an error
 	is.NoErr(err)
 }
