--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -100,8 +100,8 @@
 	lingeringClose(conn, s.config.Clock.Now())
 }
 
-// register adds a session, or rejects it if the instance is draining or has reached the
-// maximum of callers.
+// register opens and adds the session of a connection. It returns an error if the
+// server is draining or has reached the maximum number of callers.
 func (s *Server) register(conn net.Conn) (Session, *result.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/execution/unit.go
+++ b/internal/execution/unit.go
@@ -7,7 +7,7 @@
 // entry instance, and a home instance of the group runs it. The two may be the
 // same process or connected by a peer connection; both cases use the same types.
 //
-// The core reads only the fields that decide where and how a unit runs. The
+// The executor reads only the fields that decide where and how a unit runs. The
 // format of the messages is known only to the two codecs at the ends: that of the
 // caller's protocol and that of the members' protocol.
 package execution
--- a/internal/frontend/units.go
+++ b/internal/frontend/units.go
@@ -78,7 +78,8 @@
 		s.state.Repeats.Refused(s.server.config.Clock.Now())
 	}
 	if err != nil && u.Ends {
-		// The transaction has ended, whatever its outcome; its home may not know this.
+		// The transaction has ended, whatever its outcome. Its home instance may not have
+		// received this unit.
 		s.state.Abandon(s.server.config.Executor)
 		s.pendingSettings = nil
 	}
