--- a/cmd/topazrock-standin/main.go
+++ b/cmd/topazrock-standin/main.go
@@ -1,5 +1,5 @@
-// Command topazrock-standin plays the platform and the database members in
-// tests, and runs the demo and the bench.
+// Command topazrock-standin simulates the platform and the database members for
+// tests, and runs the demo and the benchmark.
 package main
 
 import (
--- a/cmd/topazrock/main.go
+++ b/cmd/topazrock/main.go
@@ -1,5 +1,5 @@
-// Command topazrock is a database proxy with session consistency, and its
-// command line.
+// Command topazrock runs the database proxy and provides the command line to
+// operate it.
 package main
 
 import (
--- a/cmd/topazrock/operator_test.go
+++ b/cmd/topazrock/operator_test.go
@@ -12,65 +12,65 @@
 	"github.com/topazrock/topazrock/internal/cli"
 )
 
-// operator runs a command against the administration API of an instance and
-// returns its exit code and what it printed.
-func (p *processes) operator(i int, arguments ...string) (int, string) {
-	arguments = append([]string{"--api", p.admins[i]}, arguments...)
-	out, err := exec.Command(filepath.Join(p.folder, "topazrock"), arguments...).CombinedOutput()
+// runCLI runs a command against the administration API of instance i and returns
+// its exit code and output.
+func (d *testDeployment) runCLI(i int, arguments ...string) (int, string) {
+	arguments = append([]string{"--api", d.admins[i]}, arguments...)
+	out, err := exec.Command(filepath.Join(d.dir, "topazrock"), arguments...).CombinedOutput()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		return exit.ExitCode(), string(out)
 	}
-	p.is.NoErr(err)
+	d.is.NoErr(err)
 	return cli.ExitOK, string(out)
 }
 
-// faults sets the platform's switches.
-func (p *processes) faults(body string) {
-	answer, err := http.Post("http://"+p.platform+"/v1/faults", "application/json", strings.NewReader(body))
-	p.is.NoErr(err)
-	p.is.NoErr(answer.Body.Close())
+// setFaults configures the faults that the platform simulates.
+func (d *testDeployment) setFaults(body string) {
+	response, err := http.Post("http://"+d.platform+"/v1/faults", "application/json", strings.NewReader(body))
+	d.is.NoErr(err)
+	d.is.NoErr(response.Body.Close())
 }
 
-// An operator edits version 1. In order: the change is accepted; a second
-// operator who edited version 1 too is told which version stands; the answer to
-// a stored change is lost on the way from the platform; the platform is down;
-// an instance drains. Each must be reported as what it is: an operator who is
-// told the wrong outcome applies twice, or walks away from a lost change.
-func TestOperatorIsToldWhatBecameOfAChange(t *testing.T) {
-	p := startProcesses(t)
-	code, text := p.operator(0, "get", "service")
-	p.is.Equal(code, cli.ExitOK)
-	edited := filepath.Join(p.folder, "edited.ini")
-	p.is.NoErr(os.WriteFile(edited, []byte(text), 0o600))
+// Operators apply changes in five situations: version 1 is current; version 1 was
+// replaced by another operator's change; the platform stores the change but its
+// response is lost; the platform is down; an instance has drained. Each outcome must
+// be reported correctly: after a wrong report, an operator would apply a change
+// twice or not notice that it is lost.
+func TestCLIReportsApplyOutcomes(t *testing.T) {
+	d := startDeployment(t)
+	code, text := d.runCLI(0, "get", "service")
+	d.is.Equal(code, cli.ExitOK)
+	edited := filepath.Join(d.dir, "edited.ini")
+	d.is.NoErr(os.WriteFile(edited, []byte(text), 0o600))
 
-	code, out := p.operator(0, "apply", "--wait", "--operator", "ana", edited)
-	p.is.Equal(code, cli.ExitOK)
-	p.is.True(strings.Contains(out, "accepted as version 2"))
-	code, out = p.operator(1, "apply", "--operator", "rui", edited)
-	p.is.Equal(code, cli.ExitConflict)
-	p.is.True(strings.Contains(out, "version 2 by ana stands"))
+	code, out := d.runCLI(0, "apply", "--wait", "--operator", "ana", edited)
+	d.is.Equal(code, cli.ExitOK)
+	d.is.True(strings.Contains(out, "accepted as version 2"))
+	code, out = d.runCLI(1, "apply", "--operator", "rui", edited)
+	d.is.Equal(code, cli.ExitConflict)
+	d.is.True(strings.Contains(out, "version 2 by ana stands"))
 
-	p.faults(`{"lose_answers":1}`)
-	code, out = p.operator(2, "apply", "--wait", "--if-version", "2", edited)
-	p.is.Equal(code, cli.ExitOK)
-	p.is.True(strings.Contains(out, "accepted as version 3"))
+	d.setFaults(`{"lose_answers":1}`)
+	code, out = d.runCLI(2, "apply", "--wait", "--if-version", "2", edited)
+	d.is.Equal(code, cli.ExitOK)
+	d.is.True(strings.Contains(out, "accepted as version 3"))
 
-	p.faults(`{"outage":true}`)
-	code, _ = p.operator(0, "apply", "--if-version", "3", edited)
-	p.is.Equal(code, cli.ExitNoEffect)
-	code, out = p.operator(0, "versions", "service")
-	p.is.Equal(code, cli.ExitOK)
-	p.is.Equal(strings.Count(out, " 3 "), len(processDomains)) // all have version 3 in force
-	p.faults(`{}`)
+	d.setFaults(`{"outage":true}`)
+	code, _ = d.runCLI(0, "apply", "--if-version", "3", edited)
+	d.is.Equal(code, cli.ExitNotStored)
+	code, out = d.runCLI(0, "versions", "service")
+	d.is.Equal(code, cli.ExitOK)
+	d.is.Equal(strings.Count(out, " 3 "), len(failureDomains)) // all have version 3 in force
+	d.setFaults(`{}`)
 
-	code, out = p.operator(0, "status")
-	p.is.Equal(code, cli.ExitOK)
-	p.is.True(strings.Contains(out, "primary"))
-	code, _ = p.operator(2, "drain")
-	p.is.Equal(code, cli.ExitOK)
-	p.is.NoErr(p.instance(2).Wait()) // the process exits with 0
-	code, out = p.operator(0, "apply", "--wait", "--wait-time", "2s", "--if-version", "3", edited)
-	p.is.Equal(code, cli.ExitNotEverywhere)
-	p.is.True(strings.Contains(out, "i2"))
+	code, out = d.runCLI(0, "status")
+	d.is.Equal(code, cli.ExitOK)
+	d.is.True(strings.Contains(out, "primary"))
+	code, _ = d.runCLI(2, "drain")
+	d.is.Equal(code, cli.ExitOK)
+	d.is.NoErr(d.instanceProcess(2).Wait()) // exit code 0
+	code, out = d.runCLI(0, "apply", "--wait", "--wait-time", "2s", "--if-version", "3", edited)
+	d.is.Equal(code, cli.ExitNotAllInstances)
+	d.is.True(strings.Contains(out, "i2"))
 }
--- a/cmd/topazrock/processes_test.go
+++ b/cmd/topazrock/processes_test.go
@@ -12,39 +12,40 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// shutdownState is what a caller sees whose instance shuts down as planned.
-const shutdownState = "57P01"
+// sqlStateAdminShutdown is the SQLSTATE that callers receive when their instance
+// shuts down as planned.
+const sqlStateAdminShutdown = "57P01"
 
-// Instances are separate processes. What a caller wrote through one is read
-// through another; an instance that gets SIGTERM under load cuts no request; one
-// that gets SIGKILL in the middle of a transaction leaves nothing of it behind,
-// and the row that it had locked can be written again.
+// Instances run as separate processes. Rows written through one instance must be
+// readable through another. SIGTERM under load must not interrupt requests. SIGKILL
+// during a transaction must roll the transaction back and release its row lock. If
+// the primary is paused, writes must continue at its successor.
 func TestSeparateProcesses(t *testing.T) {
-	p := startProcesses(t)
-	t.Run("write through one, read through another", p.testRoam)
-	t.Run("SIGSTOP of the primary moves the lead", p.testStop)
-	t.Run("SIGTERM cuts no request", p.testTerminate)
-	t.Run("SIGKILL rolls back", p.testKill)
+	d := startDeployment(t)
+	t.Run("write through one, read through another", d.testReadThroughOtherInstance)
+	t.Run("SIGSTOP of the primary causes a failover", d.testPausedPrimary)
+	t.Run("SIGTERM interrupts no request", d.testInstanceSIGTERM)
+	t.Run("SIGKILL rolls back", d.testInstanceSIGKILL)
 }
 
-func (p *processes) testRoam(*testing.T) {
+func (d *testDeployment) testReadThroughOtherInstance(*testing.T) {
 	ctx := context.Background()
-	writer, reader := p.mustConnect(0), p.mustConnect(1)
+	writer, reader := d.mustConnect(0), d.mustConnect(1)
 	_, err := writer.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('roam', '1')")
-	p.is.NoErr(err)
+	d.is.NoErr(err)
 	var v string
 	err = reader.QueryRow(ctx, "SELECT v FROM kv WHERE k = 'roam' /*request='application'*/").Scan(&v)
-	p.is.NoErr(err)
-	p.is.Equal(v, "1")
+	d.is.NoErr(err)
+	d.is.Equal(v, "1")
 }
 
-// testStop freezes the primary's process while callers write. Writes go on at a
-// successor; when the old primary goes on, it has to follow, and every
-// acknowledged row is there.
-func (p *processes) testStop(t *testing.T) {
+// testPausedPrimary pauses the primary's process while a caller writes. Writes must
+// continue at a successor. When the old primary resumes, it must become a replica,
+// and no acknowledged row may be lost.
+func (d *testDeployment) testPausedPrimary(t *testing.T) {
 	ctx := context.Background()
-	primary := p.running[1]
-	writer := p.mustConnect(2)
+	primary := d.processes[1]
+	writer := d.mustConnect(2)
 	var acknowledged []string
 	write := func(key string) bool {
 		_, err := writer.Exec(ctx, "INSERT INTO kv (k, v) VALUES ($1, '1')", key)
@@ -53,36 +54,36 @@
 		}
 		return err == nil
 	}
-	p.is.True(write("before"))
-	p.signal(primary, syscall.SIGSTOP)
+	d.is.True(write("before"))
+	d.sendSignal(primary, syscall.SIGSTOP)
 	attempt := 0
-	p.eventually("a write goes through without the old primary", func() bool {
+	d.waitUntil("a write goes through without the old primary", func() bool {
 		attempt++
 		return write(fmt.Sprintf("stopped-%d", attempt))
 	})
-	p.signal(primary, syscall.SIGCONT)
+	d.sendSignal(primary, syscall.SIGCONT)
 	for i := range 20 {
-		p.is.True(write(fmt.Sprintf("resumed-%d", i)))
+		d.is.True(write(fmt.Sprintf("resumed-%d", i)))
 	}
 	for _, key := range acknowledged {
 		var v string
-		for i := range processDomains {
-			err := p.mustConnect(i).QueryRow(ctx, "SELECT v FROM kv WHERE k = $1 /*request='application'*/", key).Scan(&v)
-			p.is.NoErr(err)
+		for i := range failureDomains {
+			err := d.mustConnect(i).QueryRow(ctx, "SELECT v FROM kv WHERE k = $1 /*request='application'*/", key).Scan(&v)
+			d.is.NoErr(err)
 		}
 	}
 }
 
-// testTerminate stops instance 0 while callers write through it. Every request
-// either is answered or was never taken: the only error a caller may see is the
-// notice of the shutdown, and each acknowledged row is there.
-func (p *processes) testTerminate(t *testing.T) {
+// testInstanceSIGTERM terminates instance 0 while callers write through it. Every
+// request must either be answered or not be accepted at all: callers may see no
+// error other than the shutdown notice, and no acknowledged row may be lost.
+func (d *testDeployment) testInstanceSIGTERM(t *testing.T) {
 	var acknowledged sync.Map
-	var cut atomic.Int64
+	var interrupted atomic.Int64
 	var callers sync.WaitGroup
 	begun := make(chan struct{}, 8)
 	for i := range 8 {
-		c := p.mustConnect(0)
+		c := d.mustConnect(0)
 		callers.Go(func() {
 			for n := 0; ; n++ {
 				key := fmt.Sprintf("term-%d-%d", i, n)
@@ -90,8 +91,8 @@
 				if err == nil {
 					acknowledged.Store(key, true)
 				} else if !isShutdown(err) {
-					t.Logf("request was cut: %v", err)
-					cut.Add(1)
+					t.Logf("request was interrupted: %v", err)
+					interrupted.Add(1)
 				}
 				if n == 5 {
 					begun <- struct{}{}
@@ -105,42 +106,42 @@
 	for range 8 {
 		<-begun
 	}
-	p.signal(p.instance(0), syscall.SIGTERM)
+	d.sendSignal(d.instanceProcess(0), syscall.SIGTERM)
 	callers.Wait()
-	p.is.NoErr(p.instance(0).Wait())
-	p.is.Equal(cut.Load(), int64(0))
-	reader := p.mustConnect(1)
+	d.is.NoErr(d.instanceProcess(0).Wait())
+	d.is.Equal(interrupted.Load(), int64(0))
+	reader := d.mustConnect(1)
 	acknowledged.Range(func(key, _ any) bool {
 		var v string
-		p.is.NoErr(reader.QueryRow(context.Background(), "SELECT v FROM kv WHERE k = $1 /*request='application'*/", key).Scan(&v))
+		d.is.NoErr(reader.QueryRow(context.Background(), "SELECT v FROM kv WHERE k = $1 /*request='application'*/", key).Scan(&v))
 		return true
 	})
 }
 
-// isShutdown reports whether the instance said that it shuts down, or had
-// closed the connection before the request was written.
+// isShutdown reports whether err is the shutdown notice, or shows that the instance
+// had closed the connection before the request was written.
 func isShutdown(err error) bool {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
-		return e.Code == shutdownState
+		return e.Code == sqlStateAdminShutdown
 	}
 	return pgconn.SafeToRetry(err)
 }
 
-// testKill kills instance 1 while a transaction is open through it.
-func (p *processes) testKill(t *testing.T) {
+// testInstanceSIGKILL kills instance 1 while it has an open transaction.
+func (d *testDeployment) testInstanceSIGKILL(t *testing.T) {
 	ctx := context.Background()
-	c := p.mustConnect(1)
+	c := d.mustConnect(1)
 	tx, err := c.Begin(ctx)
-	p.is.NoErr(err)
+	d.is.NoErr(err)
 	_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('killed', 'lost')")
-	p.is.NoErr(err)
-	p.signal(p.instance(1), syscall.SIGKILL)
-	_ = p.instance(1).Wait()
+	d.is.NoErr(err)
+	d.sendSignal(d.instanceProcess(1), syscall.SIGKILL)
+	_ = d.instanceProcess(1).Wait()
 	_, err = tx.Exec(ctx, "SELECT 1")
-	p.is.True(err != nil)
-	other := p.mustConnect(2)
-	p.eventually("the row can be written again", func() bool {
+	d.is.True(err != nil)
+	other := d.mustConnect(2)
+	d.waitUntil("the row can be written again", func() bool {
 		_, err := other.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('killed', 'kept')")
 		if err != nil {
 			t.Logf("not yet: %v", err)
@@ -149,6 +150,6 @@
 	})
 	var v string
 	err = other.QueryRow(ctx, "SELECT v FROM kv WHERE k = 'killed' /*request='application'*/").Scan(&v)
-	p.is.NoErr(err)
-	p.is.Equal(v, "kept")
+	d.is.NoErr(err)
+	d.is.Equal(v, "kept")
 }
--- a/internal/adminapi/access.go
+++ b/internal/adminapi/access.go
@@ -10,36 +10,39 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// access decides who may change something.
-type access struct {
+// accessControl decides which requests may change something.
+type accessControl struct {
 	token string
-	// sameOrigin refuses browsers: a web page open on the operator's machine
-	// could otherwise post to the loopback address and drain the instance.
-	sameOrigin *http.CrossOriginProtection
+	// crossOrigin rejects cross-origin requests from browsers: a web page open
+	// on the operator's machine could otherwise post to the loopback address
+	// and drain the instance.
+	crossOrigin *http.CrossOriginProtection
 }
 
-// newAccess returns the guard for a token; the empty token means loopback only.
-func newAccess(token string) *access {
-	return &access{token: token, sameOrigin: http.NewCrossOriginProtection()}
+// newAccessControl returns the access control for a token. With an empty token,
+// only requests from the loopback interface are accepted.
+func newAccessControl(token string) *accessControl {
+	return &accessControl{token: token, crossOrigin: http.NewCrossOriginProtection()}
 }
 
-// allow returns a *result.Error of code AccessDenied unless r may change something.
-func (a *access) allow(r *http.Request) error {
-	if err := a.sameOrigin.Check(r); err != nil {
+// authorizeChange returns a *result.Error with code AccessDenied unless r may
+// change something.
+func (a *accessControl) authorizeChange(r *http.Request) error {
+	if err := a.crossOrigin.Check(r); err != nil {
 		return result.New(result.AccessDenied, "the call comes from a web page of another origin")
 	}
 	if a.token == "" {
-		return allowLoopback(r)
+		return authorizeLoopback(r)
 	}
-	given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	if !ok || !equalSecret(given, a.token) {
+	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
+	if !ok || !secretsEqual(token, a.token) {
 		return result.New(result.AccessDenied, "send the access token as Authorization: Bearer")
 	}
 	return nil
 }
 
-// allowLoopback refuses callers from other machines.
-func allowLoopback(r *http.Request) error {
+// authorizeLoopback rejects requests from other machines.
+func authorizeLoopback(r *http.Request) error {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err == nil && net.ParseIP(host).IsLoopback() {
 		return nil
@@ -47,8 +50,9 @@
 	return result.New(result.AccessDenied, "no access token is configured, so changes are taken from loopback only")
 }
 
-// equalSecret compares in a time that tells neither content nor length.
-func equalSecret(a, b string) bool {
+// secretsEqual compares two secrets in a time that depends neither on their
+// content nor on their length.
+func secretsEqual(a, b string) bool {
 	x, y := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
--- a/internal/adminapi/config.go
+++ b/internal/adminapi/config.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Config is what the settings say about the administration API.
+// Config holds the settings of the administration API.
 type Config struct {
 	// Address is the IP address and port to listen on.
 	Address string
-	// Token is the access token for changes; empty means loopback only.
+	// Token is the access token for changes. If it is empty, changes are
+	// accepted from the loopback interface only.
 	Token string
 }
 
-// Bounds of one call. A client that sends or reads slowly would otherwise hold
-// a connection, and the memory of its body, for as long as it likes.
+// Limits of one request. Without them, a client that sends or reads slowly could
+// occupy a connection, and the memory of its body, indefinitely.
 const (
-	// MaxDocumentSize is the largest service document taken, in bytes. The
-	// stored object also carries its history and must stay within the
-	// platform's value size.
+	// MaxDocumentSize is the maximum size of a service document, in bytes. The
+	// stored object also contains the document's history and must fit into the
+	// platform's maximum value size.
 	MaxDocumentSize   = 256 << 10
 	maxHeaderBytes    = 16 << 10
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 15 * time.Second
 	writeTimeout      = 45 * time.Second
 	idleTimeout       = 60 * time.Second
-	// callTimeout bounds what a call waits for, and stays under writeTimeout so
-	// that the answer still goes out.
-	callTimeout = 30 * time.Second
-	// stopTimeout bounds the wait for calls in flight when the server stops.
-	stopTimeout = 5 * time.Second
-	// maxOperatorLength bounds the author's name, in bytes.
-	maxOperatorLength = 64
+	// requestTimeout limits the handling of a request. It is shorter than
+	// writeTimeout so that the response can still be sent.
+	requestTimeout = 30 * time.Second
+	// shutdownTimeout limits the wait for running requests when the server stops.
+	shutdownTimeout = 5 * time.Second
+	// maxOperatorNameBytes limits the length of the author's name.
+	maxOperatorNameBytes = 64
 )
--- a/internal/adminapi/documents.go
+++ b/internal/adminapi/documents.go
@@ -14,24 +14,24 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// OperatorHeader names the author of a change. The name is recorded, not
-// proved: whoever holds the access token may set it.
+// OperatorHeader is the request header with the author of a change. The name is
+// recorded but not verified: any client with the access token can set it.
 const OperatorHeader = "Topazrock-Operator"
 
 func (s *Server) listDocuments(w http.ResponseWriter, _ *http.Request) {
-	if s.parts.Documents == nil {
+	if s.dependencies.Documents == nil {
 		unavailable(w, "service documents")
 		return
 	}
-	writeJSON(w, http.StatusOK, orEmpty(s.parts.Documents.List()))
+	writeJSON(w, http.StatusOK, nonNil(s.dependencies.Documents.List()))
 }
 
 func (s *Server) getDocument(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Documents == nil {
+	if s.dependencies.Documents == nil {
 		unavailable(w, "service documents")
 		return
 	}
-	d, err := s.parts.Documents.Get(r.Context(), r.PathValue("name"))
+	d, err := s.dependencies.Documents.Get(r.Context(), r.PathValue("name"))
 	if err != nil {
 		writeError(w, err)
 		return
@@ -41,13 +41,13 @@
 }
 
 func (s *Server) checkDocument(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Documents == nil {
+	if s.dependencies.Documents == nil {
 		unavailable(w, "service documents")
 		return
 	}
-	text, err := readText(w, r)
+	text, err := readDocumentText(w, r)
 	if err == nil {
-		err = s.parts.Documents.Check(r.PathValue("name"), text)
+		err = s.dependencies.Documents.Check(r.PathValue("name"), text)
 	}
 	if err != nil {
 		writeError(w, err)
@@ -57,42 +57,43 @@
 }
 
 func (s *Server) applyDocument(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Documents == nil {
+	if s.dependencies.Documents == nil {
 		unavailable(w, "service documents")
 		return
 	}
-	version, err := ifVersion(r)
+	version, err := editedVersion(r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	text, err := readText(w, r)
+	text, err := readDocumentText(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	name, by := r.PathValue("name"), operator(r)
-	outcome, err := s.parts.Documents.Apply(r.Context(), name, text, version, by)
+	name, by := r.PathValue("name"), operatorName(r)
+	outcome, err := s.dependencies.Documents.Apply(r.Context(), name, text, version, by)
 	if err != nil {
-		writeError(w, applyError(err))
+		writeError(w, addResultCode(err))
 		return
 	}
-	s.log.Info("apply", "service", name, "by", by, "state", outcome.State, "version", outcome.Version)
+	s.log.Info("Apply request handled.", "service", name, "by", by, "state", outcome.State, "version", outcome.Version)
 	writeOutcome(w, outcome)
 }
 
-// applyError gives an error without a code the one that claims least: the
-// change may have been stored before the error arose.
-func applyError(err error) error {
-	var faulty inifile.Problems
-	if _, ok := result.As(err); ok || errors.As(err, &faulty) {
+// addResultCode reports an error that has no code as StillSettling, that is with
+// unknown outcome: the change may have been stored before the error occurred.
+func addResultCode(err error) error {
+	var problems inifile.Problems
+	if _, ok := result.As(err); ok || errors.As(err, &problems) {
 		return err
 	}
 	return result.New(result.StillSettling, "%v", err)
 }
 
-// writeOutcome answers an apply. Each state keeps its own code: a client that
-// took "still settling" for "did not take effect" would apply twice.
+// writeOutcome sends the response to an apply request. Each state has its own
+// code: a client that mistook "still settling" for "did not take effect" would
+// apply the change twice.
 func writeOutcome(w http.ResponseWriter, o Outcome) {
 	var code result.Code
 	switch o.State {
@@ -102,7 +103,7 @@
 		return
 	case StateNotAccepted:
 		code = result.VersionConflict
-	case StateNoEffect:
+	case StateNotStored:
 		code = result.DidNotTakeEffect
 	default:
 		code = result.StillSettling
@@ -116,34 +117,34 @@
 }
 
 func (s *Server) documentHistory(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Documents == nil {
+	if s.dependencies.Documents == nil {
 		unavailable(w, "service documents")
 		return
 	}
-	changes, err := s.parts.Documents.History(r.Context(), r.PathValue("name"))
+	changes, err := s.dependencies.Documents.History(r.Context(), r.PathValue("name"))
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, orEmpty(changes))
+	writeJSON(w, http.StatusOK, nonNil(changes))
 }
 
 func (s *Server) documentVersions(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Fleet == nil {
+	if s.dependencies.Fleet == nil {
 		unavailable(w, "versions of other instances")
 		return
 	}
-	versions, err := s.parts.Fleet.InForce(r.Context(), r.PathValue("name"))
+	versions, err := s.dependencies.Fleet.VersionsInForce(r.Context(), r.PathValue("name"))
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, orEmpty(versions))
+	writeJSON(w, http.StatusOK, nonNil(versions))
 }
 
-// ifVersion reads the version that the document was edited from: If-Match, or
-// If-None-Match: * for a document that does not exist yet.
-func ifVersion(r *http.Request) (int64, error) {
+// editedVersion returns the version that the edit is based on, from If-Match; zero
+// if If-None-Match: * declares that the document does not exist yet.
+func editedVersion(r *http.Request) (int64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, nil
 	}
@@ -156,8 +157,8 @@
 	return version, nil
 }
 
-// readText reads a document from the body, within MaxDocumentSize.
-func readText(w http.ResponseWriter, r *http.Request) (string, error) {
+// readDocumentText reads a document of at most MaxDocumentSize from the body.
+func readDocumentText(w http.ResponseWriter, r *http.Request) (string, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxDocumentSize))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -172,17 +173,18 @@
 	return string(body), nil
 }
 
-// operator returns the author's name as sent, or the address that called.
-// Characters that could break a log line or a terminal are dropped.
-func operator(r *http.Request) string {
+// operatorName returns the author's name from OperatorHeader, or the client's
+// address if there is none. Non-printable characters are removed, since they
+// could corrupt log lines or terminal output.
+func operatorName(r *http.Request) string {
 	name := strings.Map(func(c rune) rune {
 		if unicode.IsPrint(c) {
 			return c
 		}
 		return -1
 	}, r.Header.Get(OperatorHeader))
-	if len(name) > maxOperatorLength {
-		name = strings.ToValidUTF8(name[:maxOperatorLength], "")
+	if len(name) > maxOperatorNameBytes {
+		name = strings.ToValidUTF8(name[:maxOperatorNameBytes], "")
 	}
 	if name == "" {
 		return r.RemoteAddr
@@ -190,11 +192,12 @@
 	return name
 }
 
-// etag returns the entity tag of a version.
+// etag returns the HTTP entity tag for a version.
 func etag(version int64) string { return `"` + strconv.FormatInt(version, 10) + `"` }
 
-// orEmpty makes a nil slice an empty JSON array.
-func orEmpty[T any](s []T) []T {
+// nonNil replaces a nil slice by an empty one, which is encoded as an empty JSON
+// array.
+func nonNil[T any](s []T) []T {
 	if s == nil {
 		return []T{}
 	}
--- a/internal/adminapi/fleet_test.go
+++ b/internal/adminapi/fleet_test.go
@@ -11,18 +11,19 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// fixedInventory is an instance list, or the platform's error.
-type fixedInventory struct {
+// fakeInventory returns a fixed list of instances, or an error of the platform.
+type fakeInventory struct {
 	list platform.Inventory
 	err  error
 }
 
-func (f fixedInventory) Inventory(context.Context) (platform.Inventory, error) { return f.list, f.err }
+func (f fakeInventory) Inventory(context.Context) (platform.Inventory, error) { return f.list, f.err }
 
-// versionCaller answers for the peers it knows and fails for others.
-type versionCaller map[string]int64
+// fakePeerClient maps the addresses of the peers that respond to their versions;
+// calls to other peers fail.
+type fakePeerClient map[string]int64
 
-func (c versionCaller) Call(_ context.Context, address, method string, _, reply any) error {
+func (c fakePeerClient) Call(_ context.Context, address, method string, _, reply any) error {
 	version, ok := c[address]
 	if !ok || method != VersionsMethod {
 		return errors.New("no answer")
@@ -31,9 +32,9 @@
 	return nil
 }
 
-// One instance lags and one does not answer. An operator that waits for the
-// change must see both by name: leaving out the silent one would call a change
-// in force everywhere while a cut-off instance still serves the old document.
+// One instance has an old version and one does not respond. The list must contain
+// both: if the unresponsive instance were omitted, a change would seem to be in
+// force everywhere while that instance still serves the old document.
 func TestInForceNamesInstancesThatDoNotReport(t *testing.T) {
 	is := is.New(t)
 	list := platform.Inventory{Instances: []platform.Instance{
@@ -42,8 +43,8 @@
 		{ID: "a", PeerAddress: "10.0.0.1:1"},
 	}}
 	self := Identity{ID: "a"}
-	fleet := NewPeerFleet(self, fixedInventory{list: list}, versionCaller{"10.0.0.2:1": 6}, &fakeDocuments{})
-	got, err := fleet.InForce(t.Context(), "base")
+	fleet := NewPeerFleet(self, fakeInventory{list: list}, fakePeerClient{"10.0.0.2:1": 6}, &fakeDocuments{})
+	got, err := fleet.VersionsInForce(t.Context(), "base")
 	is.NoErr(err)
 	is.Equal(got, []InstanceVersion{
 		{Instance: "a", Version: 7},
@@ -51,8 +52,8 @@
 		{Instance: "c", Error: "no answer"},
 	})
 
-	down := NewPeerFleet(self, fixedInventory{err: platform.ErrUnavailable}, versionCaller{}, &fakeDocuments{})
-	_, err = down.InForce(t.Context(), "base")
+	down := NewPeerFleet(self, fakeInventory{err: platform.ErrUnavailable}, fakePeerClient{}, &fakeDocuments{})
+	_, err = down.VersionsInForce(t.Context(), "base")
 	e, ok := result.As(err)
 	is.True(ok)
 	is.Equal(e.Code, result.PlatformUnavailable)
--- a/internal/adminapi/groupstate.go
+++ b/internal/adminapi/groupstate.go
@@ -6,38 +6,39 @@
 	"github.com/topazrock/topazrock/internal/group"
 )
 
-// GroupState sums a group up for an operator.
+// GroupState summarizes the state of a group for operators.
 type GroupState string
 
 // States of a group.
 const (
 	GroupHealthy GroupState = "healthy"
-	// GroupDegraded: reads and writes go on, but a member fails, leaves or is
-	// not attached to the primary.
+	// GroupDegraded: reads and writes are served, but a member is failing,
+	// leaving or not attached to the primary.
 	GroupDegraded GroupState = "degraded"
-	// GroupUnconfirmed: writes are refused, no replica confirms them.
+	// GroupUnconfirmed: writes are refused because no replica confirms them.
 	GroupUnconfirmed GroupState = "unconfirmed"
-	// GroupNoPrimary: writes are refused, no primary is known.
+	// GroupNoPrimary: writes are refused because no primary is known.
 	GroupNoPrimary GroupState = "no primary"
 )
 
-// confirmWindow is the age of the last replica report past which the state is
-// shown as unconfirmed. It is for display; routing has its own bound.
-const confirmWindow = 3 * time.Second
+// maxConfirmationAge is the maximum age of the last replica report; beyond it the
+// group is shown as unconfirmed. It is for display only; routing has a limit of
+// its own.
+const maxConfirmationAge = 3 * time.Second
 
-// viewGroup describes a snapshot as of now.
-func viewGroup(s *group.Snapshot, now time.Time) GroupView {
+// newGroupView converts a snapshot; ages are computed as of now.
+func newGroupView(s *group.Snapshot, now time.Time) GroupView {
 	v := GroupView{Name: s.Group, Term: uint64(s.Term), Primary: s.Primary, Members: []MemberView{}}
 	primary, _ := s.Find(s.Primary)
 	for _, m := range s.Members {
-		v.Members = append(v.Members, viewMember(s, m, primary, now))
+		v.Members = append(v.Members, newMemberView(s, m, primary, now))
 	}
-	v.State = groupState(s, now)
+	v.State = deriveGroupState(s, now)
 	return v
 }
 
-// viewMember describes one member against its group's primary.
-func viewMember(s *group.Snapshot, m, primary group.MemberView, now time.Time) MemberView {
+// newMemberView converts a member; its lag is relative to primary.
+func newMemberView(s *group.Snapshot, m, primary group.MemberView, now time.Time) MemberView {
 	v := MemberView{
 		Address:       m.Address,
 		FailureDomain: m.FailureDomain,
@@ -50,8 +51,8 @@
 		Leaving:       m.Leaving,
 	}
 	if s.Primary != "" && m.Status.Attached == s.Term && primary.Status.Entered == s.Term {
-		// The reports were asked for at different moments: a replica's may be
-		// the newer one and show a position past the primary's.
+		// The reports were requested at different times. If the replica's is
+		// newer, its position can be beyond the one in the primary's report.
 		lag := int64(primary.Status.Last.Position) - int64(m.Status.Last.Position)
 		v.LagBytes = max(0, lag)
 	}
@@ -61,12 +62,12 @@
 	return v
 }
 
-// groupState sums a snapshot up.
-func groupState(s *group.Snapshot, now time.Time) GroupState {
+// deriveGroupState returns the state of the group in a snapshot.
+func deriveGroupState(s *group.Snapshot, now time.Time) GroupState {
 	if s.Primary == "" {
 		return GroupNoPrimary
 	}
-	if s.ConfirmedAt.IsZero() || now.Sub(s.ConfirmedAt) > confirmWindow {
+	if s.ConfirmedAt.IsZero() || now.Sub(s.ConfirmedAt) > maxConfirmationAge {
 		return GroupUnconfirmed
 	}
 	for _, m := range s.Members {
--- a/internal/adminapi/openapi_test.go
+++ b/internal/adminapi/openapi_test.go
@@ -11,8 +11,9 @@
 	"gopkg.in/yaml.v3"
 )
 
-// description is the part of docs/api/openapi.yaml that the code is held to.
-type description struct {
+// openAPIDocument is the part of docs/api/openapi.yaml that is compared with the
+// code.
+type openAPIDocument struct {
 	Paths map[string]map[string]struct {
 		Security []any `yaml:"security"`
 	} `yaml:"paths"`
@@ -23,26 +24,26 @@
 	} `yaml:"components"`
 }
 
-func readDescription(t *testing.T) description {
+func readOpenAPIDocument(t *testing.T) openAPIDocument {
 	t.Helper()
 	is := is.New(t)
 	text, err := os.ReadFile("../../docs/api/openapi.yaml")
 	is.NoErr(err)
-	var d description
+	var d openAPIDocument
 	is.NoErr(yaml.Unmarshal(text, &d))
 	return d
 }
 
-func TestDescriptionListsTheRoutes(t *testing.T) {
+func TestOpenAPIListsRoutes(t *testing.T) {
 	is := is.New(t)
 	var described, served []string
-	for path, operations := range readDescription(t).Paths {
+	for path, operations := range readOpenAPIDocument(t).Paths {
 		for method, operation := range operations {
 			described = append(described, operationLine(method, path, len(operation.Security) > 0))
 		}
 	}
 	for _, r := range (&Server{}).routes() {
-		served = append(served, operationLine(r.method, r.path, r.changes))
+		served = append(served, operationLine(r.method, r.path, r.mutating))
 	}
 	slices.Sort(described)
 	slices.Sort(served)
@@ -57,13 +58,13 @@
 	return line
 }
 
-func TestDescriptionListsTheFields(t *testing.T) {
+func TestOpenAPIListsFields(t *testing.T) {
 	is := is.New(t)
 	bodies := []any{
 		Identity{}, DocumentInfo{}, Document{}, Change{}, Outcome{}, InstanceVersion{}, GroupView{}, MemberView{},
 		PoolView{}, WorkspaceView{}, PeerView{}, Readiness{}, DrainView{}, StatusView{}, Problem{},
 	}
-	schemas := readDescription(t).Components.Schemas
+	schemas := readOpenAPIDocument(t).Components.Schemas
 	is.Equal(len(schemas), len(bodies))
 	for _, body := range bodies {
 		kind := reflect.TypeOf(body)
--- a/internal/adminapi/outcome.go
+++ b/internal/adminapi/outcome.go
@@ -1,29 +1,31 @@
 package adminapi
 
-// ApplyState is what became of a change.
+// ApplyState is the state of a change after an apply request.
 type ApplyState string
 
-// States of a change. Each is given only when it is proved; StateSettling is
-// for a lost answer that could not be settled yet.
+// States of a change. Each is reported only if it is certain.
+// StateOutcomeUnknown is reported if the platform's response was lost and the
+// outcome could not be determined yet.
 const (
-	// StateAccepted: the change stands as Outcome.Version.
+	// StateAccepted: the change is stored as Outcome.Version.
 	StateAccepted ApplyState = "accepted"
-	// StateNotAccepted: another change came first; its version and author are
-	// in the Outcome.
+	// StateNotAccepted: another change was stored first; Outcome contains its
+	// version and author.
 	StateNotAccepted ApplyState = "not accepted"
-	// StateNoEffect: the change was not stored.
-	StateNoEffect ApplyState = "did not take effect"
-	// StateSettling: whether the change was stored is not known.
-	StateSettling ApplyState = "outcome unknown, still settling"
+	// StateNotStored: the change was not stored.
+	StateNotStored ApplyState = "did not take effect"
+	// StateOutcomeUnknown: it is not known whether the change was stored.
+	StateOutcomeUnknown ApplyState = "outcome unknown, still settling"
 )
 
-// Outcome is what became of an apply.
+// Outcome is the result of an apply request.
 type Outcome struct {
 	State ApplyState `json:"state"`
-	// Version is the accepted version, or the one that stands instead.
+	// Version is the accepted version, or the current one if the change was not
+	// accepted.
 	Version int64 `json:"version"`
-	// By is the author of the version that stands instead.
+	// By is the author of the current version if the change was not accepted.
 	By string `json:"by,omitempty"`
-	// Detail tells why a change did not take effect or is not settled.
+	// Detail explains why the change was not stored or its outcome is unknown.
 	Detail string `json:"detail,omitempty"`
 }
--- a/internal/adminapi/parts.go
+++ b/internal/adminapi/parts.go
@@ -8,30 +8,31 @@
 	"github.com/topazrock/topazrock/internal/group"
 )
 
-// Documents is the store of service documents. Errors are *result.Error of the
-// administration family.
+// Documents is the store of service documents. Errors are *result.Error with a
+// code of FamilyAdmin.
 type Documents interface {
 	// List returns the documents that this instance has in force.
 	List() []DocumentInfo
-	// Get returns the newest document that the platform holds.
+	// Get returns the latest version of the document stored at the platform.
 	Get(ctx context.Context, name string) (Document, error)
-	// Check parses text without storing it. Its error may wrap several, one
-	// for each fault in the text.
+	// Check validates text without storing it. The error may wrap several
+	// errors, one for each problem in the text.
 	Check(name, text string) error
-	// Apply stores text if the document's version is ifVersion (0: there is none).
+	// Apply stores text if the document's current version is ifVersion (0: the
+	// document does not exist).
 	Apply(ctx context.Context, name, text string, ifVersion int64, by string) (Outcome, error)
-	// History returns the document's changes, the newest first.
+	// History returns the document's changes, newest first.
 	History(ctx context.Context, name string) ([]Change, error)
 }
 
-// Fleet tells what versions the live instances have in force.
+// Fleet reports the document versions that the live instances have in force.
 type Fleet interface {
-	// InForce asks every live instance. One that does not report is in the
-	// answer with its Error set.
-	InForce(ctx context.Context, name string) ([]InstanceVersion, error)
+	// VersionsInForce queries every live instance for the version of the named
+	// document. An instance that does not respond is included with Error set.
+	VersionsInForce(ctx context.Context, name string) ([]InstanceVersion, error)
 }
 
-// Groups gives the snapshots of the groups that this instance follows.
+// Groups provides snapshots of the groups that this instance monitors.
 type Groups interface {
 	Snapshots() []*group.Snapshot
 }
@@ -41,29 +42,30 @@
 	Pools() []PoolView
 }
 
-// Workspaces describes the workspaces in force.
+// Workspaces describes the workspaces that are configured on this instance.
 type Workspaces interface {
 	Workspaces() []WorkspaceView
 }
 
-// Peers describes the instances that this one knows.
+// Peers describes the other instances that this instance knows.
 type Peers interface {
 	Peers() []PeerView
 }
 
-// Lifecycle is the instance's own running state.
+// Lifecycle reports the readiness of this instance and starts its shutdown.
 type Lifecycle interface {
-	// Ready reports whether callers may be sent here; reasons name what is missing.
+	// Ready reports whether this instance can accept callers. If not, reasons
+	// lists what is missing.
 	Ready() (ready bool, reasons []string)
-	// Drain starts the graceful shutdown and returns at once. Calling it again
-	// changes nothing.
+	// Drain starts the graceful shutdown and returns immediately. Further
+	// calls have no effect.
 	Drain()
-	// Draining reports whether the graceful shutdown has begun.
+	// Draining reports whether the graceful shutdown has started.
 	Draining() bool
 }
 
-// Parts is what the server needs of the rest of the instance. A nil part makes
-// its routes answer with result.NotReady.
+// Parts holds the components of the instance that the server depends on. Routes
+// whose component is nil respond with result.NotReady.
 type Parts struct {
 	Identity   Identity
 	Documents  Documents
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -15,24 +15,26 @@
 // problemType is the media type of errors.
 const problemType = "application/problem+json"
 
-// Problem is an error body after RFC 9457 with the fields of a result code.
+// Problem is an error body as defined by RFC 9457, extended by the fields of a
+// result code.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Code is the number of docs/RESULT-CODES.md.
+	// Code is the result code as listed in docs/RESULT-CODES.md.
 	Code int `json:"code"`
-	// RetryAfter is in seconds; zero when coming back does not help.
+	// RetryAfter is in seconds; zero if retrying does not help.
 	RetryAfter int `json:"retry_after,omitempty"`
-	// Errors lists the faults of a document, one text each.
+	// Errors lists the errors in a document.
 	Errors []string `json:"errors,omitempty"`
-	// Version and By tell which version of a document stands after a conflict.
+	// Version and By are the current version of a document and its author,
+	// after a version conflict.
 	Version int64  `json:"version,omitempty"`
 	By      string `json:"by,omitempty"`
 }
 
-// Error implements error, so that a client can hand a Problem on.
+// Error implements error, so that a client can return a Problem as an error.
 func (p *Problem) Error() string {
 	s := fmt.Sprintf("TZ%04d %s", p.Code, p.Title)
 	if p.Detail != "" {
@@ -41,8 +43,9 @@
 	return s
 }
 
-// statusOf maps result codes to HTTP statuses; others are 503 Service Unavailable.
-var statusOf = map[result.Code]int{
+// httpStatuses maps result codes to HTTP statuses. Codes that are not listed map
+// to 503 Service Unavailable.
+var httpStatuses = map[result.Code]int{
 	result.DocumentInvalid:     http.StatusUnprocessableEntity,
 	result.VersionConflict:     http.StatusPreconditionFailed,
 	result.StillSettling:       http.StatusGatewayTimeout,
@@ -55,53 +58,53 @@
 	result.UnknownGroup:        http.StatusNotFound,
 }
 
-// newProblem describes err. An error without a code comes from the only I/O
-// that the API does, which is to the platform.
+// newProblem converts err to a Problem. The only I/O that the API does is to the
+// platform, so an error without a code is reported as PlatformUnavailable.
 func newProblem(err error) *Problem {
-	e, ok := result.As(err)
-	var faulty inifile.Problems
-	if !ok && errors.As(err, &faulty) {
-		e, ok = result.New(result.DocumentInvalid, "%d faults", len(faulty)).WithCause(faulty), true
+	resultErr, ok := result.As(err)
+	var problems inifile.Problems
+	if !ok && errors.As(err, &problems) {
+		resultErr, ok = result.New(result.DocumentInvalid, "%d faults", len(problems)).WithCause(problems), true
 	}
 	if !ok {
-		e = result.New(result.PlatformUnavailable, "%v", err)
+		resultErr = result.New(result.PlatformUnavailable, "%v", err)
 	}
-	status, ok := statusOf[e.Code]
+	status, ok := httpStatuses[resultErr.Code]
 	if !ok {
 		status = http.StatusServiceUnavailable
 	}
-	entry, _ := result.Lookup(e.Code)
+	entry, _ := result.Lookup(resultErr.Code)
 	p := &Problem{
-		Type:       fmt.Sprintf("urn:topazrock:result:%d", e.Code),
+		Type:       fmt.Sprintf("urn:topazrock:result:%d", resultErr.Code),
 		Title:      entry.Name,
 		Status:     status,
-		Detail:     e.Detail,
-		Code:       int(e.Code),
-		RetryAfter: int(math.Ceil(e.RetryAfter.Seconds())),
+		Detail:     resultErr.Detail,
+		Code:       int(resultErr.Code),
+		RetryAfter: int(math.Ceil(resultErr.RetryAfter.Seconds())),
 	}
-	if e.Code == result.DocumentInvalid {
-		p.Errors = faults(e.Cause)
+	if resultErr.Code == result.DocumentInvalid {
+		p.Errors = documentErrors(resultErr.Cause)
 	}
-	if p.Detail == "" && e.Cause != nil && p.Errors == nil {
-		p.Detail = e.Cause.Error()
+	if p.Detail == "" && resultErr.Cause != nil && p.Errors == nil {
+		p.Detail = resultErr.Cause.Error()
 	}
 	return p
 }
 
-// faults lists the faults of a document, one text each.
-func faults(err error) []string {
-	var faulty inifile.Problems
-	if !errors.As(err, &faulty) {
+// documentErrors lists the errors in a document, one text for each.
+func documentErrors(err error) []string {
+	var problems inifile.Problems
+	if !errors.As(err, &problems) {
 		return nil
 	}
 	var texts []string
-	for _, f := range faulty {
-		texts = append(texts, f.String())
+	for _, problem := range problems {
+		texts = append(texts, problem.String())
 	}
 	return texts
 }
 
-// writeProblem answers with p.
+// writeProblem sends p as the response.
 func writeProblem(w http.ResponseWriter, p *Problem) {
 	w.Header().Set("Content-Type", problemType)
 	if p.RetryAfter > 0 {
@@ -111,10 +114,10 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// writeError answers with the problem that describes err.
+// writeError sends err as a Problem.
 func writeError(w http.ResponseWriter, err error) { writeProblem(w, newProblem(err)) }
 
-// writeJSON answers with a status and a body.
+// writeJSON sends a response with a status and a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/adminapi/routes.go
+++ b/internal/adminapi/routes.go
@@ -6,15 +6,16 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// route is one operation of the API. docs/api/openapi.yaml lists the same ones.
+// route is one operation of the API. docs/api/openapi.yaml must list the same
+// operations.
 type route struct {
 	method, path string
-	// changes says that the call needs the access token.
-	changes bool
-	handle  http.HandlerFunc
+	// mutating is true if the operation requires the access token.
+	mutating bool
+	handler  http.HandlerFunc
 }
 
-// routes lists the operations.
+// routes returns all operations of the API.
 func (s *Server) routes() []route {
 	return []route{
 		{"GET", "/v1/services", false, s.listDocuments},
@@ -27,20 +28,21 @@
 		{"GET", "/v1/groups/{name}", false, s.getGroup},
 		{"GET", "/v1/pools", false, s.listPools},
 		{"GET", "/v1/peers", false, s.listPeers},
-		{"GET", "/v1/status", false, s.status},
-		{"POST", "/v1/drain", true, s.drain},
-		{"GET", "/healthz", false, s.health},
-		{"GET", "/readyz", false, s.ready},
-		{"GET", "/metrics", false, s.metrics},
+		{"GET", "/v1/status", false, s.getStatus},
+		{"POST", "/v1/drain", true, s.startDrain},
+		{"GET", "/healthz", false, s.getHealth},
+		{"GET", "/readyz", false, s.getReadiness},
+		{"GET", "/metrics", false, s.getMetrics},
 	}
 }
 
-// notFound answers for paths and methods outside of the routes.
+// notFound handles requests that match no route.
 func notFound(w http.ResponseWriter, r *http.Request) {
 	writeError(w, result.New(result.NotFound, "no operation %s %s", r.Method, r.URL.Path))
 }
 
-// unavailable answers for a part that is not running on this instance.
-func unavailable(w http.ResponseWriter, part string) {
-	writeError(w, result.New(result.NotReady, "%s are not available on this instance", part))
+// unavailable responds with result.NotReady for a component that is not running
+// on this instance.
+func unavailable(w http.ResponseWriter, dependency string) {
+	writeError(w, result.New(result.NotReady, "%s are not available on this instance", dependency))
 }
--- a/internal/adminapi/running.go
+++ b/internal/adminapi/running.go
@@ -11,16 +11,16 @@
 )
 
 func (s *Server) listGroups(w http.ResponseWriter, _ *http.Request) {
-	if s.parts.Groups == nil {
+	if s.dependencies.Groups == nil {
 		unavailable(w, "groups")
 		return
 	}
-	writeJSON(w, http.StatusOK, s.groups())
+	writeJSON(w, http.StatusOK, s.groupViews())
 }
 
 func (s *Server) getGroup(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
-	for _, g := range s.groups() {
+	for _, g := range s.groupViews() {
 		if g.Name == name {
 			writeJSON(w, http.StatusOK, g)
 			return
@@ -29,93 +29,93 @@
 	writeError(w, result.New(result.NotFound, "this instance follows no group %q", name))
 }
 
-// groups describes the groups that this instance follows.
-func (s *Server) groups() []GroupView {
+// groupViews describes the groups that this instance monitors, ordered by name.
+func (s *Server) groupViews() []GroupView {
 	views := []GroupView{}
-	if s.parts.Groups == nil {
+	if s.dependencies.Groups == nil {
 		return views
 	}
 	now := s.clock.Now()
-	for _, snapshot := range s.parts.Groups.Snapshots() {
-		views = append(views, viewGroup(snapshot, now))
+	for _, snapshot := range s.dependencies.Groups.Snapshots() {
+		views = append(views, newGroupView(snapshot, now))
 	}
 	slices.SortFunc(views, func(a, b GroupView) int { return cmp.Compare(a.Name, b.Name) })
 	return views
 }
 
-// pools describes the connection pools of this instance.
-func (s *Server) pools() []PoolView {
-	if s.parts.Pools == nil {
+// poolViews describes the connection pools of this instance, ordered by group.
+func (s *Server) poolViews() []PoolView {
+	if s.dependencies.Pools == nil {
 		return []PoolView{}
 	}
-	views := orEmpty(s.parts.Pools.Pools())
+	views := nonNil(s.dependencies.Pools.Pools())
 	slices.SortFunc(views, func(a, b PoolView) int { return cmp.Compare(a.Group, b.Group) })
 	return views
 }
 
-// workspaces describes the workspaces in force.
-func (s *Server) workspaces() []WorkspaceView {
-	if s.parts.Workspaces == nil {
+// workspaceViews describes the workspaces that are configured on this instance.
+func (s *Server) workspaceViews() []WorkspaceView {
+	if s.dependencies.Workspaces == nil {
 		return []WorkspaceView{}
 	}
-	return orEmpty(s.parts.Workspaces.Workspaces())
+	return nonNil(s.dependencies.Workspaces.Workspaces())
 }
 
 func (s *Server) listPools(w http.ResponseWriter, _ *http.Request) {
-	if s.parts.Pools == nil {
+	if s.dependencies.Pools == nil {
 		unavailable(w, "pools")
 		return
 	}
-	writeJSON(w, http.StatusOK, s.pools())
+	writeJSON(w, http.StatusOK, s.poolViews())
 }
 
 func (s *Server) listPeers(w http.ResponseWriter, _ *http.Request) {
-	if s.parts.Peers == nil {
+	if s.dependencies.Peers == nil {
 		unavailable(w, "peers")
 		return
 	}
-	writeJSON(w, http.StatusOK, orEmpty(s.parts.Peers.Peers()))
+	writeJSON(w, http.StatusOK, nonNil(s.dependencies.Peers.Peers()))
 }
 
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	v := StatusView{
-		Instance:   s.parts.Identity,
+		Instance:   s.dependencies.Identity,
 		Readiness:  s.readiness(),
 		Documents:  []DocumentInfo{},
-		Groups:     s.groups(),
-		Pools:      s.pools(),
-		Workspaces: s.workspaces(),
+		Groups:     s.groupViews(),
+		Pools:      s.poolViews(),
+		Workspaces: s.workspaceViews(),
 		Peers:      []PeerView{},
 	}
-	if s.parts.Lifecycle != nil {
-		v.Draining = s.parts.Lifecycle.Draining()
+	if s.dependencies.Lifecycle != nil {
+		v.Draining = s.dependencies.Lifecycle.Draining()
 	}
-	if s.parts.Documents != nil {
-		v.Documents = orEmpty(s.parts.Documents.List())
+	if s.dependencies.Documents != nil {
+		v.Documents = nonNil(s.dependencies.Documents.List())
 	}
-	if s.parts.Peers != nil {
-		v.Peers = orEmpty(s.parts.Peers.Peers())
+	if s.dependencies.Peers != nil {
+		v.Peers = nonNil(s.dependencies.Peers.Peers())
 	}
 	writeJSON(w, http.StatusOK, v)
 }
 
-func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Lifecycle == nil {
+func (s *Server) startDrain(w http.ResponseWriter, r *http.Request) {
+	if s.dependencies.Lifecycle == nil {
 		unavailable(w, "drains")
 		return
 	}
-	s.log.Info("drain asked for", "by", operator(r))
-	s.parts.Lifecycle.Drain()
+	s.log.Info("Drain requested.", "by", operatorName(r))
+	s.dependencies.Lifecycle.Drain()
 	writeJSON(w, http.StatusAccepted, DrainView{Draining: true})
 }
 
-// health answers while the process can answer at all.
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, s.parts.Identity)
+// getHealth always reports success: a response shows that the process is alive.
+func (s *Server) getHealth(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, s.dependencies.Identity)
 }
 
-// ready tells the balancer whether callers may be sent here.
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+// getReadiness reports to the load balancer whether this instance can accept callers.
+func (s *Server) getReadiness(w http.ResponseWriter, _ *http.Request) {
 	readiness := s.readiness()
 	status := http.StatusOK
 	if !readiness.Ready {
@@ -124,22 +124,23 @@
 	writeJSON(w, status, readiness)
 }
 
-// readiness returns the instance's own verdict.
+// readiness reports whether this instance can accept callers. It cannot while it
+// starts or drains.
 func (s *Server) readiness() Readiness {
-	if s.parts.Lifecycle == nil {
+	if s.dependencies.Lifecycle == nil {
 		return Readiness{Reasons: []string{"starting"}}
 	}
-	ready, reasons := s.parts.Lifecycle.Ready()
-	if s.parts.Lifecycle.Draining() {
+	ready, reasons := s.dependencies.Lifecycle.Ready()
+	if s.dependencies.Lifecycle.Draining() {
 		ready, reasons = false, []string{"draining"}
 	}
 	return Readiness{Ready: ready, Reasons: reasons}
 }
 
-func (s *Server) metrics(w http.ResponseWriter, r *http.Request) {
-	if s.parts.Metrics == nil {
+func (s *Server) getMetrics(w http.ResponseWriter, r *http.Request) {
+	if s.dependencies.Metrics == nil {
 		unavailable(w, "metrics")
 		return
 	}
-	promhttp.HandlerFor(s.parts.Metrics, promhttp.HandlerOpts{}).ServeHTTP(w, r)
+	promhttp.HandlerFor(s.dependencies.Metrics, promhttp.HandlerOpts{}).ServeHTTP(w, r)
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -13,20 +13,21 @@
 
 // Server serves the administration API of one instance.
 type Server struct {
-	config  Config
-	parts   Parts
-	network netio.Network
-	clock   clock.Clock
-	log     hclog.Logger
-	access  *access
+	config        Config
+	dependencies  Parts
+	network       netio.Network
+	clock         clock.Clock
+	log           hclog.Logger
+	accessControl *accessControl
 }
 
-// New returns a server that has not begun to listen.
-func New(c Config, p Parts, n netio.Network, k clock.Clock, log hclog.Logger) *Server {
-	return &Server{config: c, parts: p, network: n, clock: k, log: log.Named("admin"), access: newAccess(c.Token)}
+// New returns a server; it listens once Run is called.
+func New(c Config, d Parts, n netio.Network, clk clock.Clock, log hclog.Logger) *Server {
+	return &Server{config: c, dependencies: d, network: n, clock: clk, log: log.Named("admin"), accessControl: newAccessControl(c.Token)}
 }
 
-// Run listens and serves until ctx ends, then lets calls in flight finish.
+// Run serves requests until ctx ends, then waits for running requests to finish,
+// for at most shutdownTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := s.network.Listen(s.config.Address)
 	if err != nil {
@@ -44,7 +45,7 @@
 	go func() {
 		defer close(stopped)
 		<-ctx.Done()
-		s.stop(server)
+		s.shutdown(server)
 	}()
 	s.log.Info("serving", "address", listener.Addr().String())
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -54,12 +55,12 @@
 	return nil
 }
 
-// stop lets calls in flight finish within stopTimeout.
-func (s *Server) stop(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+// shutdown waits for running requests to finish, for at most shutdownTimeout.
+func (s *Server) shutdown(server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		s.log.Warn("calls cut at shutdown", "error", err)
+		s.log.Warn("Shutdown did not wait for all running requests.", "error", err)
 	}
 }
 
@@ -67,24 +68,24 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, r := range s.routes() {
-		mux.Handle(r.method+" "+r.path, s.wrap(r))
+		mux.Handle(r.method+" "+r.path, s.handlerFor(r))
 	}
 	mux.HandleFunc("/", notFound)
 	return mux
 }
 
-// wrap adds the guard and the time bound of a route.
-func (s *Server) wrap(r route) http.Handler {
+// handlerFor returns the route's handler with access control and a time limit.
+func (s *Server) handlerFor(r route) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if r.changes {
-			if err := s.access.allow(req); err != nil {
-				s.log.Warn("refused a change", "path", req.URL.Path, "from", req.RemoteAddr)
+		if r.mutating {
+			if err := s.accessControl.authorizeChange(req); err != nil {
+				s.log.Warn("Change request denied.", "path", req.URL.Path, "from", req.RemoteAddr)
 				writeError(w, err)
 				return
 			}
 		}
-		ctx, cancel := context.WithTimeout(req.Context(), callTimeout)
+		ctx, cancel := context.WithTimeout(req.Context(), requestTimeout)
 		defer cancel()
-		r.handle(w, req.WithContext(ctx))
+		r.handler(w, req.WithContext(ctx))
 	})
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -23,7 +23,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// fakeDocuments answers Apply with what the test sets.
+// fakeDocuments returns the outcome and error set by the test from Apply.
 type fakeDocuments struct {
 	outcome Outcome
 	err     error
@@ -56,7 +56,7 @@
 
 func (f *fakeDocuments) History(context.Context, string) ([]Change, error) { return nil, nil }
 
-// fakeLifecycle records a drain.
+// fakeLifecycle records whether Drain was called.
 type fakeLifecycle struct{ draining bool }
 
 func (f *fakeLifecycle) Ready() (bool, []string) { return true, nil }
@@ -67,7 +67,8 @@
 	return New(Config{Token: token}, p, netio.TCP{}, clock.System{}, hclog.NewNullLogger())
 }
 
-// call sends one request from a remote address and decodes a problem, if any.
+// call handles one request from a remote address and decodes the Problem in the
+// response, if there is one.
 func call(s *Server, remote, method, path, body string, header ...string) (*httptest.ResponseRecorder, Problem) {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.RemoteAddr = remote
@@ -88,11 +89,11 @@
 	remote = "10.1.2.3:5000"
 )
 
-// An operator that takes "outcome unknown" for "did not take effect" applies
-// twice and overwrites a colleague; one that takes "not accepted" for
-// "accepted" walks away from a change that is lost. Each outcome of the store
-// must reach the caller as itself, an error without a code as unknown.
-func TestApplyNeverMixesOutcomes(t *testing.T) {
+// An operator who mistakes "outcome unknown" for "did not take effect" applies the
+// change twice and overwrites a colleague's; one who mistakes "not accepted" for
+// "accepted" does not notice that the change is lost. The response must distinguish
+// all outcomes of the store, and report errors without a code as unknown outcome.
+func TestApplyReportsEachOutcome(t *testing.T) {
 	cases := []struct {
 		outcome Outcome
 		err     error
@@ -101,8 +102,8 @@
 	}{
 		{Outcome{State: StateAccepted, Version: 8}, nil, http.StatusOK, 0},
 		{Outcome{State: StateNotAccepted, Version: 9, By: "rui"}, nil, http.StatusPreconditionFailed, result.VersionConflict},
-		{Outcome{State: StateNoEffect}, nil, http.StatusServiceUnavailable, result.DidNotTakeEffect},
-		{Outcome{State: StateSettling}, nil, http.StatusGatewayTimeout, result.StillSettling},
+		{Outcome{State: StateNotStored}, nil, http.StatusServiceUnavailable, result.DidNotTakeEffect},
+		{Outcome{State: StateOutcomeUnknown}, nil, http.StatusGatewayTimeout, result.StillSettling},
 		{Outcome{}, nil, http.StatusGatewayTimeout, result.StillSettling},
 		{Outcome{}, errors.New("connection reset"), http.StatusGatewayTimeout, result.StillSettling},
 		{Outcome{}, result.New(result.PlatformUnavailable, "down"), http.StatusServiceUnavailable, result.PlatformUnavailable},
@@ -116,7 +117,7 @@
 		is.Equal(w.Code, c.status)
 		is.Equal(p.Code, int(c.code))
 		is.Equal(documents.version, int64(7))
-		is.Equal(documents.by, "ana") // control characters dropped
+		is.Equal(documents.by, "ana") // control characters are removed
 		if c.outcome.State == StateNotAccepted {
 			is.Equal(p.Version, int64(9))
 			is.Equal(p.By, "rui")
@@ -124,8 +125,8 @@
 	}
 }
 
-// Without a version an apply would overwrite whatever stands: it must be
-// refused before the store sees it.
+// Without a version, an apply request could overwrite a change that the operator
+// has not seen. It must be rejected before it reaches the store.
 func TestApplyNeedsTheEditedVersion(t *testing.T) {
 	is := is.New(t)
 	documents := &fakeDocuments{outcome: Outcome{State: StateAccepted, Version: 1}}
@@ -165,7 +166,7 @@
 	}
 }
 
-func TestBodyIsBounded(t *testing.T) {
+func TestRequestBodySizeIsLimited(t *testing.T) {
 	is := is.New(t)
 	s := newTestServer("", Parts{Documents: &fakeDocuments{}})
 	w, p := call(s, local, "POST", "/v1/services/base/check", strings.Repeat("x", MaxDocumentSize+1))
@@ -173,7 +174,7 @@
 	is.Equal(p.Code, int(result.StatementTooLarge))
 }
 
-func TestCheckListsEveryFault(t *testing.T) {
+func TestCheckListsEveryDocumentError(t *testing.T) {
 	is := is.New(t)
 	s := newTestServer("", Parts{Documents: &fakeDocuments{}})
 	w, p := call(s, remote, "POST", "/v1/services/base/check", "nothing")
@@ -183,9 +184,10 @@
 	is.Equal(w.Code, http.StatusNoContent)
 }
 
-// The balancer must stop sending callers the moment a drain begins, while the
-// process still answers health checks, or the platform would kill it mid-drain.
-func TestDrainTurnsReadyOffAndHealthStaysOn(t *testing.T) {
+// The load balancer must stop sending callers as soon as a drain starts. Health
+// checks must still succeed, or the platform would kill the process during the
+// drain.
+func TestDrainFailsReadinessButNotHealth(t *testing.T) {
 	is := is.New(t)
 	s := newTestServer("", Parts{Lifecycle: &fakeLifecycle{}})
 	w, _ := call(s, remote, "GET", "/readyz", "")
@@ -199,7 +201,7 @@
 	is.Equal(w.Code, http.StatusOK)
 }
 
-func TestMissingPartsAnswerWithACode(t *testing.T) {
+func TestMissingDependenciesReturnResultCode(t *testing.T) {
 	s := newTestServer("", Parts{})
 	for _, r := range s.routes() {
 		is := is.New(t)
@@ -221,9 +223,10 @@
 	is.True(strings.Contains(w.Body.String(), "topazrock_test_total 0"))
 }
 
-// A replica that was re-attached with a discarded tail may report a position
-// past the primary's. Shown as "no lag" it would look like the best candidate.
-func TestGroupViewShowsLagOnlyWhenProved(t *testing.T) {
+// A replica that was re-attached after the tail of its log was discarded may report
+// a position beyond the primary's. Shown as "no lag", it would look like the best
+// candidate for promotion.
+func TestGroupViewShowsLagOnlyWhenKnown(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	status := func(role member.Role, p logpos.Position, attached logpos.Term) member.Status {
@@ -237,11 +240,11 @@
 			{Address: "c", Status: status(member.RoleReplica, 900, 0)},
 		},
 	}
-	v := viewGroup(s, now)
+	v := newGroupView(s, now)
 	is.Equal(v.State, GroupDegraded)
 	is.Equal(v.Members[1].LagBytes, int64(40))
 	is.Equal(v.Members[1].FreshMillis, int64(1000))
 	is.Equal(v.Members[2].LagBytes, int64(-1))
-	is.Equal(viewGroup(s, now.Add(time.Minute)).State, GroupUnconfirmed)
-	is.Equal(viewGroup(&group.Snapshot{}, now).State, GroupNoPrimary)
+	is.Equal(newGroupView(s, now.Add(time.Minute)).State, GroupUnconfirmed)
+	is.Equal(newGroupView(&group.Snapshot{}, now).State, GroupNoPrimary)
 }
--- a/internal/adminapi/views.go
+++ b/internal/adminapi/views.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Identity names the instance.
+// Identity identifies the instance.
 type Identity struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
@@ -10,14 +10,14 @@
 	Build string `json:"build"`
 }
 
-// DocumentInfo is one entry of the list of documents.
+// DocumentInfo is an entry of the list of documents.
 type DocumentInfo struct {
 	Name string `json:"name"`
 	// Version is the version in force on this instance.
 	Version int64 `json:"version"`
 }
 
-// Document is one service document as stored.
+// Document is a stored service document.
 type Document struct {
 	Name    string    `json:"name"`
 	Version int64     `json:"version"`
@@ -33,75 +33,81 @@
 	At      time.Time `json:"at"`
 }
 
-// InstanceVersion is what one instance has in force of one document.
+// InstanceVersion is the version of a document that an instance has in force.
 type InstanceVersion struct {
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failure_domain"`
 	Version       int64  `json:"version"`
-	// Leaving says that the platform lists the instance as leaving.
+	// Leaving is true if the platform lists the instance as leaving.
 	Leaving bool `json:"leaving"`
-	// Error says why the instance did not report; empty if it did.
+	// Error is the reason why the instance did not report its version; empty if
+	// it did.
 	Error string `json:"error,omitempty"`
 }
 
-// GroupView is what this instance knows of one group.
+// GroupView is the state of a group as seen by this instance.
 type GroupView struct {
 	Name  string     `json:"name"`
 	State GroupState `json:"state"`
 	Term  uint64     `json:"term"`
-	// Primary is the address of the term's primary; empty while none is known.
+	// Primary is the address of the primary in Term; empty if it is unknown.
 	Primary string       `json:"primary"`
 	Members []MemberView `json:"members"`
 }
 
-// MemberView is what this instance knows of one member.
+// MemberView is the state of a member as seen by this instance.
 type MemberView struct {
 	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
 	Role          string `json:"role"`
 	Term          uint64 `json:"term"`
 	Position      uint64 `json:"position"`
-	// LagBytes is how far the member's log ends behind the primary's; -1 when
-	// its log is not known to be a prefix of the primary's.
+	// LagBytes is the distance between the end of the member's log and the end
+	// of the primary's; -1 if the member's log is not known to be a prefix of
+	// the primary's.
 	LagBytes int64 `json:"lag_bytes"`
-	// FreshMillis is the age that the member's data is proved not to pass, in
-	// milliseconds; -1 when nothing is proved.
+	// FreshMillis is the verified upper bound of the age of the member's data,
+	// in milliseconds; -1 if no bound is known.
 	FreshMillis int64 `json:"fresh_ms"`
-	// Failing says that probes on new connections fail.
+	// Failing is true if probes on new connections fail.
 	Failing bool `json:"failing"`
 	Leaving bool `json:"leaving"`
 }
 
-// PoolView is the use of one group's connections by this instance.
+// PoolView describes this instance's use of connections to a group.
 type PoolView struct {
 	Group string `json:"group"`
-	// Total is the group's hard total over all instances.
+	// Total is the hard limit on connections to the group, over all instances.
 	Total int `json:"total"`
-	// Seated says that this instance has a seat of the group, so that it may
-	// have connections to its members.
+	// Seated is true if this instance is one of those that may currently open
+	// connections to the group's members.
 	Seated bool `json:"seated"`
-	// Share is how many connections this instance may hold now, those for
-	// control included, and Slots how many statements it may run at once.
+	// Share is the number of connections that this instance may currently hold,
+	// including control connections. Slots is the number of statements that it
+	// may run concurrently.
 	Share int `json:"share"`
 	Slots int `json:"slots"`
 	InUse int `json:"in_use"`
 	Idle  int `json:"idle"`
 }
 
-// WorkspaceView is what this instance knows of a workspace and has begun for it.
+// WorkspaceView describes a workspace and the operations that were requested for
+// it on this instance.
 type WorkspaceView struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority"`
-	// Rate and Burst are its limit over all instances; both zero where there is none.
+	// Rate and Burst are the workspace's rate limit over all instances; both
+	// are zero if there is no limit.
 	Rate  float64 `json:"rate_per_second"`
 	Burst float64 `json:"burst"`
-	// BegunPerSecond is the average of the operations that this instance has been asked to
-	// begin of late, and Refused counts those that it refused for the limit.
+	// BegunPerSecond is the recent average rate of operations that callers asked
+	// this instance to start. Refused counts the operations that this instance
+	// refused because of the limit.
 	BegunPerSecond float64 `json:"begun_per_second"`
 	Refused        uint64  `json:"refused"`
 }
 
-// PeerView is one instance that this one knows.
+// PeerView describes another instance that this instance knows.
 type PeerView struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
@@ -110,18 +116,18 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// Readiness is the answer of /readyz.
+// Readiness is the response of /readyz.
 type Readiness struct {
 	Ready   bool     `json:"ready"`
 	Reasons []string `json:"reasons,omitempty"`
 }
 
-// DrainView is the answer of a drain call.
+// DrainView is the response of a drain request.
 type DrainView struct {
 	Draining bool `json:"draining"`
 }
 
-// StatusView gathers what an operator asks for first.
+// StatusView is an overview of the instance's state for operators.
 type StatusView struct {
 	Instance  Identity       `json:"instance"`
 	Readiness Readiness      `json:"readiness"`
@@ -129,7 +135,8 @@
 	Documents []DocumentInfo `json:"documents"`
 	Groups    []GroupView    `json:"groups"`
 	Pools     []PoolView     `json:"pools"`
-	// Workspaces are those that callers of this instance may belong to.
+	// Workspaces lists the workspaces that callers of this instance may belong
+	// to.
 	Workspaces []WorkspaceView `json:"workspaces"`
 	Peers      []PeerView      `json:"peers"`
 }
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -15,13 +15,13 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// errNoVersion tells how to name the version that was edited.
-var errNoVersion = errors.New("which version was edited? Start from the output of topazrock get, " +
+// errNoEditedVersion explains how to specify the version that was edited.
+var errNoEditedVersion = errors.New("which version was edited? Start from the output of topazrock get, " +
 	"or give --if-version N, or --new for a document that does not exist yet")
 
 // applyCommand stores a service document.
 type applyCommand struct {
-	root      *root
+	app       *app
 	IfVersion int64         `long:"if-version" description:"version that the document was edited from" value-name:"N"`
 	New       bool          `long:"new" description:"the document does not exist yet"`
 	Wait      bool          `long:"wait" description:"return when all live instances report the version"`
@@ -29,11 +29,12 @@
 	Args      fileArgument  `positional-args:"yes" required:"yes"`
 }
 
-// applyAnswer is what apply prints as JSON.
-type applyAnswer struct {
+// applyResult is the JSON output of the apply command.
+type applyResult struct {
 	Service string `json:"service"`
 	adminapi.Outcome
-	// Missing lists the live instances that did not report the version in time.
+	// Missing lists the live instances that did not report the version before
+	// the time limit.
 	Missing []adminapi.InstanceVersion `json:"missing,omitempty"`
 }
 
@@ -51,66 +52,70 @@
 	if err != nil {
 		return &exitError{ExitInvalid, err}
 	}
-	return c.apply(name, body, version)
+	return c.applyDocument(name, body, version)
 }
 
-// editedVersion picks the version that was edited; written is the one in the file.
-func (c *applyCommand) editedVersion(written int64) (int64, error) {
+// editedVersion returns the version that was edited. fromFile is the version in
+// the file's version line; options take precedence over it.
+func (c *applyCommand) editedVersion(fromFile int64) (int64, error) {
 	switch {
 	case c.New && c.IfVersion == 0:
 		return 0, nil
 	case c.New || c.IfVersion < 0:
-		return 0, errNoVersion
+		return 0, errNoEditedVersion
 	case c.IfVersion > 0:
 		return c.IfVersion, nil
-	case written > 0:
-		return written, nil
+	case fromFile > 0:
+		return fromFile, nil
 	default:
-		return 0, errNoVersion
+		return 0, errNoEditedVersion
 	}
 }
 
-func (c *applyCommand) apply(name, body string, version int64) error {
-	client, err := c.root.client()
+func (c *applyCommand) applyDocument(name, body string, version int64) error {
+	client, err := c.app.client()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(c.root.ctx, c.root.options.Timeout)
+	ctx, cancel := context.WithTimeout(c.app.ctx, c.app.options.Timeout)
 	defer cancel()
 	outcome, err := client.Apply(ctx, name, body, version)
-	if errors.Is(err, adminclient.ErrNoAnswer) {
-		return &exitError{ExitUnknown, fmt.Errorf("%s: %w; look with: topazrock history %s", adminapi.StateSettling, err, name)}
+	if errors.Is(err, adminclient.ErrNoResponse) {
+		return &exitError{ExitOutcomeUnknown, fmt.Errorf("%s: %w; look with: topazrock history %s", adminapi.StateOutcomeUnknown, err, name)}
 	}
 	if err != nil {
 		return err
 	}
-	answer := applyAnswer{Service: name, Outcome: outcome}
+	applied := applyResult{Service: name, Outcome: outcome}
 	if c.Wait {
-		answer.Missing, err = c.wait(client, name, outcome.Version)
+		applied.Missing, err = c.waitForInstances(client, name, outcome.Version)
 	}
-	return errors.Join(c.print(answer), err)
+	return errors.Join(c.printResult(applied), err)
 }
 
-// wait returns the instances that do not have the version in force.
-func (c *applyCommand) wait(client *adminclient.Client, name string, version int64) ([]adminapi.InstanceVersion, error) {
-	ctx, cancel := context.WithTimeout(c.root.ctx, c.WaitTime)
+// waitForInstances waits until all live instances have the version in force. It
+// returns those that do not report it before the time limit.
+func (c *applyCommand) waitForInstances(client *adminclient.Client, name string, version int64) ([]adminapi.InstanceVersion, error) {
+	ctx, cancel := context.WithTimeout(c.app.ctx, c.WaitTime)
 	defer cancel()
-	ask := func(ctx context.Context) ([]adminapi.InstanceVersion, error) { return client.InForce(ctx, name) }
-	missing, err := waitInForce(ctx, clock.System{}, ask, version)
+	queryVersions := func(ctx context.Context) ([]adminapi.InstanceVersion, error) {
+		return client.VersionsInForce(ctx, name)
+	}
+	missing, err := waitInForce(ctx, clock.System{}, queryVersions, version)
 	if err == nil && len(missing) == 0 {
 		return nil, nil
 	}
 	if err == nil {
 		err = fmt.Errorf("%d live instances did not report version %d within %v", len(missing), version, c.WaitTime)
 	}
-	return missing, &exitError{ExitNotEverywhere, err}
+	return missing, &exitError{ExitNotAllInstances, err}
 }
 
-func (c *applyCommand) print(a applyAnswer) error {
-	return c.root.print(a, func(w *tabwriter.Writer) {
-		fmt.Fprintf(w, "%s: accepted as version %d\n", a.Service, a.Version)
-		if c.Wait && len(a.Missing) > 0 {
-			writeVersions(w, a.Missing)
+func (c *applyCommand) printResult(applied applyResult) error {
+	return c.app.printData(applied, func(w *tabwriter.Writer) {
+		fmt.Fprintf(w, "%s: accepted as version %d\n", applied.Service, applied.Version)
+		if c.Wait && len(applied.Missing) > 0 {
+			writeVersions(w, applied.Missing)
 		}
 	})
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -15,20 +15,20 @@
 	"github.com/topazrock/topazrock/internal/settings"
 )
 
-// fileArgument is the name of a file on the command line.
+// fileArgument is the command-line argument for the name of a file.
 type fileArgument struct {
 	File string `positional-arg-name:"FILE" description:"settings file or service document"`
 }
 
-// checkCommand checks settings or a service document.
+// checkCommand validates settings or a service document.
 type checkCommand struct {
-	root   *root
+	app    *app
 	Remote bool         `long:"remote" description:"check a service document at the instance instead of here"`
 	Args   fileArgument `positional-args:"yes" required:"yes"`
 }
 
-// checkAnswer is what check prints as JSON.
-type checkAnswer struct {
+// checkResult is the JSON output of the check command.
+type checkResult struct {
 	File string `json:"file"`
 	// Kind is "settings" or "service document".
 	Kind  string `json:"kind"`
@@ -47,26 +47,26 @@
 	if err != nil {
 		return oops.In("cli").Wrapf(err, "read the file")
 	}
-	kind, err := c.check(text)
+	kind, err := c.checkText(text)
 	if err != nil {
 		return err
 	}
-	return c.root.print(checkAnswer{File: c.Args.File, Kind: kind, Valid: true}, func(w *tabwriter.Writer) {
+	return c.app.printData(checkResult{File: c.Args.File, Kind: kind, Valid: true}, func(w *tabwriter.Writer) {
 		fmt.Fprintf(w, "%s: valid %s\n", c.Args.File, kind)
 	})
 }
 
-// check returns the kind of the text and its faults.
-func (c *checkCommand) check(text []byte) (string, error) {
-	if !isDocument(text) {
+// checkText validates the text and returns its kind.
+func (c *checkCommand) checkText(text []byte) (string, error) {
+	if !isServiceDocument(text) {
 		_, err := settings.Parse(c.Args.File, text)
-		return kindSettings, invalid(err)
+		return kindSettings, withInvalidExit(err)
 	}
 	name, err := serviceName(c.Args.File, text)
 	if err != nil || !c.Remote {
-		return kindDocument, invalid(err)
+		return kindDocument, withInvalidExit(err)
 	}
-	return kindDocument, c.root.call(func(ctx context.Context, client *adminclient.Client) error {
+	return kindDocument, c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
 		body, _ := cutVersionLine(string(text))
 		return client.Check(ctx, name, body)
 	})
@@ -75,8 +75,9 @@
 // serviceSection matches the section that every service document has.
 var serviceSection = regexp.MustCompile(`(?m)^\s*\[\s*service\s*\]`)
 
-// isDocument tells a service document from settings.
-func isDocument(text []byte) bool {
+// isServiceDocument reports whether text is a service document; otherwise it is
+// treated as settings.
+func isServiceDocument(text []byte) bool {
 	return serviceSection.Match(bytes.TrimPrefix(text, []byte("\ufeff")))
 }
 
@@ -89,8 +90,8 @@
 	return service.Name, nil
 }
 
-// invalid gives a fault of a file its exit code.
-func invalid(err error) error {
+// withInvalidExit gives a validation error the exit code ExitInvalid.
+func withInvalidExit(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,7 @@
-// Package cli is the command line of topazrock.
+// Package cli implements the command line of topazrock.
 //
-// Every command but serve, check, codes, verifier and version uses the
-// administration API of one instance and nothing else.
+// All commands except serve, check, codes, explain, verifier and version work
+// through the administration API of one instance only.
 package cli
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Environment is what the command line gets from its process.
+// Environment holds the arguments, streams and functions that the process
+// provides to the command line.
 type Environment struct {
 	Args   []string
 	Stdin  io.Reader
@@ -25,30 +26,31 @@
 	Serve func(ctx context.Context, settingsFile string) error
 }
 
-// Run runs one command and returns the exit code of the process.
+// Run runs one command and returns the exit code for the process.
 func Run(ctx context.Context, env Environment) int {
-	root := &root{ctx: ctx, env: env}
+	app := &app{ctx: ctx, env: env}
 	parser := flags.NewNamedParser("topazrock", flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "database proxy with session consistency"
 	parser.LongDescription = "topazrock is a database proxy for PostgreSQL groups: every session reads its own writes.\n\n" +
 		"Example: topazrock serve --settings /etc/topazrock.ini"
-	if _, err := parser.AddGroup("API options", "", &root.options); err != nil {
-		panic(err) // a malformed tag: found by any test that runs a command
+	if _, err := parser.AddGroup("API options", "", &app.options); err != nil {
+		panic(err) // malformed struct tag; any test that runs a command detects it
 	}
-	root.addCommands(parser)
+	app.addCommands(parser)
 	_, err := parser.ParseArgs(env.Args)
-	return report(env, err)
+	return reportError(env, err)
 }
 
-// report prints what the command came to and returns its exit code.
-func report(env Environment, err error) int {
-	var parse *flags.Error
-	if errors.As(err, &parse) {
-		if parse.Type == flags.ErrHelp {
-			fmt.Fprintln(env.Stdout, parse.Message)
+// reportError prints the error or help text of a command, if any, and returns the
+// exit code.
+func reportError(env Environment, err error) int {
+	var flagsErr *flags.Error
+	if errors.As(err, &flagsErr) {
+		if flagsErr.Type == flags.ErrHelp {
+			fmt.Fprintln(env.Stdout, flagsErr.Message)
 			return ExitOK
 		}
-		fmt.Fprintln(env.Stderr, "topazrock:", parse.Message)
+		fmt.Fprintln(env.Stderr, "topazrock:", flagsErr.Message)
 		return ExitUsage
 	}
 	if err != nil {
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -2,36 +2,37 @@
 
 import "github.com/jessevdk/go-flags"
 
-// command is one entry of the command list.
+// command describes one command for the parser.
 type command struct {
 	name, short, example string
 	data                 any
 }
 
 // addCommands adds every command to the parser.
-func (r *root) addCommands(p *flags.Parser) {
+func (a *app) addCommands(p *flags.Parser) {
 	commands := []command{
-		{"serve", "run an entry instance", "topazrock serve --settings /etc/topazrock.ini", &serveCommand{root: r}},
-		{"check", "check settings or a service document", "topazrock check examples/base-ligacoes.ini", &checkCommand{root: r}},
-		{"apply", "store a service document", "topazrock apply --wait base-ligacoes.ini", &applyCommand{root: r}},
-		{"get", "print a service document", "topazrock get base-ligacoes > base-ligacoes.ini", &getCommand{root: r}},
-		{"list", "list the documents in force on the instance", "topazrock list --output json", &listCommand{root: r}},
-		{"history", "list the changes of a document", "topazrock history base-ligacoes", &historyCommand{root: r}},
-		{"versions", "list what version each instance has in force", "topazrock versions base-ligacoes", &versionsCommand{root: r}},
-		{"status", "show groups, pools, peers and readiness", "topazrock status --api 10.0.0.1:6434", &statusCommand{root: r}},
-		{"drain", "begin the graceful shutdown of the instance", "topazrock drain --api 10.0.0.1:6434 --token-file token", &drainCommand{root: r}},
-		{"explain", "say what logs show was refused, and why", "topazrock explain --group orders-1 instance-*.log", &explainCommand{root: r}},
-		{"verifier", "make a password verifier for a document", "topazrock verifier < password.txt", &verifierCommand{root: r}},
-		{"codes", "print the page of result codes", "topazrock codes > docs/RESULT-CODES.md", &codesCommand{root: r}},
-		{"version", "print the version of the program", "topazrock version", &versionCommand{root: r}},
+		{"serve", "run an entry instance", "topazrock serve --settings /etc/topazrock.ini", &serveCommand{app: a}},
+		{"check", "check settings or a service document", "topazrock check examples/base-ligacoes.ini", &checkCommand{app: a}},
+		{"apply", "store a service document", "topazrock apply --wait base-ligacoes.ini", &applyCommand{app: a}},
+		{"get", "print a service document", "topazrock get base-ligacoes > base-ligacoes.ini", &getCommand{app: a}},
+		{"list", "list the documents in force on the instance", "topazrock list --output json", &listCommand{app: a}},
+		{"history", "list the changes of a document", "topazrock history base-ligacoes", &historyCommand{app: a}},
+		{"versions", "list what version each instance has in force", "topazrock versions base-ligacoes", &versionsCommand{app: a}},
+		{"status", "show groups, pools, peers and readiness", "topazrock status --api 10.0.0.1:6434", &statusCommand{app: a}},
+		{"drain", "begin the graceful shutdown of the instance", "topazrock drain --api 10.0.0.1:6434 --token-file token", &drainCommand{app: a}},
+		{"explain", "say what logs show was refused, and why", "topazrock explain --group orders-1 instance-*.log", &explainCommand{app: a}},
+		{"verifier", "make a password verifier for a document", "topazrock verifier < password.txt", &verifierCommand{app: a}},
+		{"codes", "print the page of result codes", "topazrock codes > docs/RESULT-CODES.md", &codesCommand{app: a}},
+		{"version", "print the version of the program", "topazrock version", &versionCommand{app: a}},
 	}
 	for _, c := range commands {
 		long := upperFirst(c.short) + ".\n\nExample: " + c.example
 		if _, err := p.AddCommand(c.name, c.short, long, c.data); err != nil {
-			panic(err) // a malformed tag: found by any test that runs a command
+			panic(err) // malformed struct tag; any test that runs a command detects it
 		}
 	}
 }
 
-// upperFirst makes the first letter of an ASCII text a capital.
+// upperFirst capitalizes the first letter of s, which must be a lower-case ASCII
+// letter.
 func upperFirst(s string) string { return string(s[0]-'a'+'A') + s[1:] }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -7,35 +7,36 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Exit codes. docs/ops/command-line.md lists the same ones.
+// Exit codes. docs/ops/command-line.md must list the same codes.
 const (
-	// ExitOK: the command did what it was asked for.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailure: anything that no other code names.
+	// ExitFailure: any failure without a code of its own.
 	ExitFailure = 1
 	// ExitUsage: the command line is not valid.
 	ExitUsage = 2
 	// ExitInvalid: the settings or the document did not pass the checks.
 	ExitInvalid = 3
-	// ExitConflict: not accepted, another version stands.
+	// ExitConflict: the change was not accepted because another version was
+	// stored first.
 	ExitConflict = 4
-	// ExitNoEffect: the change was not stored.
-	ExitNoEffect = 5
-	// ExitUnknown: whether the change was stored is not known.
-	ExitUnknown = 6
-	// ExitUnreachable: the API or the platform behind it does not answer; the
-	// call changed nothing.
+	// ExitNotStored: the change was not stored.
+	ExitNotStored = 5
+	// ExitOutcomeUnknown: it is not known whether the change was stored.
+	ExitOutcomeUnknown = 6
+	// ExitUnreachable: the API, or the platform that it depends on, does not
+	// respond; nothing was changed.
 	ExitUnreachable = 7
-	// ExitDenied: the call needs the access token.
+	// ExitDenied: the request needs the access token.
 	ExitDenied = 8
 	// ExitNotFound: there is no such object.
 	ExitNotFound = 9
-	// ExitNotEverywhere: the change is accepted, but not every live instance
-	// reported it in time.
-	ExitNotEverywhere = 10
+	// ExitNotAllInstances: the change was accepted, but not all live instances
+	// reported it before the time limit.
+	ExitNotAllInstances = 10
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -44,15 +45,16 @@
 // Error implements error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap implements the errors package's chain.
+// Unwrap returns the wrapped error for errors.Is and errors.As.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exitOf maps result codes to exit codes.
-var exitOf = map[result.Code]int{
+// exitCodes maps result codes to exit codes. Codes that are not listed map to
+// ExitFailure.
+var exitCodes = map[result.Code]int{
 	result.DocumentInvalid:     ExitInvalid,
 	result.VersionConflict:     ExitConflict,
-	result.DidNotTakeEffect:    ExitNoEffect,
-	result.StillSettling:       ExitUnknown,
+	result.DidNotTakeEffect:    ExitNotStored,
+	result.StillSettling:       ExitOutcomeUnknown,
 	result.PlatformUnavailable: ExitUnreachable,
 	result.NotReady:            ExitUnreachable,
 	result.AccessDenied:        ExitDenied,
@@ -66,11 +68,11 @@
 	if err == nil {
 		return ExitOK
 	}
-	var own *exitError
-	if errors.As(err, &own) {
-		return own.code
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		return exitErr.code
 	}
-	if code, ok := exitOf[adminclient.CodeOf(err)]; ok {
+	if code, ok := exitCodes[adminclient.ResultCode(err)]; ok {
 		return code
 	}
 	if errors.Is(err, adminclient.ErrUnreachable) {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,14 +10,14 @@
 	"github.com/topazrock/topazrock/internal/explain"
 )
 
-// logFiles are the files that explain reads.
+// logFiles holds the names of the log files to read.
 type logFiles struct {
 	Files []string `positional-arg-name:"FILE" description:"log files of one or more instances; standard input if none"`
 }
 
-// explainCommand says what logs show was refused, and why.
+// explainCommand reports which requests were refused, and why, from logs.
 type explainCommand struct {
-	root     *root
+	app      *app
 	Group    string        `long:"group" description:"only this group" value-name:"NAME"`
 	Instance string        `long:"instance" description:"only lines of this instance" value-name:"ID"`
 	Code     string        `long:"code" description:"only refusals with this result code" value-name:"CODE"`
@@ -30,7 +30,7 @@
 
 // Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
-	streams := []io.Reader{c.root.env.Stdin}
+	streams := []io.Reader{c.app.env.Stdin}
 	if len(c.Args.Files) > 0 {
 		streams = nil
 	}
@@ -47,11 +47,11 @@
 	if err != nil {
 		return oops.In("cli").Wrapf(err, "read the logs")
 	}
-	if c.root.options.Output == "json" {
-		return c.root.print(report, nil)
+	if c.app.options.Output == "json" {
+		return c.app.printData(report, nil)
 	}
 	if c.Detail {
-		return report.WriteText(c.root.env.Stdout)
+		return report.WriteText(c.app.env.Stdout)
 	}
-	return report.WriteSummary(c.root.env.Stdout)
+	return report.WriteSummary(c.app.env.Stdout)
 }
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -12,27 +12,27 @@
 )
 
 // versionCommand prints the version of the program.
-type versionCommand struct{ root *root }
+type versionCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *versionCommand) Execute([]string) error {
-	_, err := fmt.Fprintln(c.root.env.Stdout, "topazrock", build.Version())
+	_, err := fmt.Fprintln(c.app.env.Stdout, "topazrock", build.Version())
 	return err
 }
 
 // codesCommand prints the page of result codes.
-type codesCommand struct{ root *root }
+type codesCommand struct{ app *app }
 
 // Execute implements flags.Commander.
-func (c *codesCommand) Execute([]string) error { return result.WritePage(c.root.env.Stdout) }
+func (c *codesCommand) Execute([]string) error { return result.WritePage(c.app.env.Stdout) }
 
 // verifierCommand makes a password verifier.
-type verifierCommand struct{ root *root }
+type verifierCommand struct{ app *app }
 
-// Execute implements flags.Commander. The password comes from standard input,
-// since arguments show in the list of processes.
+// Execute implements flags.Commander. The password is read from standard input
+// because arguments are visible in the process list.
 func (c *verifierCommand) Execute([]string) error {
-	input := bufio.NewScanner(c.root.env.Stdin)
+	input := bufio.NewScanner(c.app.env.Stdin)
 	if !input.Scan() {
 		return &exitError{ExitUsage, errors.New("give the password as one line on standard input")}
 	}
@@ -44,6 +44,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(c.root.env.Stdout, verifier)
+	_, err = fmt.Fprintln(c.app.env.Stdout, verifier)
 	return err
 }
--- a/internal/cli/text.go
+++ b/internal/cli/remote.go
@@ -8,115 +8,115 @@
 	"github.com/topazrock/topazrock/internal/adminclient"
 )
 
-// timeLayout is how moments are printed.
+// timeLayout is the layout for printed timestamps.
 const timeLayout = "2006-01-02 15:04:05 MST"
 
 // listCommand lists the documents in force.
-type listCommand struct{ root *root }
+type listCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *listCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
 		list, err := client.List(ctx)
 		if err != nil {
 			return err
 		}
-		return c.root.print(list, func(w *tabwriter.Writer) {
-			line(w, "SERVICE", "VERSION")
+		return c.app.printData(list, func(w *tabwriter.Writer) {
+			writeRow(w, "SERVICE", "VERSION")
 			for _, d := range list {
-				line(w, d.Name, d.Version)
+				writeRow(w, d.Name, d.Version)
 			}
 		})
 	})
 }
 
-// nameArgument is the name of a service on the command line.
+// nameArgument is the command-line argument for the name of a service.
 type nameArgument struct {
 	Name string `positional-arg-name:"SERVICE" description:"name of the service"`
 }
 
 // historyCommand lists the changes of a document.
 type historyCommand struct {
-	root *root
+	app  *app
 	Args nameArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute implements flags.Commander.
 func (c *historyCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
 		changes, err := client.History(ctx, c.Args.Name)
 		if err != nil {
 			return err
 		}
-		return c.root.print(changes, func(w *tabwriter.Writer) {
-			line(w, "VERSION", "WHEN", "BY")
+		return c.app.printData(changes, func(w *tabwriter.Writer) {
+			writeRow(w, "VERSION", "WHEN", "BY")
 			for _, change := range changes {
-				line(w, change.Version, change.At.UTC().Format(timeLayout), change.By)
+				writeRow(w, change.Version, change.At.UTC().Format(timeLayout), change.By)
 			}
 		})
 	})
 }
 
-// versionsCommand lists what version each instance has in force.
+// versionsCommand lists the version that each instance has in force.
 type versionsCommand struct {
-	root *root
+	app  *app
 	Args nameArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute implements flags.Commander.
 func (c *versionsCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
-		versions, err := client.InForce(ctx, c.Args.Name)
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
+		versions, err := client.VersionsInForce(ctx, c.Args.Name)
 		if err != nil {
 			return err
 		}
-		return c.root.print(versions, func(w *tabwriter.Writer) { writeVersions(w, versions) })
+		return c.app.printData(versions, func(w *tabwriter.Writer) { writeVersions(w, versions) })
 	})
 }
 
-// writeVersions prints one line for each instance.
+// writeVersions writes a table with one row for each instance.
 func writeVersions(w *tabwriter.Writer, versions []adminapi.InstanceVersion) {
-	line(w, "INSTANCE", "FAILURE DOMAIN", "VERSION", "NOTE")
+	writeRow(w, "INSTANCE", "FAILURE DOMAIN", "VERSION", "NOTE")
 	for _, v := range versions {
 		note := v.Error
 		if v.Leaving {
 			note = "leaving " + note
 		}
-		line(w, v.Instance, v.FailureDomain, v.Version, note)
+		writeRow(w, v.Instance, v.FailureDomain, v.Version, note)
 	}
 }
 
 // getCommand prints a document.
 type getCommand struct {
-	root *root
+	app  *app
 	Args nameArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
 		document, err := client.Get(ctx, c.Args.Name)
 		if err != nil {
 			return err
 		}
-		return c.root.print(document, func(w *tabwriter.Writer) {
-			_, _ = w.Write([]byte(withVersionLine(document.Text, document.Version)))
+		return c.app.printData(document, func(w *tabwriter.Writer) {
+			_, _ = w.Write([]byte(addVersionLine(document.Text, document.Version)))
 		})
 	})
 }
 
-// drainCommand begins the graceful shutdown of the instance.
-type drainCommand struct{ root *root }
+// drainCommand starts the graceful shutdown of the instance.
+type drainCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
-		answer, err := client.Drain(ctx)
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
+		view, err := client.Drain(ctx)
 		if err != nil {
 			return err
 		}
-		return c.root.print(answer, func(w *tabwriter.Writer) {
-			line(w, "draining: no new callers are taken, requests in flight finish, then the process exits")
+		return c.app.printData(view, func(w *tabwriter.Writer) {
+			writeRow(w, "draining: no new callers are taken, requests in flight finish, then the process exits")
 		})
 	})
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -11,24 +11,24 @@
 )
 
 // statusCommand shows groups, pools, peers and readiness.
-type statusCommand struct{ root *root }
+type statusCommand struct{ app *app }
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	return c.root.call(func(ctx context.Context, client *adminclient.Client) error {
+	return c.app.callAPI(func(ctx context.Context, client *adminclient.Client) error {
 		status, err := client.Status(ctx)
 		if err != nil {
 			return err
 		}
-		return c.root.print(status, func(w *tabwriter.Writer) { writeStatus(w, status) })
+		return c.app.printData(status, func(w *tabwriter.Writer) { writeStatus(w, status) })
 	})
 }
 
 func writeStatus(w *tabwriter.Writer, s adminapi.StatusView) {
-	line(w, "instance", s.Instance.ID, s.Instance.FailureDomain, s.Instance.Build)
-	line(w, "state", stateText(s))
+	writeRow(w, "instance", s.Instance.ID, s.Instance.FailureDomain, s.Instance.Build)
+	writeRow(w, "state", stateText(s))
 	for _, d := range s.Documents {
-		line(w, "document", d.Name, fmt.Sprintf("version %d", d.Version))
+		writeRow(w, "document", d.Name, fmt.Sprintf("version %d", d.Version))
 	}
 	writeGroups(w, s.Groups)
 	writePools(w, s.Pools)
@@ -36,7 +36,8 @@
 	writePeers(w, s.Peers)
 }
 
-// stateText returns ready, draining, or why the instance is not ready.
+// stateText returns "ready", "draining", or the reasons why the instance is not
+// ready.
 func stateText(s adminapi.StatusView) string {
 	switch {
 	case s.Draining:
@@ -52,18 +53,19 @@
 	if len(groups) == 0 {
 		return
 	}
-	line(w)
-	line(w, "GROUP", "STATE", "TERM", "MEMBER", "FAILURE DOMAIN", "ROLE", "LAG", "DATA AGE", "NOTE")
+	writeRow(w)
+	writeRow(w, "GROUP", "STATE", "TERM", "MEMBER", "FAILURE DOMAIN", "ROLE", "LAG", "DATA AGE", "NOTE")
 	for _, g := range groups {
 		for _, m := range g.Members {
-			line(w, g.Name, g.State, g.Term, m.Address, m.FailureDomain, m.Role,
-				unlessNegative(m.LagBytes, "B"), unlessNegative(m.FreshMillis, "ms"), memberNote(m))
+			writeRow(w, g.Name, g.State, g.Term, m.Address, m.FailureDomain, m.Role,
+				valueOrDash(m.LagBytes, "B"), valueOrDash(m.FreshMillis, "ms"), memberNote(m))
 		}
 	}
 }
 
-// unlessNegative prints a number with its unit, or a dash for one not known.
-func unlessNegative(n int64, unit string) string {
+// valueOrDash formats a number with its unit; a negative number means unknown and
+// becomes a dash.
+func valueOrDash(n int64, unit string) string {
 	if n < 0 {
 		return "-"
 	}
@@ -85,10 +87,10 @@
 	if len(pools) == 0 {
 		return
 	}
-	line(w)
-	line(w, "POOL", "TOTAL", "SEATED", "SHARE", "SLOTS", "IN USE", "IDLE")
+	writeRow(w)
+	writeRow(w, "POOL", "TOTAL", "SEATED", "SHARE", "SLOTS", "IN USE", "IDLE")
 	for _, p := range pools {
-		line(w, p.Group, p.Total, p.Seated, p.Share, p.Slots, p.InUse, p.Idle)
+		writeRow(w, p.Group, p.Total, p.Seated, p.Share, p.Slots, p.InUse, p.Idle)
 	}
 }
 
@@ -96,15 +98,16 @@
 	if len(workspaces) == 0 {
 		return
 	}
-	line(w)
-	line(w, "WORKSPACE", "PRIORITY", "RATE", "BURST", "ASKED HERE", "REFUSED HERE")
+	writeRow(w)
+	writeRow(w, "WORKSPACE", "PRIORITY", "RATE", "BURST", "ASKED HERE", "REFUSED HERE")
 	for _, v := range workspaces {
-		line(w, v.Name, v.Priority, limitText(v.Rate), limitText(v.Burst), fmt.Sprintf("%.1f/s", v.BegunPerSecond), v.Refused)
+		writeRow(w, v.Name, v.Priority, limitOrDash(v.Rate), limitOrDash(v.Burst), fmt.Sprintf("%.1f/s", v.BegunPerSecond), v.Refused)
 	}
 }
 
-// limitText prints a part of a limit, or a dash where there is none.
-func limitText(n float64) string {
+// limitOrDash formats the rate or burst of a limit; zero means no limit and
+// becomes a dash.
+func limitOrDash(n float64) string {
 	if n == 0 {
 		return "-"
 	}
@@ -115,9 +118,9 @@
 	if len(peers) == 0 {
 		return
 	}
-	line(w)
-	line(w, "PEER", "FAILURE DOMAIN", "ADDRESS", "CONNECTED", "LEAVING")
+	writeRow(w)
+	writeRow(w, "PEER", "FAILURE DOMAIN", "ADDRESS", "CONNECTED", "LEAVING")
 	for _, p := range peers {
-		line(w, p.ID, p.FailureDomain, p.Address, p.Connected, p.Leaving)
+		writeRow(w, p.ID, p.FailureDomain, p.Address, p.Connected, p.Leaving)
 	}
 }
--- a/internal/cli/versionline.go
+++ b/internal/cli/versionline.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// versionPrefix begins the comment that get puts above a document, so that
-// apply knows which version was edited.
+// versionPrefix starts the comment line that the get command adds above a
+// document, so that the apply command knows which version was edited.
 const versionPrefix = "; version: "
 
-// withVersionLine puts the version above a document.
-func withVersionLine(text string, version int64) string {
+// addVersionLine adds a version line above a document.
+func addVersionLine(text string, version int64) string {
 	return fmt.Sprintf("%s%d\n%s", versionPrefix, version, text)
 }
 
-// cutVersionLine returns the document without its version line, and the
-// version; zero if there is none.
+// cutVersionLine returns the document without its version line, and the version.
+// The version is zero if there is no valid version line.
 func cutVersionLine(text string) (string, int64) {
 	first, rest, _ := strings.Cut(text, "\n")
 	number, ok := strings.CutPrefix(strings.TrimSpace(first), versionPrefix)
--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,4 +1,5 @@
-// Package explain reads the log lines of instances and says what was refused, when,
-// where and why, beside what instances came to believe in the same time. It is what
-// an operator would put together by hand from the lines of all instances.
+// Package explain reads the logs of one or more instances and reports which requests
+// were refused, when, where and why, together with the state changes that the
+// instances logged at that time. Without it, operators would have to correlate the
+// logs of all instances by hand.
 package explain
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// line is a log line as far as it is looked at. The names are those that instances
-// write; see docs/OPERATIONS.md.
-type line struct {
+// logLine holds the fields of a log line that reports use. The JSON names are those
+// in the logs of instances; see docs/OPERATIONS.md.
+type logLine struct {
 	Message   string `json:"@message"`
 	Level     string `json:"@level"`
 	Module    string `json:"@module"`
@@ -23,63 +23,64 @@
 	Request   string `json:"request"`
 	Member    string `json:"member"`
 	Cause     string `json:"cause"`
-	// FailureDomain is told by the line of an instance's start.
+	// FailureDomain is set only in the line that an instance logs when it starts.
 	FailureDomain string `json:"failure_domain"`
 
-	// at is when the line was written, from the first line on.
-	at time.Duration
-	// source is the instance that wrote it.
-	source string
+	// offset is the time of the line, relative to the first line.
+	offset time.Duration
+	// source is the ID of the instance that wrote the line.
+	writer string
 }
 
-// parser reads lines of several instances in one stream.
-type parser struct {
-	first time.Time
-	// named is the instance that a file's own lines named last.
-	named string
+// lineParser parses log lines. One stream may contain lines of several instances.
+type lineParser struct {
+	firstTimestamp time.Time
+	// lastInstance is the instance named most recently by a line without prefix.
+	lastInstance string
 }
 
-// parse reads one line: a JSON object, alone or behind words of which the last names the
-// instance, and of which the first may be its time in seconds. False for anything else.
-func (p *parser) parse(text []byte) (line, bool) {
+// parseLine parses one line: a JSON object with an optional prefix. The last word of the
+// prefix names the instance; the first of several may be the time in seconds. parseLine
+// returns false if the line has another form.
+func (p *lineParser) parseLine(text []byte) (logLine, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return line{}, false
+		return logLine{}, false
 	}
-	var l line
+	var l logLine
 	if err := json.Unmarshal(text[start:], &l); err != nil || l.Message == "" {
-		return line{}, false
+		return logLine{}, false
 	}
-	words := strings.Fields(string(text[:start]))
-	l.source = p.sourceOf(l, words)
-	l.at = p.timeOf(l, words)
+	prefix := strings.Fields(string(text[:start]))
+	l.writer = p.instanceOf(l, prefix)
+	l.offset = p.offsetOf(l, prefix)
 	return l, true
 }
 
-func (p *parser) sourceOf(l line, words []string) string {
-	if len(words) > 0 {
-		return words[len(words)-1]
+func (p *lineParser) instanceOf(l logLine, prefix []string) string {
+	if len(prefix) > 0 {
+		return prefix[len(prefix)-1]
 	}
 	if l.Instance != "" {
-		p.named = l.Instance
+		p.lastInstance = l.Instance
 	}
-	return p.named
+	return p.lastInstance
 }
 
-// timeOf returns the time in front of the line, or that of its own stamp counted from
-// the first stamp that was read.
-func (p *parser) timeOf(l line, words []string) time.Duration {
-	if len(words) > 1 {
-		if seconds, err := strconv.ParseFloat(words[0], 64); err == nil {
+// offsetOf returns the time in the prefix or, without one, the time of the line's own
+// timestamp relative to the first timestamp that was read.
+func (p *lineParser) offsetOf(l logLine, prefix []string) time.Duration {
+	if len(prefix) > 1 {
+		if seconds, err := strconv.ParseFloat(prefix[0], 64); err == nil {
 			return time.Duration(seconds * float64(time.Second))
 		}
 	}
-	at, err := time.Parse(time.RFC3339Nano, l.Timestamp)
+	timestamp, err := time.Parse(time.RFC3339Nano, l.Timestamp)
 	if err != nil {
 		return 0
 	}
-	if p.first.IsZero() {
-		p.first = at
+	if p.firstTimestamp.IsZero() {
+		p.firstTimestamp = timestamp
 	}
-	return at.Sub(p.first)
+	return timestamp.Sub(p.firstTimestamp)
 }
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -11,11 +11,13 @@
 	"time"
 )
 
-// messageRefused is the line that an instance writes for each answer with a result code.
+// messageRefused is the message that an instance logs for each response with a result
+// code.
 const messageRefused = "Request was refused."
 
-// beliefs are the lines that say what an instance came to believe.
-var beliefs = map[string]bool{
+// stateChangeMessages are the messages that report a change of the instance's state or of
+// its view of groups, members, the platform and other instances.
+var stateChangeMessages = map[string]bool{
 	"Member does not answer.": true, "Member answers again.": true, "Too few replicas get on.": true,
 	"Replicas get on again.": true, "Term rose.": true, "Primary found.": true, "Term claimed.": true,
 	"Member is promoted.": true, "Primary replaced.": true, "Others reach the primary.": true, "Claim failed.": true,
@@ -27,20 +29,20 @@
 	"The instance's entry was removed.": true, "Opening a connection failed.": true, "Unit was passed on and not served.": true,
 }
 
-// Filter chooses what a report is about; zero fields choose all.
+// Filter selects the lines for a report. Fields with zero values select all lines.
 type Filter struct {
 	Group, Instance, Code, Request string
-	// From and To bound the time; To zero has no bound.
+	// From and To limit the time range; if To is zero, it has no end.
 	From, To time.Duration
 }
 
-func (f Filter) takes(l line) bool {
+func (f Filter) matches(l logLine) bool {
 	switch {
-	case f.Instance != "" && l.source != f.Instance:
+	case f.Instance != "" && l.writer != f.Instance:
 		return false
 	case f.Group != "" && l.Group != "" && l.Group != f.Group:
 		return false
-	case l.at < f.From, f.To > 0 && l.at > f.To:
+	case l.offset < f.From, f.To > 0 && l.offset > f.To:
 		return false
 	case f.Request != "" && l.Request != f.Request && l.Message == messageRefused:
 		return false
@@ -50,21 +52,22 @@
 	return true
 }
 
-// Refusals are the refusals of one second that have the same reason.
-type Refusals struct {
+// RefusalCount counts the refusals in one second by one instance with the same code,
+// group and class.
+type RefusalCount struct {
 	Second   int    `json:"second"`
 	Code     string `json:"code"`
 	Group    string `json:"group"`
 	Instance string `json:"instance"`
 	Class    string `json:"class"`
 	Count    int    `json:"count"`
-	// Example is the error of one of them, and Request its id.
+	// Example is the error of the first of these refusals, and Request its request ID.
 	Example string `json:"example"`
 	Request string `json:"request"`
 }
 
-// Belief is what one instance came to believe in one second, and how often it said so.
-type Belief struct {
+// StateChange counts how often one instance logged the same state change in one second.
+type StateChange struct {
 	Second   int    `json:"second"`
 	Instance string `json:"instance"`
 	Group    string `json:"group"`
@@ -73,129 +76,131 @@
 	Count    int    `json:"count"`
 }
 
-// Report is what a set of logs says.
+// Report holds the refusals and state changes found in a set of logs.
 type Report struct {
-	Lines    int            `json:"lines"`
-	Unread   int            `json:"unread"`
-	ByCode   map[string]int `json:"by_code"`
-	Refusals []Refusals     `json:"refusals"`
-	Beliefs  []Belief       `json:"beliefs"`
-	// Domains are the failure domains of the instances that told theirs.
-	Domains map[string]string `json:"failure_domains"`
+	Lines        int            `json:"lines"`
+	Unread       int            `json:"unread"`
+	ByCode       map[string]int `json:"by_code"`
+	Refusals     []RefusalCount `json:"refusals"`
+	StateChanges []StateChange  `json:"beliefs"`
+	// FailureDomains maps instances to their failure domains, if these were logged.
+	FailureDomains map[string]string `json:"failure_domains"`
 }
 
-// maxLineBytes bounds one log line.
+// maxLineBytes limits the length of a log line.
 const maxLineBytes = 1 << 20
 
-// collector gathers a report.
-type collector struct {
-	filter   Filter
-	report   Report
-	refusals map[Refusals]*Refusals
-	beliefs  map[Belief]*Belief
+// reportBuilder builds a report from log lines.
+type reportBuilder struct {
+	filter       Filter
+	report       Report
+	refusals     map[RefusalCount]*RefusalCount
+	stateChanges map[StateChange]*StateChange
 }
 
-// Read reads the log lines of one or more instances, one stream after the other.
+// Read builds a report from the logs of one or more instances. It reads the streams one
+// after the other.
 func Read(filter Filter, streams ...io.Reader) (Report, error) {
-	c := &collector{filter: filter, report: Report{ByCode: make(map[string]int), Domains: make(map[string]string)},
-		refusals: make(map[Refusals]*Refusals), beliefs: make(map[Belief]*Belief)}
-	p := &parser{}
-	for _, s := range streams {
-		if err := c.read(p, s); err != nil {
+	builder := &reportBuilder{filter: filter, report: Report{ByCode: make(map[string]int), FailureDomains: make(map[string]string)},
+		refusals: make(map[RefusalCount]*RefusalCount), stateChanges: make(map[StateChange]*StateChange)}
+	p := &lineParser{}
+	for _, stream := range streams {
+		if err := builder.readStream(p, stream); err != nil {
 			return Report{}, err
 		}
 	}
-	return c.finish(), nil
+	return builder.build(), nil
 }
 
-func (c *collector) read(p *parser, s io.Reader) error {
-	scanner := bufio.NewScanner(s)
+func (b *reportBuilder) readStream(p *lineParser, stream io.Reader) error {
+	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		l, ok := p.parse(scanner.Bytes())
+		l, ok := p.parseLine(scanner.Bytes())
 		if !ok {
-			c.report.Unread++
+			b.report.Unread++
 			continue
 		}
-		c.report.Lines++
+		b.report.Lines++
 		if l.FailureDomain != "" {
-			c.report.Domains[l.source] = l.FailureDomain
+			b.report.FailureDomains[l.writer] = l.FailureDomain
 		}
-		if c.filter.takes(l) {
-			c.take(l)
+		if b.filter.matches(l) {
+			b.addLine(l)
 		}
 	}
 	return scanner.Err()
 }
 
-func (c *collector) take(l line) {
-	second := int(l.at / time.Second)
+func (b *reportBuilder) addLine(l logLine) {
+	second := int(l.offset / time.Second)
 	switch {
 	case l.Message == messageRefused:
-		c.report.ByCode[l.Code]++
-		key := Refusals{Second: second, Code: l.Code, Group: l.Group, Instance: l.source, Class: l.Class}
-		r := c.refusals[key]
-		if r == nil {
-			r = &Refusals{}
-			*r = key
-			r.Example, r.Request = l.Error, l.Request
-			c.refusals[key] = r
+		b.report.ByCode[l.Code]++
+		key := RefusalCount{Second: second, Code: l.Code, Group: l.Group, Instance: l.writer, Class: l.Class}
+		refusal := b.refusals[key]
+		if refusal == nil {
+			refusal = &RefusalCount{}
+			*refusal = key
+			refusal.Example, refusal.Request = l.Error, l.Request
+			b.refusals[key] = refusal
 		}
-		r.Count++
-	case beliefs[l.Message]:
-		key := Belief{Second: second, Instance: l.source, Group: l.Group, Message: l.Message, Detail: detail(l)}
-		b := c.beliefs[key]
-		if b == nil {
-			b = &Belief{}
-			*b = key
-			c.beliefs[key] = b
+		refusal.Count++
+	case stateChangeMessages[l.Message]:
+		key := StateChange{Second: second, Instance: l.writer, Group: l.Group, Message: l.Message, Detail: stateChangeDetail(l)}
+		change := b.stateChanges[key]
+		if change == nil {
+			change = &StateChange{}
+			*change = key
+			b.stateChanges[key] = change
 		}
-		b.Count++
+		change.Count++
 	}
 }
 
-// detail is what tells lines of the same message apart.
-func detail(l line) string { return strings.TrimSpace(l.Member + " " + l.Cause) }
+// stateChangeDetail returns the fields that distinguish state changes with the same
+// message.
+func stateChangeDetail(l logLine) string { return strings.TrimSpace(l.Member + " " + l.Cause) }
 
-func (c *collector) finish() Report {
-	for _, r := range c.refusals {
-		c.report.Refusals = append(c.report.Refusals, *r)
+func (b *reportBuilder) build() Report {
+	for _, r := range b.refusals {
+		b.report.Refusals = append(b.report.Refusals, *r)
 	}
-	slices.SortFunc(c.report.Refusals, func(a, b Refusals) int {
+	slices.SortFunc(b.report.Refusals, func(a, b RefusalCount) int {
 		return cmp.Or(cmp.Compare(a.Second, b.Second), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Code, b.Code),
 			cmp.Compare(a.Group, b.Group), cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Class, b.Class))
 	})
-	for _, b := range c.beliefs {
-		c.report.Beliefs = append(c.report.Beliefs, *b)
+	for _, change := range b.stateChanges {
+		b.report.StateChanges = append(b.report.StateChanges, *change)
 	}
-	slices.SortFunc(c.report.Beliefs, func(a, b Belief) int {
+	slices.SortFunc(b.report.StateChanges, func(a, b StateChange) int {
 		return cmp.Or(cmp.Compare(a.Second, b.Second), cmp.Compare(a.Message, b.Message), cmp.Compare(a.Group, b.Group),
 			cmp.Compare(a.Instance, b.Instance), cmp.Compare(a.Detail, b.Detail))
 	})
-	return c.report
+	return b.report
 }
 
-// WriteText writes the report for people: totals, then each second's refusals with what
-// was believed in it. Seconds without a refusal are left out.
+// WriteText writes the report as text: the totals, then the refusals and state changes of
+// each second. Seconds without refusals are omitted.
 func (r Report) WriteText(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	fmt.Fprintf(out, "%d lines, %d not read\n", r.Lines, r.Unread)
 	for _, code := range slices.Sorted(maps.Keys(r.ByCode)) {
 		fmt.Fprintf(out, "%6d %s\n", r.ByCode[code], code)
 	}
-	beliefs := r.Beliefs
+	changes := r.StateChanges
 	for k := 0; k < len(r.Refusals); {
 		second := r.Refusals[k].Second
 		fmt.Fprintf(out, "\nsecond %d\n", second)
 		for ; k < len(r.Refusals) && r.Refusals[k].Second == second; k++ {
-			x := r.Refusals[k]
-			fmt.Fprintf(out, "%6d %s %s %s class %s, e.g. %s: %s\n", x.Count, x.Code, x.Instance, x.Group, x.Class, x.Request, x.Example)
+			refusal := r.Refusals[k]
+			fmt.Fprintf(out, "%6d %s %s %s class %s, e.g. %s: %s\n", refusal.Count, refusal.Code, refusal.Instance, refusal.Group, refusal.Class, refusal.Request, refusal.Example)
 		}
-		for len(beliefs) > 0 && beliefs[0].Second <= second {
-			if b := beliefs[0]; b.Second == second {
-				fmt.Fprintf(out, "       %s %s %s %s (%d)\n", b.Instance, b.Group, b.Message, b.Detail, b.Count)
+		for len(changes) > 0 && changes[0].Second <= second {
+			if change := changes[0]; change.Second == second {
+				fmt.Fprintf(out, "       %s %s %s %s (%d)\n", change.Instance, change.Group, change.Message, change.Detail, change.Count)
 			}
-			beliefs = beliefs[1:]
+			changes = changes[1:]
 		}
 	}
 	return out.Flush()
--- a/internal/explain/report_test.go
+++ b/internal/explain/report_test.go
@@ -8,55 +8,56 @@
 	"github.com/matryer/is"
 )
 
-// collected is a file in which a collector put time and instance before each line.
-const collected = `  5.1000 edge-1 {"@message":"Member does not answer.","@timestamp":"2026-01-01T00:00:05.1Z","group":"g","member":"10.0.0.1:1"}
+// prefixedLog is a log in which each line is prefixed with time and instance.
+const prefixedLog = `  5.1000 edge-1 {"@message":"Member does not answer.","@timestamp":"2026-01-01T00:00:05.1Z","group":"g","member":"10.0.0.1:1"}
   5.2000 edge-1 {"@message":"Request was refused.","code":"TZ1004","error":"TZ1004 did not run: no primary","group":"g","class":"pay","request":"r1"}
   5.9000 edge-1 {"@message":"Request was refused.","code":"TZ1004","error":"TZ1004 did not run: no primary","group":"g","class":"pay","request":"r2"}
   6.1000 edge-2 {"@message":"Request was refused.","code":"TZ1006","error":"TZ1006 did not run: no fresh replica","group":"h","class":"look","request":"r3"}
 panic: not a log line
 `
 
-// A primary was lost, and callers of two instances complain. The report puts the
-// refusals of a second together, with one example each, beside what was believed then.
-func TestReportPutsRefusalsBesideBeliefs(t *testing.T) {
+// A primary is lost and two instances refuse requests. The report must group the
+// refusals of each second, with one example each, and show the state changes of that
+// second.
+func TestReportGroupsRefusalsWithStateChanges(t *testing.T) {
 	is := is.New(t)
-	r, err := Read(Filter{}, strings.NewReader(collected))
+	r, err := Read(Filter{}, strings.NewReader(prefixedLog))
 	is.NoErr(err)
 	is.Equal(r.Lines, 4)
 	is.Equal(r.Unread, 1)
 	is.Equal(r.ByCode, map[string]int{"TZ1004": 2, "TZ1006": 1})
-	is.Equal(r.Refusals[0], Refusals{Second: 5, Code: "TZ1004", Group: "g", Instance: "edge-1", Class: "pay", Count: 2,
+	is.Equal(r.Refusals[0], RefusalCount{Second: 5, Code: "TZ1004", Group: "g", Instance: "edge-1", Class: "pay", Count: 2,
 		Example: "TZ1004 did not run: no primary", Request: "r1"})
-	is.Equal(r.Beliefs, []Belief{{Second: 5, Instance: "edge-1", Group: "g", Message: "Member does not answer.", Detail: "10.0.0.1:1", Count: 1}})
+	is.Equal(r.StateChanges, []StateChange{{Second: 5, Instance: "edge-1", Group: "g", Message: "Member does not answer.", Detail: "10.0.0.1:1", Count: 1}})
 	var text strings.Builder
 	is.NoErr(r.WriteText(&text))
 	is.True(strings.Contains(text.String(), "second 5\n     2 TZ1004 edge-1 g class pay, e.g. r1"))
 }
 
-// The filters narrow the report; lines of no group concern every group.
+// Each filter restricts the report; lines without a group match every group filter.
 func TestFiltersNarrowAReport(t *testing.T) {
 	is := is.New(t)
 	for name, f := range map[string]Filter{
 		"group": {Group: "h"}, "instance": {Instance: "edge-2"}, "code": {Code: "TZ1006"}, "request": {Request: "r3"}, "from": {From: 6 * time.Second},
 	} {
-		r, err := Read(f, strings.NewReader(collected))
+		r, err := Read(f, strings.NewReader(prefixedLog))
 		is.NoErr(err)
 		is.Equal(r.ByCode, map[string]int{"TZ1006": 1}) // name
 		_ = name
 	}
-	r, err := Read(Filter{To: 5500 * time.Millisecond}, strings.NewReader(collected))
+	r, err := Read(Filter{To: 5500 * time.Millisecond}, strings.NewReader(prefixedLog))
 	is.NoErr(err)
 	is.Equal(r.ByCode, map[string]int{"TZ1004": 1})
 }
 
-// An instance's own output has no words in front. The line of its start names it, and
-// times count from the first line.
-func TestOwnOutputIsReadAsWell(t *testing.T) {
+// The log of a single instance has no prefixes. The instance is then taken from the
+// line that it logs at its start, and times are relative to the first line.
+func TestReadsLogWithoutPrefix(t *testing.T) {
 	is := is.New(t)
-	own := `{"@message":"Instance starts.","@timestamp":"2026-01-01T00:00:01Z","instance":"i1"}
+	log := `{"@message":"Instance starts.","@timestamp":"2026-01-01T00:00:01Z","instance":"i1"}
 {"@message":"Request was refused.","@timestamp":"2026-01-01T00:00:03.5Z","code":"TZ1002","error":"x","group":"g","class":"c","request":"r"}
 `
-	r, err := Read(Filter{}, strings.NewReader(own))
+	r, err := Read(Filter{}, strings.NewReader(log))
 	is.NoErr(err)
 	is.Equal(len(r.Refusals), 1)
 	is.Equal(r.Refusals[0].Instance, "i1")
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// topRows is how many rows each part of the first page has at most, so that the whole
-	// fits a screen.
-	topRows = 5
-	// worstSeconds is how many of the seconds with the most refusals are shown.
-	worstSeconds = 4
-	// unknownDomain stands for instances whose logs do not tell their failure domain.
-	unknownDomain = "(not told)"
+	// maxCounts limits the length of each list so that the summary fits on one screen.
+	maxCounts = 5
+	// maxWorstSeconds limits how many of the seconds with the most refusals are shown.
+	maxWorstSeconds = 4
+	// unknownFailureDomain is shown for instances whose logs do not contain their failure
+	// domain.
+	unknownFailureDomain = "(not told)"
 )
 
-// Count is how often something with a name was met.
+// Count is the number of occurrences of a name.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// WorstSecond is a second with many refusals, and what instances came to believe in it and
-// in the second before.
+// WorstSecond describes a second with many refusals, and the state changes in it and in
+// the second before.
 type WorstSecond struct {
-	Second   int     `json:"second"`
-	Refusals int     `json:"refusals"`
-	Codes    []Count `json:"codes"`
-	Domains  []Count `json:"failure_domains"`
-	Beliefs  []Count `json:"beliefs"`
+	Second         int     `json:"second"`
+	Refusals       int     `json:"refusals"`
+	Codes          []Count `json:"codes"`
+	FailureDomains []Count `json:"failure_domains"`
+	StateChanges   []Count `json:"beliefs"`
 }
 
-// Summary is the first page of a report. Each list has the largest counts first.
+// Summary is a short form of a report. Each list is sorted by count, largest first.
 type Summary struct {
-	Refusals  int           `json:"refusals"`
-	Codes     []Count       `json:"codes"`
-	Groups    []Count       `json:"groups"`
-	Domains   []Count       `json:"failure_domains"`
-	Instances []Count       `json:"instances"`
-	Worst     []WorstSecond `json:"worst_seconds"`
+	Refusals       int           `json:"refusals"`
+	Codes          []Count       `json:"codes"`
+	Groups         []Count       `json:"groups"`
+	FailureDomains []Count       `json:"failure_domains"`
+	Instances      []Count       `json:"instances"`
+	WorstSeconds   []WorstSecond `json:"worst_seconds"`
 }
 
-// tally counts by name.
-type tally map[string]int
+// counter counts occurrences by name.
+type counter map[string]int
 
-// largest returns the n largest counts, the names in order among equals.
-func (t tally) largest(n int) []Count {
+// top returns the n largest counts; equal counts are ordered by name.
+func (t counter) top(n int) []Count {
 	var all []Count
 	for _, name := range slices.Sorted(maps.Keys(t)) {
 		all = append(all, Count{name, t[name]})
@@ -58,64 +58,66 @@
 	return all[:min(n, len(all))]
 }
 
-// domainOf returns the failure domain that an instance's logs told.
-func (r Report) domainOf(instance string) string { return cmp.Or(r.Domains[instance], unknownDomain) }
+// failureDomainOf returns the failure domain of an instance, or unknownFailureDomain.
+func (r Report) failureDomainOf(instance string) string {
+	return cmp.Or(r.FailureDomains[instance], unknownFailureDomain)
+}
 
-// Summary returns the first page.
+// Summary summarizes the report.
 func (r Report) Summary() Summary {
-	codes, groups, domains, instances, seconds := tally{}, tally{}, tally{}, tally{}, make(map[int]int)
+	codes, groups, domains, instances, seconds := counter{}, counter{}, counter{}, counter{}, make(map[int]int)
 	var s Summary
-	for _, x := range r.Refusals {
-		s.Refusals += x.Count
-		codes[x.Code] += x.Count
-		groups[x.Group] += x.Count
-		domains[r.domainOf(x.Instance)] += x.Count
-		instances[x.Instance] += x.Count
-		seconds[x.Second] += x.Count
+	for _, refusal := range r.Refusals {
+		s.Refusals += refusal.Count
+		codes[refusal.Code] += refusal.Count
+		groups[refusal.Group] += refusal.Count
+		domains[r.failureDomainOf(refusal.Instance)] += refusal.Count
+		instances[refusal.Instance] += refusal.Count
+		seconds[refusal.Second] += refusal.Count
 	}
-	s.Codes, s.Groups = codes.largest(topRows), groups.largest(topRows)
-	s.Domains, s.Instances = domains.largest(topRows), instances.largest(topRows)
+	s.Codes, s.Groups = codes.top(maxCounts), groups.top(maxCounts)
+	s.FailureDomains, s.Instances = domains.top(maxCounts), instances.top(maxCounts)
 	order := slices.SortedFunc(maps.Keys(seconds), func(a, b int) int {
 		return cmp.Or(cmp.Compare(seconds[b], seconds[a]), cmp.Compare(a, b))
 	})
-	for _, second := range order[:min(worstSeconds, len(order))] {
-		s.Worst = append(s.Worst, r.worst(second, seconds[second]))
+	for _, second := range order[:min(maxWorstSeconds, len(order))] {
+		s.WorstSeconds = append(s.WorstSeconds, r.summarizeSecond(second, seconds[second]))
 	}
 	return s
 }
 
-// worst describes one second.
-func (r Report) worst(second, refusals int) WorstSecond {
-	codes, domains, beliefs := tally{}, tally{}, tally{}
-	for _, x := range r.Refusals {
-		if x.Second == second {
-			codes[x.Code] += x.Count
-			domains[r.domainOf(x.Instance)] += x.Count
+// summarizeSecond summarizes one second.
+func (r Report) summarizeSecond(second, refusals int) WorstSecond {
+	codes, domains, changes := counter{}, counter{}, counter{}
+	for _, refusal := range r.Refusals {
+		if refusal.Second == second {
+			codes[refusal.Code] += refusal.Count
+			domains[r.failureDomainOf(refusal.Instance)] += refusal.Count
 		}
 	}
-	for _, b := range r.Beliefs {
-		if b.Second == second || b.Second == second-1 {
-			beliefs[b.Message] += b.Count
+	for _, change := range r.StateChanges {
+		if change.Second == second || change.Second == second-1 {
+			changes[change.Message] += change.Count
 		}
 	}
-	return WorstSecond{Second: second, Refusals: refusals, Codes: codes.largest(topRows),
-		Domains: domains.largest(topRows), Beliefs: beliefs.largest(topRows)}
+	return WorstSecond{Second: second, Refusals: refusals, Codes: codes.top(maxCounts),
+		FailureDomains: domains.top(maxCounts), StateChanges: changes.top(maxCounts)}
 }
 
-// WriteSummary writes the first page for people.
+// WriteSummary writes the summary as text.
 func (r Report) WriteSummary(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	s := r.Summary()
 	fmt.Fprintf(out, "%d lines, %d not read; %d refusals\n", r.Lines, r.Unread, s.Refusals)
 	writeCounts(out, "by code", s.Codes)
 	writeCounts(out, "by group", s.Groups)
-	writeCounts(out, "by failure domain", s.Domains)
+	writeCounts(out, "by failure domain", s.FailureDomains)
 	writeCounts(out, "by instance", s.Instances)
-	for _, x := range s.Worst {
-		fmt.Fprintf(out, "second %d: %d refusals\n", x.Second, x.Refusals)
-		writeCounts(out, "  codes", x.Codes)
-		writeCounts(out, "  failure domains", x.Domains)
-		writeCounts(out, "  believed from the second before on", x.Beliefs)
+	for _, worst := range s.WorstSeconds {
+		fmt.Fprintf(out, "second %d: %d refusals\n", worst.Second, worst.Refusals)
+		writeCounts(out, "  codes", worst.Codes)
+		writeCounts(out, "  failure domains", worst.FailureDomains)
+		writeCounts(out, "  believed from the second before on", worst.StateChanges)
 	}
 	return out.Flush()
 }
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// Three hundred instances refuse in forty seconds, most of them in one failure domain behind
-// a cut at second 33. The first page fits a screen, and shows when, where, and what the
-// instances came to believe just before.
-func TestFirstPageOfALargeDeploymentFitsAScreen(t *testing.T) {
+// 300 instances refuse requests for 40 seconds. The failure domain that is cut off at
+// second 33 has the most refusals. The summary must fit on one screen and show when
+// and where requests were refused and which state changes preceded the refusals.
+func TestSummaryOfLargeDeploymentFitsScreen(t *testing.T) {
 	is := is.New(t)
 	var logs strings.Builder
 	for i := range 300 {
@@ -35,10 +35,10 @@
 	is.NoErr(err)
 	s := r.Summary()
 	is.Equal(s.Refusals, 300*40+60*19)
-	is.Equal(s.Domains[0], Count{"zone-3", 60*40 + 60*19})
-	is.Equal(s.Worst[0].Second, 34)
-	is.Equal(s.Worst[0].Codes[0], Count{"TZ1006", 1200})
-	is.Equal(s.Worst[0].Beliefs[0], Count{"Instance is cut off from most groups.", 60})
+	is.Equal(s.FailureDomains[0], Count{"zone-3", 60*40 + 60*19})
+	is.Equal(s.WorstSeconds[0].Second, 34)
+	is.Equal(s.WorstSeconds[0].Codes[0], Count{"TZ1006", 1200})
+	is.Equal(s.WorstSeconds[0].StateChanges[0], Count{"Instance is cut off from most groups.", 60})
 	var text strings.Builder
 	is.NoErr(r.WriteSummary(&text))
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
--- a/internal/result/code.go
+++ b/internal/result/code.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Code numbers one reason. The thousands digit is the family.
+// Code is the number of a result. Its thousands digit is the family.
 type Code int
 
 // Codes of FamilyDidNotRun.
@@ -68,12 +68,13 @@
 	BadAdminRequest     Code = 4008
 )
 
-// Family returns the family that the code belongs to.
+// Family returns the family of the code.
 func (c Code) Family() Family { return Family(c / 1000) }
 
-// SQLState returns the five characters that stand in an ErrorResponse: TD and
-// the last three digits for did not run, TU for outcome unknown, TR for ran.
-// Classes that begin with a letter past H are free for implementations.
+// SQLState returns the five-character SQLSTATE for an ErrorResponse: the class TD
+// (did not run), TU (outcome unknown), TR (already ran) or TA (administration) and
+// the last three digits of the code. The SQL standard leaves classes that begin
+// with a letter after H to implementations.
 func (c Code) SQLState() string {
 	class := map[Family]string{
 		FamilyDidNotRun:      "TD",
@@ -84,5 +85,5 @@
 	return fmt.Sprintf("%s%03d", class, int(c)%1000)
 }
 
-// Label returns the code as a metric label.
+// Label returns the code as a metric label value.
 func (c Code) Label() string { return fmt.Sprintf("TZ%04d", int(c)) }
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Error carries a result code from where it arose to the caller.
+// Error is an error with a result code for the caller.
 type Error struct {
 	Code Code
-	// Detail adds what is particular to this case. It may be empty.
+	// Detail describes the specific case. It may be empty.
 	Detail string
-	// RetryAfter is when the caller should come back; zero when coming back
-	// does not help.
+	// RetryAfter is how long the caller should wait before a retry; zero if
+	// retrying does not help.
 	RetryAfter time.Duration
-	// Cause is the underlying error; it may be nil.
+	// Cause is the underlying error. It may be nil.
 	Cause error
 }
 
-// New returns an Error with a code and a detail.
+// New returns an Error with a code and a formatted detail.
 func New(c Code, format string, args ...any) *Error {
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that asks the caller to wait for d before a retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -50,10 +50,10 @@
 	return s
 }
 
-// Unwrap implements the errors package's chain.
+// Unwrap returns the cause for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// As returns the Error in err's chain, if there is one.
+// As returns the first Error in err's chain, if there is one.
 func As(err error) (*Error, bool) {
 	var e *Error
 	ok := errors.As(err, &e)
--- a/internal/result/family.go
+++ b/internal/result/family.go
@@ -1,14 +1,14 @@
-// Package result holds the numbered result codes that callers and operators
-// see, and the error type that carries one end to end.
+// Package result defines the numbered result codes that callers and operators
+// see, and the error type that carries a code from its origin to the caller.
 //
-// Codes fall into disjoint families. A code of FamilyDidNotRun is used only
-// before the first byte of a statement was written to a member, or on a proof
-// that the statement can never run. Everything else that went wrong after
-// sending is FamilyOutcomeUnknown. A caller may repeat the first without risk
-// and must settle the second itself.
+// Each code belongs to exactly one family. A code of FamilyDidNotRun is used only
+// if no byte of the statement has been written to a member, or if it is proved
+// that the statement can never run. Any other failure after sending has a code of
+// FamilyOutcomeUnknown. A caller can safely repeat a request that did not run; if
+// the outcome is unknown, the caller must find it out itself.
 package result
 
-// Family tells what a caller may conclude from a code.
+// Family is a group of codes from which a caller can draw the same conclusion.
 type Family int
 
 // Families of codes.
@@ -17,13 +17,13 @@
 	FamilyDidNotRun Family = iota + 1
 	// FamilyOutcomeUnknown: the request may or may not have run.
 	FamilyOutcomeUnknown
-	// FamilyRan: the request ran, but this answer does not carry its result.
+	// FamilyRan: the request ran, but this response does not contain its result.
 	FamilyRan
-	// FamilyAdmin: outcomes of the administration API.
+	// FamilyAdmin: the code is a result of the administration API.
 	FamilyAdmin
 )
 
-// String returns the family's name as callers read it.
+// String returns the family's name as shown to callers.
 func (f Family) String() string {
 	switch f {
 	case FamilyDidNotRun:
--- a/internal/result/page.go
+++ b/internal/result/page.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// pageHead opens docs/RESULT-CODES.md.
-const pageHead = `# Result codes
+// pageHeader is the introduction of docs/RESULT-CODES.md.
+const pageHeader = `# Result codes
 
 Every refusal and every failure that topazrock answers carries one number. A
 database client sees it as the SQLSTATE of the error and, as TZ and the number,
@@ -29,10 +29,10 @@
 This page is written by ` + "`topazrock codes`" + `; a test holds it against the code.
 `
 
-// WritePage writes docs/RESULT-CODES.md from Table.
+// WritePage writes the contents of docs/RESULT-CODES.md, generated from Table.
 func WritePage(w io.Writer) error {
 	var b strings.Builder
-	b.WriteString(pageHead)
+	b.WriteString(pageHeader)
 	family := Family(0)
 	for _, e := range Table {
 		if f := e.Code.Family(); f != family {
--- a/internal/result/retry.go
+++ b/internal/result/retry.go
@@ -1,24 +1,27 @@
 package result
 
-// Retry tells whether a caller may send the same request again.
+// Retry says whether, and under which condition, a caller may send the same
+// request again.
 type Retry int
 
-// Kinds of retry.
+// Conditions for a retry.
 const (
-	// RetryNever: sending the same again cannot help.
+	// RetryNever: sending the same request again cannot help.
 	RetryNever Retry = iota
-	// RetryNow: sending again at once is without risk.
+	// RetryNow: it is safe to send the request again immediately.
 	RetryNow
-	// RetryLater: sending again is without risk, after the retry-after.
+	// RetryLater: it is safe to send the request again after the retry-after
+	// time.
 	RetryLater
-	// RetryNewKey: sending again is without risk under a new request key.
+	// RetryNewKey: it is safe to send the request again with a new request
+	// key.
 	RetryNewKey
-	// RetrySettle: sending again could run the request twice until the caller
-	// has found out what became of it.
-	RetrySettle
+	// RetryAfterCheck: the caller must first find out whether the request ran;
+	// otherwise it could run twice.
+	RetryAfterCheck
 )
 
-// String returns the wording of the result code page.
+// String returns the text shown in docs/RESULT-CODES.md.
 func (r Retry) String() string {
 	switch r {
 	case RetryNow:
@@ -27,7 +30,7 @@
 		return "yes, after the retry-after"
 	case RetryNewKey:
 		return "yes, under a new key"
-	case RetrySettle:
+	case RetryAfterCheck:
 		return "only once settled"
 	default:
 		return "no"
--- a/internal/result/table.go
+++ b/internal/result/table.go
@@ -1,19 +1,19 @@
 package result
 
-// Entry is the public description of one code, as docs/RESULT-CODES.md lists it.
+// Entry is the public description of a code, as listed in docs/RESULT-CODES.md.
 type Entry struct {
 	Code Code
 	// Name is the short name used in logs and messages.
 	Name string
-	// Meaning tells what happened, in one sentence.
+	// Meaning says what happened, in one sentence.
 	Meaning string
-	// Action tells what a caller does next, in one sentence.
+	// Action says what the caller should do next, in one sentence.
 	Action string
-	// Retry tells whether sending the same again helps.
+	// Retry says whether the caller may send the same request again.
 	Retry Retry
 }
 
-// Table lists every code in ascending order.
+// Table lists all codes in ascending order.
 var Table = []Entry{
 	{QueueFull, "queue full",
 		"the queue of the request's class is full",
@@ -110,22 +110,22 @@
 		"come back after the retry-after; other instances may serve at once", RetryLater},
 	{ConfirmTimeout, "confirmation timeout",
 		"the primary answered but no replica confirmed the write in time",
-		"find out whether the write is there before sending it again", RetrySettle},
+		"find out whether the write is there before sending it again", RetryAfterCheck},
 	{ConnectionLost, "connection lost",
 		"the connection to the member broke after the request was sent",
-		"find out whether the request ran before sending it again", RetrySettle},
+		"find out whether the request ran before sending it again", RetryAfterCheck},
 	{StatementTimeout, "statement timeout",
 		"the member did not answer in time",
-		"find out whether the request ran before sending it again", RetrySettle},
+		"find out whether the request ran before sending it again", RetryAfterCheck},
 	{PrimaryReplaced, "primary replaced",
 		"the primary was replaced before the write was confirmed",
-		"find out whether the write is there before sending it again", RetrySettle},
+		"find out whether the write is there before sending it again", RetryAfterCheck},
 	{PeerLost, "peer lost",
 		"the instance that ran the request stopped answering",
-		"find out whether the request ran before sending it again", RetrySettle},
+		"find out whether the request ran before sending it again", RetryAfterCheck},
 	{AnswerCutShort, "answer cut short",
 		"the answer ended before it was whole",
-		"throw the part away; repeat a read, settle a write first", RetrySettle},
+		"throw the part away; repeat a read, settle a write first", RetryAfterCheck},
 	{TombstoneFailed, "tombstone failed",
 		"the outcome could not be settled by blocking the request's key",
 		"send the request again under the same key; it runs at most once", RetryNow},
@@ -143,7 +143,7 @@
 		"apply again", RetryNow},
 	{StillSettling, "still settling",
 		"whether the change was stored is not known yet",
-		"get the document and compare before applying again", RetrySettle},
+		"get the document and compare before applying again", RetryAfterCheck},
 	{PlatformUnavailable, "platform unavailable",
 		"the platform's object API does not answer",
 		"come back after a pause; the versions in force stay in force", RetryLater},
@@ -158,8 +158,8 @@
 		"correct the call; the detail names the parameter", RetryNever},
 }
 
-// Lookup returns the description of a code; the second value is false for a
-// number that is not in the table.
+// Lookup returns the description of a code; the second result is false if the
+// code is not in Table.
 func Lookup(c Code) (Entry, bool) {
 	for _, e := range Table {
 		if e.Code == c {
--- a/internal/result/table_test.go
+++ b/internal/result/table_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// The page is what callers are written against: a code that changes its
-// meaning without the page would make them retry what they must not.
+// Callers are implemented against the page. If the meaning of a code changed but
+// not the page, they could retry requests that must not be retried.
 func TestPageMatchesTable(t *testing.T) {
 	is := is.New(t)
 	want, err := os.ReadFile("../../docs/RESULT-CODES.md")
@@ -44,7 +44,7 @@
 		declared++
 		return false
 	})
-	is.Equal(declared, len(Table)) // constants and entries are as many
+	is.Equal(declared, len(Table)) // one entry for each constant
 }
 
 func TestTableIsOrderedAndComplete(t *testing.T) {
@@ -52,7 +52,7 @@
 	states := map[string]Code{}
 	for i, e := range Table {
 		if i > 0 && Table[i-1].Code >= e.Code {
-			t.Errorf("%d stands after %d", e.Code, Table[i-1].Code)
+			t.Errorf("%d comes after %d", e.Code, Table[i-1].Code)
 		}
 		is.True(e.Name != "" && e.Meaning != "" && e.Action != "")
 		is.True(e.Code.Family() >= FamilyDidNotRun && e.Code.Family() <= FamilyAdmin)
@@ -64,12 +64,13 @@
 	}
 }
 
-// A caller that reads "yes" for an outcome-unknown code would repeat a payment
-// that may have run. Only a code with a key that bars the repeat may say so.
-func TestOutcomeUnknownIsNeverPlainlyRetried(t *testing.T) {
+// A caller that sees "yes" for an outcome-unknown code could repeat a payment that
+// has already run. Only TombstoneFailed may allow a retry, because the request's
+// key prevents a second run.
+func TestOutcomeUnknownNeverAllowsPlainRetry(t *testing.T) {
 	for _, e := range Table {
-		if e.Code.Family() == FamilyOutcomeUnknown && e.Code != TombstoneFailed && e.Retry != RetrySettle {
-			t.Errorf("%d is outcome unknown and says retry %q", e.Code, e.Retry)
+		if e.Code.Family() == FamilyOutcomeUnknown && e.Code != TombstoneFailed && e.Retry != RetryAfterCheck {
+			t.Errorf("%d has an unknown outcome, but its retry condition is %q", e.Code, e.Retry)
 		}
 	}
 }
