--- a/internal/adminapi/fleet_test.go
+++ b/internal/adminapi/fleet_test.go
@@ -35,7 +35,7 @@
 // One instance has an old version and one does not respond. The list must contain
 // both: if the unresponsive instance were omitted, a change would seem to be in
 // force everywhere while that instance still serves the old document.
-func TestInForceNamesInstancesThatDoNotReport(t *testing.T) {
+func TestVersionsInForceListsUnresponsiveInstances(t *testing.T) {
 	is := is.New(t)
 	list := platform.Inventory{Instances: []platform.Instance{
 		{ID: "c", PeerAddress: "10.0.0.3:1"},
--- a/internal/adminapi/groupstate.go
+++ b/internal/adminapi/groupstate.go
@@ -46,7 +46,7 @@
 		Term:          uint64(m.Status.Entered),
 		Position:      uint64(m.Status.Last.Position),
 		LagBytes:      -1,
-		FreshMillis:   -1,
+		MaxAgeMillis:  -1,
 		Failing:       !m.Failing.IsZero(),
 		Leaving:       m.Leaving,
 	}
@@ -57,7 +57,7 @@
 		v.LagBytes = max(0, lag)
 	}
 	if !m.FreshAsOf.IsZero() {
-		v.FreshMillis = max(0, now.Sub(m.FreshAsOf).Milliseconds())
+		v.MaxAgeMillis = max(0, now.Sub(m.FreshAsOf).Milliseconds())
 	}
 	return v
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -127,7 +127,7 @@
 
 // Without a version, an apply request could overwrite a change that the operator
 // has not seen. It must be rejected before it reaches the store.
-func TestApplyNeedsTheEditedVersion(t *testing.T) {
+func TestApplyRequiresEditedVersion(t *testing.T) {
 	is := is.New(t)
 	documents := &fakeDocuments{outcome: Outcome{State: StateAccepted, Version: 1}}
 	s := newTestServer("", Parts{Documents: documents})
@@ -243,7 +243,7 @@
 	v := newGroupView(s, now)
 	is.Equal(v.State, GroupDegraded)
 	is.Equal(v.Members[1].LagBytes, int64(40))
-	is.Equal(v.Members[1].FreshMillis, int64(1000))
+	is.Equal(v.Members[1].MaxAgeMillis, int64(1000))
 	is.Equal(v.Members[2].LagBytes, int64(-1))
 	is.Equal(newGroupView(s, now.Add(time.Minute)).State, GroupUnconfirmed)
 	is.Equal(newGroupView(&group.Snapshot{}, now).State, GroupNoPrimary)
--- a/internal/adminapi/views.go
+++ b/internal/adminapi/views.go
@@ -66,9 +66,9 @@
 	// of the primary's; -1 if the member's log is not known to be a prefix of
 	// the primary's.
 	LagBytes int64 `json:"lag_bytes"`
-	// FreshMillis is the verified upper bound of the age of the member's data,
+	// MaxAgeMillis is the verified upper bound of the age of the member's data,
 	// in milliseconds; -1 if no bound is known.
-	FreshMillis int64 `json:"fresh_ms"`
+	MaxAgeMillis int64 `json:"fresh_ms"`
 	// Failing is true if probes on new connections fail.
 	Failing bool `json:"failing"`
 	Leaving bool `json:"leaving"`
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -139,7 +139,7 @@
 // The instance stores the change and crashes before it responds. If the command
 // reported that nothing was stored, the operator would apply the change again and
 // could overwrite a later change of a colleague.
-func TestApplyWithLostAnswerIsUnknown(t *testing.T) {
+func TestApplyWithLostResponseIsUnknown(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -58,7 +58,7 @@
 	for _, g := range groups {
 		for _, m := range g.Members {
 			writeRow(w, g.Name, g.State, g.Term, m.Address, m.FailureDomain, m.Role,
-				valueOrDash(m.LagBytes, "B"), valueOrDash(m.FreshMillis, "ms"), memberNote(m))
+				valueOrDash(m.LagBytes, "B"), valueOrDash(m.MaxAgeMillis, "ms"), memberNote(m))
 		}
 	}
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -28,7 +28,7 @@
 
 	// offset is the time of the line, relative to the first line.
 	offset time.Duration
-	// source is the ID of the instance that wrote the line.
+	// writer is the ID of the instance that wrote the line.
 	writer string
 }
 
--- a/internal/explain/report_test.go
+++ b/internal/explain/report_test.go
@@ -35,7 +35,7 @@
 }
 
 // Each filter restricts the report; lines without a group match every group filter.
-func TestFiltersNarrowAReport(t *testing.T) {
+func TestFilterRestrictsReport(t *testing.T) {
 	is := is.New(t)
 	for name, f := range map[string]Filter{
 		"group": {Group: "h"}, "instance": {Instance: "edge-2"}, "code": {Code: "TZ1006"}, "request": {Request: "r3"}, "from": {From: 6 * time.Second},
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -49,10 +49,10 @@
 type counter map[string]int
 
 // top returns the n largest counts; equal counts are ordered by name.
-func (t counter) top(n int) []Count {
+func (c counter) top(n int) []Count {
 	var all []Count
-	for _, name := range slices.Sorted(maps.Keys(t)) {
-		all = append(all, Count{name, t[name]})
+	for _, name := range slices.Sorted(maps.Keys(c)) {
+		all = append(all, Count{name, c[name]})
 	}
 	slices.SortStableFunc(all, func(a, b Count) int { return cmp.Compare(b.Count, a.Count) })
 	return all[:min(n, len(all))]
