--- a/internal/inifile/keydoc.go
+++ b/internal/inifile/keydoc.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// KeyDoc describes one key for the operators' pages.
+// KeyDoc describes one key for the operator documentation.
 type KeyDoc struct {
-	// Section is the header's first word.
+	// Section is the first word of the section header.
 	Section string
 	Name    string
-	// Default is the value in the file's notation; empty when the key is
-	// required or when its default is an empty value.
+	// Default is the default as written in the file. It is empty if the key is
+	// required or its default is an empty value.
 	Default  string
 	Required bool
 	Allowed  string
 	Meaning  string
 }
 
-// Row returns the key as a row of a Markdown table: key, default, what is
-// allowed, meaning.
-func (k KeyDoc) Row() string {
+// MarkdownRow returns the key as a row of a Markdown table with the columns
+// key, default, allowed values and meaning.
+func (k KeyDoc) MarkdownRow() string {
 	value := "`" + k.Default + "`"
 	switch {
 	case k.Required:
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("| `%s` | %s | %s | %s |", k.Name, value, k.Allowed, k.Meaning)
 }
 
-// Docs describes every key in the order of the schema.
+// Docs returns the documentation of every key in schema order.
 func (s *Schema) Docs() []KeyDoc {
 	docs := make([]KeyDoc, len(s.Keys))
 	for i, k := range s.Keys {
--- a/internal/inifile/kinds.go
+++ b/internal/inifile/kinds.go
@@ -77,7 +77,7 @@
 // Allowed implements Kind.
 func (k Duration) Allowed() string { return fmt.Sprintf("%v to %v", k.Min, k.Max) }
 
-// Enum is one of a list of words; its value is a string.
+// Enum is one of the listed words; its value is a string.
 type Enum []string
 
 // Parse implements Kind.
@@ -91,7 +91,8 @@
 // Allowed implements Kind.
 func (k Enum) Allowed() string { return strings.Join(k, " or ") }
 
-// MaxNameLength bounds a name, in bytes. PostgreSQL cuts identifiers at 63.
+// MaxNameLength is the maximum length of a name in bytes. PostgreSQL truncates
+// identifiers to 63 bytes.
 const MaxNameLength = 63
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]*$`)
--- a/internal/inifile/page.go
+++ b/internal/inifile/page.go
@@ -6,30 +6,31 @@
 	"strings"
 )
 
-// ComparePage compares a Markdown page with the keys of a schema and returns
-// what differs. The page has a heading for each section that begins with the
-// section in brackets, and below it the rows that Row gives, in order.
+// ComparePage compares a Markdown page with the keys of a schema and returns the
+// differences. For each section, the page must have a heading that begins with
+// the section in brackets, followed by the rows that KeyDoc.MarkdownRow returns
+// for its keys, in schema order.
 func ComparePage(page string, keys []KeyDoc) []string {
-	var faults []string
+	var differences []string
 	found := pageRows(page)
-	wanted := make(map[string][]string)
+	want := make(map[string][]string)
 	for _, k := range keys {
-		wanted[k.Section] = append(wanted[k.Section], k.Row())
+		want[k.Section] = append(want[k.Section], k.MarkdownRow())
 	}
-	for section, rows := range wanted {
+	for section, rows := range want {
 		if !slices.Equal(found[section], rows) {
-			faults = append(faults, fmt.Sprintf("section [%s] should have these rows:\n%s", section, strings.Join(rows, "\n")))
+			differences = append(differences, fmt.Sprintf("section [%s] should have these rows:\n%s", section, strings.Join(rows, "\n")))
 		}
 	}
 	for section, rows := range found {
-		if _, known := wanted[section]; !known && len(rows) > 0 {
-			faults = append(faults, fmt.Sprintf("section [%s] is not in the schema", section))
+		if _, known := want[section]; !known && len(rows) > 0 {
+			differences = append(differences, fmt.Sprintf("section [%s] is not in the schema", section))
 		}
 	}
-	return faults
+	return differences
 }
 
-// pageRows collects the rows that describe keys, by section.
+// pageRows returns the table rows that describe keys, grouped by section.
 func pageRows(page string) map[string][]string {
 	rows := make(map[string][]string)
 	section := ""
--- a/internal/inifile/problem.go
+++ b/internal/inifile/problem.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from 1.
+	// Line is the line number; the first line is 1.
 	Line    int    `json:"line"`
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
 	Value   string `json:"value,omitempty"`
 	Reason  string `json:"reason"`
-	// Allowed tells which values are accepted; empty when Reason says it all.
+	// Allowed describes the accepted values. It is empty if Reason is sufficient.
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// maxQuoted bounds how much of a value an error repeats, in bytes.
-const maxQuoted = 80
+// maxQuotedValue limits how much of a value a problem's text quotes, in bytes.
+const maxQuotedValue = 80
 
 // String returns the problem as one line of text.
 func (p Problem) String() string {
@@ -32,7 +32,7 @@
 		fmt.Fprintf(&b, " %s", p.Key)
 	}
 	if p.Value != "" {
-		fmt.Fprintf(&b, " = %q", shorten(p.Value))
+		fmt.Fprintf(&b, " = %q", truncate(p.Value))
 	}
 	if p.Section != "" {
 		b.WriteByte(':')
@@ -44,9 +44,9 @@
 	return b.String()
 }
 
-func shorten(s string) string {
-	if len(s) <= maxQuoted {
+func truncate(s string) string {
+	if len(s) <= maxQuotedValue {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
+	return strings.ToValidUTF8(s[:maxQuotedValue], "") + "..."
 }
--- a/internal/inifile/problems.go
+++ b/internal/inifile/problems.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Problems are all faults of a file in the order of its lines. It is an error
-// whose text has one line for each fault.
+// Problems lists the problems of a file. It is an error whose text has one line
+// for each problem.
 type Problems []Problem
 
 // Error implements error.
@@ -19,7 +19,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems sorted by line, or nil when there are none.
+// Err sorts the problems by line and returns them, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
--- a/internal/inifile/read.go
+++ b/internal/inifile/read.go
@@ -15,8 +15,9 @@
 	ChildSectionDelimiter:    "\x00",
 }
 
-// Read reads text against a schema. The faults are in the File's Err, so that
-// a caller can add its own checks and report all of them together.
+// Read parses text and checks it against a schema. Problems are reported by
+// File.Err and not returned here, so that the code that calls Read can add its
+// own checks and report all problems together.
 func Read(schema *Schema, name string, text []byte) *File {
 	f := &File{Name: name}
 	if len(text) > schema.MaxSize {
@@ -26,47 +27,48 @@
 	}
 	sc := scan(name, text)
 	f.problems = sc.problems
-	loaded, err := ini.LoadSources(loadOptions, sc.clean.Bytes())
+	loaded, err := ini.LoadSources(loadOptions, sc.cleaned.Bytes())
 	if err != nil {
 		f.problems = append(f.problems, Problem{File: name, Line: 1, Reason: err.Error()})
 		return f
 	}
-	r := &reader{schema: schema, file: f, loaded: loaded, titles: make(map[string]int)}
-	r.sections(sc.headers)
-	r.missing()
+	r := &reader{schema: schema, file: f, loaded: loaded, firstLines: make(map[string]int)}
+	r.readSections(sc.headers)
+	r.checkRequiredSections()
 	return f
 }
 
-// reader turns scanned sections into typed ones.
+// reader converts scanned sections to sections with typed values.
 type reader struct {
 	schema *Schema
 	file   *File
 	loaded *ini.File
-	// titles maps the title of each section to its first line.
-	titles map[string]int
+	// firstLines maps the title of each section to the line where it first occurs.
+	firstLines map[string]int
 }
 
-func (r *reader) sections(headers []*header) {
+func (r *reader) readSections(headers []*sectionPosition) {
 	for _, h := range headers {
 		if h.name == "" {
 			continue
 		}
-		if s := r.open(h); s != nil {
+		if s := r.newSection(h); s != nil {
 			r.file.Sections = append(r.file.Sections, s)
-			r.entries(s, h)
+			r.readKeys(s, h)
 		}
 	}
 }
 
-// open checks a header and returns its section, or nil when it is refused.
-func (r *reader) open(h *header) *Section {
+// newSection checks a section header and returns a section without keys, or
+// nil if the section is invalid.
+func (r *reader) newSection(h *sectionPosition) *Section {
 	kind, name, _ := strings.Cut(h.name, " ")
-	rule, known := r.schema.rule(kind)
-	s := emptySection(r.schema, kind)
+	rule, known := r.schema.findSection(kind)
+	s := defaultSection(r.schema, kind)
 	s.Name, s.Line = name, h.line
 	switch {
 	case !known:
-		r.file.RefuseSection(s, "unknown section", r.schema.kinds())
+		r.file.RefuseSection(s, "unknown section", r.schema.sectionHeaders())
 		return nil
 	case rule.Named && name == "":
 		r.file.RefuseSection(s, "the section needs a name", "["+kind+" NAME]")
@@ -80,35 +82,35 @@
 			r.file.RefuseSection(s, err.Error(), Name{}.Allowed())
 		}
 	}
-	if first, twice := r.titles[h.name]; twice {
+	if first, duplicate := r.firstLines[h.name]; duplicate {
 		r.file.RefuseSection(s, fmt.Sprintf("the section stands twice, first in line %d", first), "")
 		return nil
 	}
-	r.titles[h.name] = h.line
+	r.firstLines[h.name] = h.line
 	return s
 }
 
-func (r *reader) entries(s *Section, h *header) {
+func (r *reader) readKeys(s *Section, h *sectionPosition) {
 	values := r.loaded.Section(sectionID(h.line))
-	for _, e := range h.entries {
-		s.lines[e.key] = e.line
-		r.entry(s, e.key, values.Key(e.key).Value())
+	for _, e := range h.keys {
+		s.keyLines[e.key] = e.line
+		r.readKey(s, e.key, values.Key(e.key).Value())
 	}
-	for _, k := range r.schema.keysOf(s.Kind) {
-		if k.Required && !s.Present(k.Name) {
+	for _, k := range r.schema.sectionKeys(s.Kind) {
+		if k.Required && !s.HasKey(k.Name) {
 			r.file.Refuse(s, k.Name, "the key is missing", k.Kind.Allowed())
 		}
 	}
 }
 
-func (r *reader) entry(s *Section, name, text string) {
-	k, known := r.schema.key(s.Kind, name)
+func (r *reader) readKey(s *Section, name, text string) {
+	k, known := r.schema.findKey(s.Kind, name)
 	if !known {
-		r.file.Refuse(s, name, "unknown key", strings.Join(r.names(s.Kind), ", "))
+		r.file.Refuse(s, name, "unknown key", strings.Join(r.keyNames(s.Kind), ", "))
 		return
 	}
 	if !k.Secret {
-		s.texts[name] = text
+		s.rawValues[name] = text
 	}
 	v, err := k.Kind.Parse(text)
 	s.values[name] = v
@@ -121,32 +123,32 @@
 	}
 }
 
-func (r *reader) names(kind string) []string {
+func (r *reader) keyNames(kind string) []string {
 	var names []string
-	for _, k := range r.schema.keysOf(kind) {
+	for _, k := range r.schema.sectionKeys(kind) {
 		names = append(names, k.Name)
 	}
 	return names
 }
 
-// missing refuses a file without a section that must be present.
-func (r *reader) missing() {
+// checkRequiredSections reports every required section that the file lacks.
+func (r *reader) checkRequiredSections() {
 	for _, rule := range r.schema.Sections {
 		if rule.Required && len(r.file.All(rule.Kind)) == 0 {
 			s := &Section{Kind: rule.Kind, Line: 1}
-			r.file.RefuseSection(s, "the section is missing", r.schema.kinds())
+			r.file.RefuseSection(s, "the section is missing", r.schema.sectionHeaders())
 		}
 	}
 }
 
-// emptySection returns a section that holds the defaults of its kind.
-func emptySection(schema *Schema, kind string) *Section {
+// defaultSection returns a section whose keys have their default values.
+func defaultSection(schema *Schema, kind string) *Section {
 	s := &Section{Kind: kind, Line: 1, values: make(map[string]any),
-		lines: make(map[string]int), texts: make(map[string]string)}
-	for _, k := range schema.keysOf(kind) {
+		keyLines: make(map[string]int), rawValues: make(map[string]string)}
+	for _, k := range schema.sectionKeys(kind) {
 		v, err := k.Kind.Parse(k.Default)
 		if err != nil && !k.Required && k.Default != "" {
-			panic(fmt.Sprintf("inifile: default of %s.%s: %v", kind, k.Name, err))
+			panic(fmt.Sprintf("inifile: invalid default of %s.%s: %v", kind, k.Name, err))
 		}
 		s.values[k.Name] = v
 	}
--- a/internal/inifile/schema.go
+++ b/internal/inifile/schema.go
@@ -5,33 +5,33 @@
 	Section string
 	Name    string
 	Kind    Kind
-	// Default is the value in the file's notation when the key is absent.
+	// Default is the value of an absent key, as written in the file.
 	Default string
-	// Required says that the key has no default and must be present.
+	// Required is set for a key that has no default and must be present.
 	Required bool
-	// Secret says that errors must not repeat the value.
+	// Secret is set for a value that must not appear in errors.
 	Secret  bool
 	Meaning string
 }
 
-// SectionRule describes one kind of section.
+// SectionRule describes one kind of section, which the first word of its header names.
 type SectionRule struct {
 	Kind string
-	// Named says that the header carries a name, as in [group orders].
+	// Named is set if the header includes a name, as in [group orders].
 	Named bool
-	// Required says that at least one such section must be present.
+	// Required is set if at least one such section must be present.
 	Required bool
 }
 
-// Schema describes a kind of file.
+// Schema describes the sections and keys that a kind of file may contain.
 type Schema struct {
-	// MaxSize bounds the file, in bytes.
+	// MaxSize is the maximum file size in bytes.
 	MaxSize  int
 	Sections []SectionRule
 	Keys     []Key
 }
 
-func (s *Schema) rule(kind string) (SectionRule, bool) {
+func (s *Schema) findSection(kind string) (SectionRule, bool) {
 	for _, r := range s.Sections {
 		if r.Kind == kind {
 			return r, true
@@ -40,7 +40,7 @@
 	return SectionRule{}, false
 }
 
-func (s *Schema) key(section, name string) (Key, bool) {
+func (s *Schema) findKey(section, name string) (Key, bool) {
 	for _, k := range s.Keys {
 		if k.Section == section && k.Name == name {
 			return k, true
@@ -49,7 +49,7 @@
 	return Key{}, false
 }
 
-func (s *Schema) keysOf(section string) []Key {
+func (s *Schema) sectionKeys(section string) []Key {
 	var keys []Key
 	for _, k := range s.Keys {
 		if k.Section == section {
@@ -59,7 +59,7 @@
 	return keys
 }
 
-func (s *Schema) kinds() string {
+func (s *Schema) sectionHeaders() string {
 	var text string
 	for i, r := range s.Sections {
 		if i > 0 {
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -5,13 +5,13 @@
 // Section is one section with typed values.
 type Section struct {
 	Kind string
-	// Name is the name in the header; empty for a kind without names.
+	// Name is the name in the header. It is empty for a kind without names.
 	Name string
 	Line int
 
-	values map[string]any
-	lines  map[string]int
-	texts  map[string]string
+	values    map[string]any
+	keyLines  map[string]int
+	rawValues map[string]string
 }
 
 // Title returns the header without its brackets.
@@ -22,8 +22,8 @@
 	return s.Kind + " " + s.Name
 }
 
-// Value returns the typed value of a key, its default when it is absent, and
-// the zero value of the key's kind when it was faulty.
+// Value returns the typed value of a key. It is the default if the key is
+// absent, and the zero value of the key's kind if the value is invalid.
 func (s *Section) Value(key string) any { return s.values[key] }
 
 // Int returns the value of a key of kind Int.
@@ -50,16 +50,17 @@
 	return d
 }
 
-// KeyLine returns the line of a key, or of the section when it is absent.
+// KeyLine returns the line of a key, or that of the section header if the key is
+// absent.
 func (s *Section) KeyLine(key string) int {
-	if n, ok := s.lines[key]; ok {
+	if n, ok := s.keyLines[key]; ok {
 		return n
 	}
 	return s.Line
 }
 
-// Present reports whether the key stands in the file.
-func (s *Section) Present(key string) bool {
-	_, ok := s.lines[key]
+// HasKey reports whether the file sets the key.
+func (s *Section) HasKey(key string) bool {
+	_, ok := s.keyLines[key]
 	return ok
 }
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -10,13 +10,13 @@
 	"github.com/topazrock/topazrock/internal/inifile"
 )
 
-// The operators' page must list exactly the keys that the parser knows, in
-// their sections, with their defaults and ranges.
-func TestPageListsEveryKey(t *testing.T) {
+// The operator documentation must list exactly the keys of the schema, in their
+// sections, with their defaults and ranges.
+func TestOperatorPageListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ops", "install-and-settings.md"))
 	is.NoErr(err)
-	for _, fault := range inifile.ComparePage(string(page), Keys()) {
-		t.Error(fault)
+	for _, difference := range inifile.ComparePage(string(page), Keys()) {
+		t.Error(difference)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -26,7 +26,8 @@
 	maxQuotaSlack   = 1_000_000
 )
 
-// schema is the one table of sections, keys, defaults and ranges.
+// schema defines the sections, keys, defaults and ranges of a settings file.
+// The parser uses it, and a test compares the operator documentation with it.
 var schema = inifile.Schema{
 	MaxSize: maxSize,
 	Sections: []inifile.SectionRule{
@@ -53,7 +54,7 @@
 
 		{Section: "peer", Name: "address", Kind: inifile.Address{}, Required: true,
 			Meaning: "Where other instances connect."},
-		{Section: "peer", Name: "seeds", Kind: addresses{},
+		{Section: "peer", Name: "seeds", Kind: addressList{},
 			Meaning: "Peer addresses, parted by commas, that are asked for documents when the instance starts while the platform is down. May be empty."},
 
 		{Section: "admin", Name: "address", Kind: inifile.Address{}, Required: true,
@@ -61,7 +62,7 @@
 		{Section: "admin", Name: "access_token", Kind: inifile.Text{Max: maxSecretLength}, Secret: true,
 			Meaning: "Token for calls that change something. Empty: such calls are accepted from loopback only."},
 
-		{Section: "platform", Name: "url", Kind: platformURL{}, Required: true,
+		{Section: "platform", Name: "url", Kind: baseURL{}, Required: true,
 			Meaning: "Base URL of the platform."},
 		{Section: "platform", Name: "timeout", Kind: inifile.Duration{Min: minPlatformTimeout, Max: maxPlatformTimeout}, Default: "2s",
 			Meaning: "Time for one call to the platform, apart from a waiting watch."},
@@ -82,7 +83,7 @@
 		{Section: "metrics", Name: "address", Kind: optional{inifile.Address{}},
 			Meaning: "Where metrics are served besides the administration API, for a collector that knows one port. May be empty."},
 
-		{Section: "promotion", Name: "url", Kind: optional{platformURL{}},
+		{Section: "promotion", Name: "url", Kind: optional{baseURL{}},
 			Meaning: "Base URL of the service that appoints primaries, for members that do not take the order themselves. May be empty."},
 
 		{Section: "drain", Name: "linger", Kind: inifile.Duration{Max: maxDrain}, Default: "0s",
@@ -107,8 +108,8 @@
 	},
 }
 
-// Key describes one key of the settings for the operators' pages.
+// Key describes one settings key for the operator documentation.
 type Key = inifile.KeyDoc
 
-// Keys lists every key in the order of the operators' page.
+// Keys returns every key in the order of the operator documentation.
 func Keys() []Key { return schema.Docs() }
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -15,10 +15,10 @@
 	errNotURL = errors.New("not the URL of an IP address and port")
 )
 
-// nonEmpty is text that must not be empty.
+// nonEmpty is text with at least one byte.
 type nonEmpty struct{ inifile.Text }
 
-// requiredText is the kind of a short text that must be given.
+// requiredText is a short text that must not be empty.
 var requiredText = nonEmpty{inifile.Text{Max: inifile.MaxNameLength}}
 
 // Parse implements inifile.Kind.
@@ -29,7 +29,7 @@
 	return k.Text.Parse(text)
 }
 
-// optional is a kind that may also be empty.
+// optional accepts an empty value in addition to the values of Kind.
 type optional struct{ inifile.Kind }
 
 // Parse implements inifile.Kind.
@@ -43,12 +43,12 @@
 // Allowed implements inifile.Kind.
 func (k optional) Allowed() string { return "empty or " + k.Kind.Allowed() }
 
-// platformURL is an http or https URL whose host is an IP address and port;
-// its value is a string.
-type platformURL struct{}
+// baseURL is an http or https URL with an IP address and port as its host and
+// without a path; its value is a string.
+type baseURL struct{}
 
 // Parse implements inifile.Kind.
-func (platformURL) Parse(text string) (any, error) {
+func (baseURL) Parse(text string) (any, error) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
 		return "", errNotURL
@@ -63,21 +63,22 @@
 }
 
 // Allowed implements inifile.Kind.
-func (platformURL) Allowed() string { return "http://IP:port or https://IP:port" }
+func (baseURL) Allowed() string { return "http://IP:port or https://IP:port" }
 
-// maxSeeds bounds the list of seeds.
+// maxSeeds is the maximum length of an address list.
 const maxSeeds = 32
 
-// addresses is a list of IP addresses with ports; its value is a []string.
-type addresses struct{}
+// addressList is a list of IP addresses with ports, separated by commas, spaces
+// or tabs; its value is a []string.
+type addressList struct{}
 
 // Parse implements inifile.Kind.
-func (addresses) Parse(text string) (any, error) {
+func (addressList) Parse(text string) (any, error) {
 	var list []string
-	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' || r == '\t' }) {
-		v, err := inifile.Address{}.Parse(word)
+	for _, item := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' || r == '\t' }) {
+		v, err := inifile.Address{}.Parse(item)
 		if err != nil {
-			return []string(nil), fmt.Errorf("%q: %w", word, err)
+			return []string(nil), fmt.Errorf("%q: %w", item, err)
 		}
 		list = append(list, v.(string))
 	}
@@ -88,6 +89,6 @@
 }
 
 // Allowed implements inifile.Kind.
-func (addresses) Allowed() string {
+func (addressList) Allowed() string {
 	return fmt.Sprintf("up to %d of IP:port, parted by commas", maxSeeds)
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -16,18 +16,18 @@
 	return Parse(file, text)
 }
 
-// Parse checks settings. The error is inifile.Problems with every fault;
-// fileName is what they name as the file.
+// Parse parses and checks settings. The error is an inifile.Problems with all
+// problems, which name fileName as their file.
 func Parse(fileName string, text []byte) (*Settings, error) {
 	f := inifile.Read(&schema, fileName, text)
 	checkAddresses(f)
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	return build(f), nil
+	return newSettings(f), nil
 }
 
-func build(f *inifile.File) *Settings {
+func newSettings(f *inifile.File) *Settings {
 	section := func(kind string) *inifile.Section { return f.First(&schema, kind) }
 	instance, caller, upstream := section("instance"), section("caller"), section("upstream")
 	seeds, _ := section("peer").Value("seeds").([]string)
@@ -53,18 +53,18 @@
 	}
 }
 
-// checkAddresses refuses two listeners at one address.
+// checkAddresses reports listeners that share an address.
 func checkAddresses(f *inifile.File) {
-	owner := make(map[string]string)
+	usedBy := make(map[string]string)
 	for _, kind := range []string{"caller", "peer", "admin", "ready", "metrics"} {
 		s := f.First(&schema, kind)
 		address := s.String("address")
 		if address == "" {
 			continue
 		}
-		if other, taken := owner[address]; taken {
+		if other, used := usedBy[address]; used {
 			f.Refuse(s, "address", "the address is taken by ["+other+"]", "an address of its own")
 		}
-		owner[address] = kind
+		usedBy[address] = kind
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,11 +1,12 @@
-// Package settings holds one instance's own settings: its name, where it
-// stands, its addresses and its accounts. They are read once at start; all
-// that operators change while instances run is in the service documents.
+// Package settings holds the settings of one instance: its name, its failure
+// domain and region, its addresses and its accounts. They are read once at
+// startup. Everything that operators change while instances run is in the
+// service documents.
 package settings
 
 import "time"
 
-// Settings are the checked settings of one instance.
+// Settings are the validated settings of one instance.
 type Settings struct {
 	Instance Instance
 	Caller   Caller
@@ -16,8 +17,8 @@
 	Homes    Homes
 	Ready    Ready
 	Metrics  Metrics
-	// Promotion is where primaries are appointed, for members that do not take
-	// the order themselves; empty otherwise.
+	// Promotion is the service that promotes members to primary, if members do
+	// not accept promotions directly. Its URL is empty otherwise.
 	Promotion Promotion
 	Drain     Drain
 	Process   Process
@@ -25,111 +26,112 @@
 	Log       Log
 }
 
-// Instance says who the instance is and where it stands.
+// Instance is the identity and location of the instance.
 type Instance struct {
 	ID            string
 	FailureDomain string
 	Region        string
 }
 
-// Words of Caller.Wire.
+// Values of Caller.Wire.
 const (
 	WirePostgreSQL = "postgresql"
 	WireLine       = "line"
 )
 
-// Caller is the side that callers connect to.
+// Caller configures the listener for callers.
 type Caller struct {
 	Address string
-	// Wire is the protocol that callers and members speak.
+	// Wire is the wire protocol of callers and members.
 	Wire string
-	// MaxCallers bounds the open caller connections.
+	// MaxCallers limits the number of open caller connections.
 	MaxCallers int
-	// StartupTimeout bounds the time from accept to the end of authentication.
+	// StartupTimeout limits the time from accept to the end of authentication.
 	StartupTimeout time.Duration
 }
 
-// Peer is the side that other instances connect to.
+// Peer configures the listener for other instances.
 type Peer struct {
 	Address string
-	// Seeds are peer addresses that are asked for documents while the platform
-	// does not tell which instances there are. It may be empty.
+	// Seeds are the peer addresses from which documents are requested while the
+	// platform does not return the instance list. It may be empty.
 	Seeds []string
 }
 
-// Admin is the administration API.
+// Admin configures the administration API.
 type Admin struct {
 	Address string
-	// AccessToken is asked of calls that change something. Without one, such
-	// calls are accepted from loopback addresses only.
+	// AccessToken is required from API calls that change state. If it is empty,
+	// such calls are accepted from loopback addresses only.
 	AccessToken string
 }
 
-// Platform is the platform's object API and instance list.
+// Platform configures access to the platform's object API and instance list.
 type Platform struct {
 	URL string
-	// Timeout bounds one call, apart from a waiting watch.
+	// Timeout limits one call, except a watch that waits for changes.
 	Timeout time.Duration
 }
 
-// Upstream is the account that connections to members use.
+// Upstream is the account for connections to members.
 type Upstream struct {
 	User            string
 	Password        string
 	ApplicationName string
 }
 
-// Homes says how many instances hold a group's connections.
+// Homes configures how many instances hold a group's connections.
 type Homes struct {
 	// PerFailureDomain is the number of homes of a group in each failure domain.
 	PerFailureDomain int
 }
 
-// Ready is a listener for the balancer's readiness probe alone.
+// Ready configures a separate listener for the load balancer's readiness probe.
 type Ready struct {
-	// Address is empty when there is no such listener.
+	// Address is empty if there is no such listener.
 	Address string
 }
 
-// Metrics is a listener for metrics alone.
+// Metrics configures a separate listener for metrics.
 type Metrics struct {
-	// Address is empty when there is no such listener.
+	// Address is empty if there is no such listener.
 	Address string
 }
 
-// Promotion is where primaries are appointed.
+// Promotion configures the service that promotes members to primary.
 type Promotion struct{ URL string }
 
-// Drain bounds the graceful shutdown.
+// Drain configures the graceful shutdown.
 type Drain struct {
-	// Linger is how long new callers are still served: the balancer needs as long
-	// to see that the instance is no longer ready.
+	// Linger is how long new callers are still served after the shutdown begins.
+	// It must cover the time in which the load balancer notices that the instance
+	// is no longer ready.
 	Linger time.Duration
-	// Timeout is the whole time of the graceful shutdown.
+	// Timeout limits the whole graceful shutdown, including Linger.
 	Timeout time.Duration
 }
 
-// Process bounds the process itself.
+// Process limits the resources of the process.
 type Process struct {
-	// MemoryMB is what the process may use, in megabytes; zero sets no bound.
+	// MemoryMB is the memory limit in megabytes; zero means no limit.
 	MemoryMB int
 }
 
-// Quota says by how much the operations of a workspace may pass its limit: in any Window,
-// (rate x Window + burst) x (1 + Overage) + Slack operations are begun at most.
+// Quota configures by how much the operations of a workspace may exceed its limit: in any
+// Window, at most (rate x Window + burst) x (1 + Overage) + Slack operations may begin.
 type Quota struct {
 	Window  time.Duration
 	Overage float64
 	Slack   int
 }
 
-// Log says what is logged and how.
+// Log configures the log level and format.
 type Log struct {
 	Level  string
 	Format string
 }
 
-// Words of Log.Format.
+// Values of Log.Format.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 user = topazrock
 `
 
-func TestExampleLoads(t *testing.T) {
+func TestLoadExampleFile(t *testing.T) {
 	is := is.New(t)
 	s, err := Load(filepath.Join("..", "..", "examples", "instance.ini"))
 	is.NoErr(err)
@@ -57,7 +57,7 @@
 	is.True(strings.Contains(err.Error(), `i.ini:9: [peer] seeds = "host:6433": "host:6433": not an IP address and port; allowed: up to 32 of IP:port`))
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	is := is.New(t)
 	text := strings.NewReplacer("6434", "6433", "http://127.0.0.1:7000/", "http://platform:7000", "user = topazrock", "user =\nport = 1").Replace(minimal)
 	_, err := Parse("i.ini", []byte(text))
@@ -72,7 +72,7 @@
 	is.Equal(err.Error(), strings.Join(want, "\n"))
 }
 
-func TestMissingFile(t *testing.T) {
+func TestLoadReportsMissingFile(t *testing.T) {
 	is := is.New(t)
 	_, err := Load(filepath.Join(t.TempDir(), "none.ini"))
 	is.True(err != nil)
