--- a/internal/build/version.go
+++ b/internal/build/version.go
@@ -1,13 +1,13 @@
-// Package build tells which build of the program runs.
+// Package build reports the version of the running program.
 package build
 
 import "runtime/debug"
 
-// revisionLength is how many characters of a revision are shown.
+// revisionLength is the number of characters to which a revision is shortened.
 const revisionLength = 12
 
-// Version returns the module's version, or its revision for a build from a
-// checkout, with a plus sign when the checkout had changes.
+// Version returns the module version. For a build from a checkout it returns the
+// shortened revision, with a plus sign if the checkout had uncommitted changes.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -19,7 +19,8 @@
 	return revision(info.Settings)
 }
 
-// revision reads the revision from the build's settings.
+// revision returns the revision recorded in the build settings, or "devel" if
+// there is none.
 func revision(settings []debug.BuildSetting) string {
 	v, changed := "devel", ""
 	for _, s := range settings {
--- a/internal/member/errors.go
+++ b/internal/member/errors.go
@@ -3,9 +3,9 @@
 import "errors"
 
 var (
-	// ErrTermPassed says that the member has entered a higher term than the call named.
+	// ErrTermPassed reports that the member has entered a higher term than that of the call.
 	ErrTermPassed = errors.New("member has entered a higher term")
-	// ErrBusy says that the member answers but takes no more connections. It
-	// lives, and so must not be replaced.
-	ErrBusy = errors.New("member takes no more connections")
+	// ErrBusy reports that the member responds but accepts no more connections.
+	// The member is alive and must not be replaced.
+	ErrBusy = errors.New("member accepts no more connections")
 )
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,11 +1,11 @@
-// Package member is the seam between the product and one member of a database
-// group: how a member tells its term and log position, and how it is fenced,
-// promoted and told to follow.
+// Package member defines the control interface of one member of a database
+// group: reading its term and log position, fencing it, promoting it, and
+// attaching it to a primary.
 //
-// A member persists the highest term it has entered and refuses every call of a
-// lower one. Entering a term stops it from taking records, commits or promotions
-// of older terms. Two terms are kept apart: the term entered (fencing) and the
-// term of the last log record (what its log is worth).
+// A member persists the highest term it has entered and rejects every call with
+// a lower term. Once it has entered a term, it accepts no records, commits or
+// promotions of older terms. Its entered term is used for fencing. The term of
+// its last log record is separate and determines how recent its log is.
 package member
 
 import (
@@ -14,68 +14,71 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Role is what a member does in its entered term.
+// Role is the role of a member in its entered term.
 type Role string
 
 // Roles of a member.
 const (
-	// RolePrimary takes writes in its entered term.
+	// RolePrimary accepts writes in its entered term.
 	RolePrimary Role = "primary"
-	// RoleReplica follows the primary of its entered term.
+	// RoleReplica replicates from the primary of its entered term.
 	RoleReplica Role = "replica"
-	// RoleFenced has entered a term but neither leads nor follows in it yet.
+	// RoleFenced has entered a term but is not yet primary or replica in it.
 	RoleFenced Role = "fenced"
 )
 
-// Status is a member's own report.
+// Status is the state that a member reports about itself.
 type Status struct {
 	Role Role `json:"role"`
 	// Entered is the highest term that the member has entered.
 	Entered logpos.Term `json:"entered"`
-	// Last is the last record of its log: the term that wrote it, and its end.
+	// Last identifies the last record of the member's log by the term that wrote
+	// it and the position of its end.
 	Last logpos.Mark `json:"last"`
-	// TermStart is where the log of the entered term begins, on its primary and
-	// on replicas attached to it. It is at or past all that older terms acknowledged.
+	// TermStart is the position at which the log of the entered term begins, on
+	// its primary and on replicas attached to it. All records that older terms
+	// acknowledged end at or before it.
 	TermStart logpos.Position `json:"term_start"`
 	// Attached is the term in which a replica's log is known to be a prefix of
-	// its primary's log. It is zero while a discarded tail may still be there.
-	// A primary reports its own term.
+	// its primary's log. It is zero while the log may still end with records that
+	// the primary's log lacks. A primary reports its own term.
 	Attached logpos.Term `json:"attached"`
 }
 
-// Promotion is what a member is told that is to lead.
+// Promotion holds the parameters of a promotion to primary.
 type Promotion struct {
-	// Term is the one it is to lead in.
+	// Term is the term in which the member becomes primary.
 	Term logpos.Term
-	// Claimer is the instance that promotes it, and Claim the number of the claim
-	// under which it does. The numbers of a group's claims only rise, so that
-	// who carries orders out can refuse those of an earlier claim.
+	// Claimer is the instance that promotes the member, and Claim the number of
+	// its claim on the group. The claim numbers of a group only increase, so that
+	// the receiver of a promotion can reject one made under an earlier claim.
 	Claimer string
 	Claim   uint64
 }
 
-// Control is the control side of one member. Every method returns the status
-// after the call, or an error; ErrTermPassed when the member has entered a
-// higher term than the call's.
+// Control is a control connection to one member. Except for Close, every method
+// returns the status after the call or an error, which is ErrTermPassed if the
+// member has entered a higher term than that of the call.
 type Control interface {
-	// Status asks for the member's report.
+	// Status returns the current status of the member.
 	Status(ctx context.Context) (Status, error)
-	// WaitPosition returns the report once the log reaches position or the
-	// member's entered term changes, or when ctx nears its deadline.
+	// WaitPosition returns the status once the log reaches position, the entered
+	// term changes, or the deadline of ctx is near.
 	WaitPosition(ctx context.Context, position logpos.Position) (Status, error)
-	// EnterTerm fences the member in term. Entering a term again is idempotent.
+	// EnterTerm makes the member enter term, which fences it. It is idempotent.
 	EnterTerm(ctx context.Context, term logpos.Term) (Status, error)
-	// Promote makes a member fenced in the promotion's term its primary. It is
-	// idempotent for the member that is the primary of that term already.
+	// Promote makes a member that is fenced in p.Term the primary of that term.
+	// It is idempotent if the member already is that primary.
 	Promote(ctx context.Context, p Promotion) (Status, error)
-	// Follow attaches a member fenced in term to the primary at address. The
-	// member drops any tail that is not in the primary's log.
+	// Follow attaches a member that is fenced in term to the primary at the address
+	// primary. The member discards any records at the end of its log that the
+	// primary's log lacks.
 	Follow(ctx context.Context, term logpos.Term, primary string) (Status, error)
-	// Close ends the control connection.
+	// Close closes the control connection.
 	Close() error
 }
 
-// Dialer opens the control side of the member at an address on a new connection.
+// Dialer opens a new control connection to the member at an address.
 type Dialer interface {
 	DialControl(ctx context.Context, address string) (Control, error)
 }
--- a/internal/member/pgcontrol/control.go
+++ b/internal/member/pgcontrol/control.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// defaultWait bounds a WaitPosition whose context has no deadline.
-	defaultWait = time.Second
-	// answerShare is the part of the time left that a WaitPosition keeps for
-	// its answer to travel: one part in answerShare.
-	answerShare = 4
+	// defaultPositionWait limits a WaitPosition call whose context has no deadline.
+	defaultPositionWait = time.Second
+	// responseMarginDivisor sets the time that WaitPosition reserves for the
+	// response to arrive: the time to the deadline divided by this number.
+	responseMarginDivisor = 4
 )
 
 // control implements member.Control on one connection.
 type control struct {
-	mu   sync.Mutex // serialises calls; a connection carries one at a time
-	conn *pgconn.PgConn
-	raw  net.Conn
+	mu      sync.Mutex // serialises calls, because a connection can run only one at a time
+	conn    *pgconn.PgConn
+	netConn net.Conn
 }
 
 // Status implements member.Control.
@@ -37,12 +37,12 @@
 
 // WaitPosition implements member.Control.
 func (c *control) WaitPosition(ctx context.Context, position logpos.Position) (member.Status, error) {
-	return c.call(ctx, fmt.Sprintf(waitFormat, position, waitTime(ctx).Milliseconds()))
+	return c.call(ctx, fmt.Sprintf(waitPositionFormat, position, positionWaitTime(ctx).Milliseconds()))
 }
 
 // EnterTerm implements member.Control.
 func (c *control) EnterTerm(ctx context.Context, term logpos.Term) (member.Status, error) {
-	return c.call(ctx, fmt.Sprintf(enterFormat, term))
+	return c.call(ctx, fmt.Sprintf(enterTermFormat, term))
 }
 
 // Promote implements member.Control.
@@ -56,44 +56,44 @@
 	return c.call(ctx, fmt.Sprintf(followFormat, term, quoted))
 }
 
-// Close implements member.Control. It ends a call in flight.
-func (c *control) Close() error { return c.raw.Close() }
+// Close implements member.Control. A call in progress fails.
+func (c *control) Close() error { return c.netConn.Close() }
 
-// call runs one statement and reads its one row.
+// call executes a statement and parses the status row that it returns.
 func (c *control) call(ctx context.Context, sql string) (member.Status, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	results, err := c.conn.Exec(ctx, sql).ReadAll()
 	if err != nil {
-		return member.Status{}, c.failed(err)
+		return member.Status{}, c.callError(err)
 	}
 	if len(results) != 1 || len(results[0].Rows) != 1 {
-		return member.Status{}, fmt.Errorf("%w: not one row", ErrMalformedStatus)
+		return member.Status{}, fmt.Errorf("%w: expected one result with one row", ErrMalformedStatus)
 	}
 	return ParseStatus(results[0].Rows[0])
 }
 
-// failed classifies the error of a call. Anything but a whole error answer
-// leaves an answer on the wire, so the connection is closed at once.
-func (c *control) failed(err error) error {
-	var answer *pgconn.PgError
-	if !errors.As(err, &answer) || c.conn.IsClosed() {
-		_ = c.raw.Close()
+// callError classifies the error of a call. Unless the member sent a complete
+// error response, a response may still arrive, so the connection is closed.
+func (c *control) callError(err error) error {
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) || c.conn.IsClosed() {
+		_ = c.netConn.Close()
 		return fmt.Errorf("pgcontrol: %w", err)
 	}
-	if answer.Code == sqlStateTermPassed {
-		return fmt.Errorf("%w: %s", member.ErrTermPassed, answer.Message)
+	if pgErr.Code == sqlStateTermPassed {
+		return fmt.Errorf("%w: %s", member.ErrTermPassed, pgErr.Message)
 	}
 	return fmt.Errorf("pgcontrol: %w", err)
 }
 
-// waitTime is how long a member may hold back its answer so that the answer
-// still arrives before the deadline of ctx.
-func waitTime(ctx context.Context) time.Duration {
+// positionWaitTime returns how long a member may delay its response so that the
+// response still arrives before the deadline of ctx.
+func positionWaitTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return defaultWait
+		return defaultPositionWait
 	}
 	left := time.Until(deadline)
-	return max(0, left-left/answerShare)
+	return max(0, left-left/responseMarginDivisor)
 }
--- a/internal/member/pgcontrol/dialer.go
+++ b/internal/member/pgcontrol/dialer.go
@@ -14,51 +14,52 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// maxMessageLength bounds one message from a member, in bytes. A status row is
-// far below it.
+// maxMessageLength is the maximum length of a message from a member, in bytes.
+// A status row is much shorter.
 const maxMessageLength = 64 << 10
 
-// baseSettings names every setting that pgconn would otherwise take from the
-// environment or the home directory; the Dialer overwrites what matters.
-const baseSettings = "host=127.0.0.1 port=5432 user=control password=none dbname=postgres sslmode=disable"
+// baseConnString sets every connection parameter that pgconn would otherwise
+// read from the environment or the home directory. Dialer.connConfig replaces
+// the values that are used.
+const baseConnString = "host=127.0.0.1 port=5432 user=control password=none dbname=postgres sslmode=disable"
 
 // Options are the settings of control connections.
 type Options struct {
 	User     string
 	Password string
-	// Database is the name sent at startup; it may be empty.
+	// Database is the database name sent at startup; it may be empty.
 	Database string
 }
 
 // Dialer implements member.Dialer.
 //
-// At most two connections to each member are in their handshake at a time.
+// At most maxHandshakes handshakes with each member are in progress at a time.
 //
-// Lock order: Dialer.mu alone; it is not held across I/O.
+// Locking: no other lock is acquired while mu is held, and mu is not held during I/O.
 type Dialer struct {
 	network netio.Dialer
 	options Options
 
-	mu       sync.Mutex
-	underWay map[string]*handshakes
+	mu      sync.Mutex
+	pending map[string]*pendingHandshakes
 }
 
 // NewDialer returns a Dialer that opens its connections with network.
 func NewDialer(network netio.Dialer, options Options) *Dialer {
-	return &Dialer{network: network, options: options, underWay: make(map[string]*handshakes)}
+	return &Dialer{network: network, options: options, pending: make(map[string]*pendingHandshakes)}
 }
 
 // DialControl implements member.Dialer. The address is an IP and a port.
 func (d *Dialer) DialControl(ctx context.Context, address string) (member.Control, error) {
-	q := d.join(address)
-	defer d.leave(address, q)
+	pending := d.addWaiter(address)
+	defer d.removeWaiter(address, pending)
 	for {
-		h, err := d.current(address, q)
+		h, err := d.currentHandshake(address, pending)
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case c := <-q.ready:
+		case c := <-pending.ready:
 			return c, nil
 		case <-ctx.Done():
 			return nil, connectError(address, ctx.Err())
@@ -66,29 +67,29 @@
 			if h.err != nil {
 				return nil, connectError(address, h.err)
 			}
-			// Its connection is in ready, or another call has it by now.
+			// The connection is in ready, or another call has received it.
 		}
 		select {
-		case c := <-q.ready:
+		case c := <-pending.ready:
 			return c, nil
 		default:
 		}
 	}
 }
 
-// config builds the pgconn settings for one address.
-func (d *Dialer) config(address string) (*pgconn.Config, error) {
+// connConfig returns the pgconn configuration for one address.
+func (d *Dialer) connConfig(address string) (*pgconn.Config, error) {
 	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("pgcontrol: address %q: %w", address, err)
+		return nil, fmt.Errorf("pgcontrol: invalid address %q: %w", address, err)
 	}
 	port, err := strconv.ParseUint(portText, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("pgcontrol: port of %q: %w", address, err)
+		return nil, fmt.Errorf("pgcontrol: invalid port in address %q: %w", address, err)
 	}
-	cfg, err := pgconn.ParseConfig(baseSettings)
+	cfg, err := pgconn.ParseConfig(baseConnString)
 	if err != nil {
-		return nil, fmt.Errorf("pgcontrol: settings: %w", err)
+		return nil, fmt.Errorf("pgcontrol: parse connection parameters: %w", err)
 	}
 	cfg.Host, cfg.Port = host, uint16(port)
 	cfg.User, cfg.Password, cfg.Database = d.options.User, d.options.Password, d.options.Database
@@ -100,10 +101,11 @@
 	return cfg, nil
 }
 
-// connectError tells a member that is full from one that does not answer.
+// connectError returns ErrBusy if the member has reached its connection limit,
+// so that it is not mistaken for a member that does not respond.
 func connectError(address string, err error) error {
-	var answer *pgconn.PgError
-	if errors.As(err, &answer) && answer.Code == sqlStateTooManyConnections {
+	var pgErr *pgconn.PgError
+	if errors.As(err, &pgErr) && pgErr.Code == sqlStateTooManyConnections {
 		return fmt.Errorf("%w: %s", member.ErrBusy, address)
 	}
 	return fmt.Errorf("pgcontrol: connect to %s: %w", address, err)
--- a/internal/member/pgcontrol/errors.go
+++ b/internal/member/pgcontrol/errors.go
@@ -3,8 +3,8 @@
 import "errors"
 
 var (
-	// ErrMalformedStatus says that a row is not a member's status.
+	// ErrMalformedStatus reports that a response is not a valid status row.
 	ErrMalformedStatus = errors.New("pgcontrol: malformed status row")
-	// errOneDial stops pgconn from opening a second connection for a cancel request.
-	errOneDial = errors.New("pgcontrol: a control connection is dialled once")
+	// errSecondDial prevents pgconn from opening a second connection for a cancel request.
+	errSecondDial = errors.New("pgcontrol: a control connection must not dial twice")
 )
--- a/internal/member/pgcontrol/handshake.go
+++ b/internal/member/pgcontrol/handshake.go
@@ -10,137 +10,144 @@
 )
 
 const (
-	// handshakeTimeout bounds a handshake that nobody waits for any more.
+	// handshakeTimeout limits a handshake, including one that no call waits for
+	// any more.
 	handshakeTimeout = 5 * time.Second
-	// secondAfter is how long a handshake may stand before a second one begins
-	// beside it. One connection may have gone silent for good while new ones
-	// work; a single one would make a sound member look lost for so long.
-	secondAfter = 250 * time.Millisecond
-	// maxHandshakes bounds the handshakes under way with one member.
+	// secondHandshakeDelay is how long a handshake may take before a second one
+	// starts in parallel. A connection can stop responding for good while new
+	// ones work. With only one handshake, a healthy member would appear lost
+	// until that handshake timed out.
+	secondHandshakeDelay = 250 * time.Millisecond
+	// maxHandshakes limits the handshakes in progress with one member.
 	maxHandshakes = 2
 )
 
-// handshake is a connection on its way: dialled or being dialled, and not yet
-// authenticated. It outlives the call that began it once the network connection
-// stands: a member that is frozen has accepted that connection and will count
-// it, whether it is closed at this end or not, until it runs again. Probes that
-// each opened one more would use up the group's connections in a second; instead
-// the next call waits on for the same one.
+// handshake is a connection that is being dialled or authenticated. Once the
+// network connection is open, the handshake outlives the call that started it.
+// A frozen member has accepted that connection and counts it until the member
+// runs again, even if this end closes it. If each probe opened another
+// connection, the probes would exhaust the group's connection limit in a second;
+// instead, the next call waits for the same handshake.
 type handshake struct {
-	began  time.Time
-	cancel context.CancelFunc
-	// done is closed at the end, after err was set.
+	startedAt time.Time
+	cancel    context.CancelFunc
+	// done is closed when the handshake ends, after err is set.
 	done chan struct{}
 	err  error
-	// standing says that the network connection is open.
-	standing atomic.Bool
+	// connected is set once the network connection is open.
+	connected atomic.Bool
 }
 
-// handshakes are those under way with one member, and the calls that wait for
-// any of them. Dialer.mu guards it, but for ready.
-type handshakes struct {
-	// count is how many have not ended, newest the one that began last.
-	count  int
+// pendingHandshakes tracks the handshakes in progress with one member and the
+// calls that wait for any of them. Dialer.mu guards all fields except ready.
+type pendingHandshakes struct {
+	// active is the number of handshakes in progress, and newest the one that
+	// started last.
+	active int
 	newest *handshake
-	// waiting counts the calls; ready holds connections for them.
-	waiting int
+	// waiters is the number of waiting calls; ready holds connections for them.
+	waiters int
 	ready   chan *control
 }
 
-// join counts one more waiting call.
-func (d *Dialer) join(address string) *handshakes {
+// addWaiter registers a call that waits for a connection to address.
+func (d *Dialer) addWaiter(address string) *pendingHandshakes {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q := d.underWay[address]
-	if q == nil {
-		q = &handshakes{ready: make(chan *control, maxHandshakes)}
-		d.underWay[address] = q
+	pending := d.pending[address]
+	if pending == nil {
+		pending = &pendingHandshakes{ready: make(chan *control, maxHandshakes)}
+		d.pending[address] = pending
 	}
-	q.waiting++
-	return q
+	pending.waiters++
+	return pending
 }
 
-// leave counts a call that no longer waits. With the last one, connections that
-// nobody took are closed and a dial that has not been answered is given up; a
-// standing connection is waited for by the next call.
-func (d *Dialer) leave(address string, q *handshakes) {
+// removeWaiter unregisters a call. With the last one, it closes connections that
+// no call received and cancels a dial that has not succeeded yet. A handshake
+// whose network connection is open continues, and the next call waits for it.
+func (d *Dialer) removeWaiter(address string, pending *pendingHandshakes) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q.waiting--
-	if q.waiting > 0 {
+	pending.waiters--
+	if pending.waiters > 0 {
 		return
 	}
-	for len(q.ready) > 0 {
-		_ = (<-q.ready).Close()
+	for len(pending.ready) > 0 {
+		_ = (<-pending.ready).Close()
 	}
-	if h := q.newest; h != nil && !h.standing.Load() {
+	if h := pending.newest; h != nil && !h.connected.Load() {
 		h.cancel()
 	}
-	if q.count == 0 {
-		delete(d.underWay, address)
+	if pending.active == 0 {
+		delete(d.pending, address)
 	}
 }
 
-// current returns the newest handshake with a member, or begins one.
-func (d *Dialer) current(address string, q *handshakes) (*handshake, error) {
+// currentHandshake returns the newest handshake with a member. It starts one if
+// there is none, or if the newest has exceeded secondHandshakeDelay and
+// maxHandshakes permits another.
+func (d *Dialer) currentHandshake(address string, pending *pendingHandshakes) (*handshake, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h := q.newest
-	if h != nil && (q.count >= maxHandshakes || time.Since(h.began) <= secondAfter) {
+	h := pending.newest
+	if h != nil && (pending.active >= maxHandshakes || time.Since(h.startedAt) <= secondHandshakeDelay) {
 		return h, nil
 	}
-	cfg, err := d.config(address)
+	cfg, err := d.connConfig(address)
 	if err != nil {
 		return nil, err
 	}
-	q.count++
-	q.newest = d.begin(address, q, cfg)
-	return q.newest, nil
+	pending.active++
+	pending.newest = d.startHandshake(address, pending, cfg)
+	return pending.newest, nil
 }
 
-// begin starts a handshake.
-func (d *Dialer) begin(address string, q *handshakes, cfg *pgconn.Config) *handshake {
+// startHandshake dials and authenticates a connection in a new goroutine.
+func (d *Dialer) startHandshake(address string, pending *pendingHandshakes, cfg *pgconn.Config) *handshake {
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
-	h := &handshake{began: time.Now(), cancel: cancel, done: make(chan struct{})}
+	h := &handshake{startedAt: time.Now(), cancel: cancel, done: make(chan struct{})}
 	c := &control{}
 	cfg.DialFunc = func(ctx context.Context, _, _ string) (net.Conn, error) {
-		// pgconn dials again to cancel a call whose context ended. The control
-		// calls need no cancel, and to a dead member it would only add a dial.
-		if c.raw != nil {
-			return nil, errOneDial
+		// pgconn dials again to cancel a call whose context has ended. Control
+		// calls need no cancellation, and for a dead member this would only be one
+		// more dial.
+		if c.netConn != nil {
+			return nil, errSecondDial
 		}
-		raw, err := d.network.Dial(ctx, address)
-		h.standing.Store(err == nil)
-		c.raw = raw
-		return raw, err
+		netConn, err := d.network.Dial(ctx, address)
+		h.connected.Store(err == nil)
+		c.netConn = netConn
+		return netConn, err
 	}
 	go func() {
 		defer cancel()
 		c.conn, h.err = pgconn.ConnectConfig(ctx, cfg)
-		d.finish(address, q, h, c)
+		d.finishHandshake(address, pending, h, c)
 	}()
 	return h
 }
 
-// finish hands the connection to the calls that wait, or closes it if none does.
-func (d *Dialer) finish(address string, q *handshakes, h *handshake, c *control) {
+// finishHandshake passes the connection to the waiting calls, or closes it if
+// there are none or ready is full.
+func (d *Dialer) finishHandshake(address string, pending *pendingHandshakes, h *handshake, c *control) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	q.count--
-	if q.newest == h {
-		q.newest = nil
+	pending.active--
+	if pending.newest == h {
+		pending.newest = nil
 	}
-	if h.err == nil && (q.waiting == 0 || !offer(q.ready, c)) {
+	if h.err == nil && (pending.waiters == 0 || !trySend(pending.ready, c)) {
 		_ = c.Close()
 	}
-	if q.count == 0 && q.waiting == 0 {
-		delete(d.underWay, address)
+	if pending.active == 0 && pending.waiters == 0 {
+		delete(d.pending, address)
 	}
 	close(h.done)
 }
 
-// offer puts a connection into ready unless it is full.
-func offer(ready chan *control, c *control) bool {
+// trySend sends a connection to ready and reports false if ready is full.
+func trySend(ready chan *control, c *control) bool {
 	select {
 	case ready <- c:
 		return true
--- a/internal/member/pgcontrol/handshake_test.go
+++ b/internal/member/pgcontrol/handshake_test.go
@@ -15,29 +15,29 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// slowStart is a member that accepts connections and answers start-up after a
-// while, with an error if it has one.
-type slowStart struct {
-	delay   time.Duration
-	refusal *pgproto3.ErrorResponse
-	dials   atomic.Int64
+// slowMember is a member that accepts connections and responds to the startup
+// message after delay, with startupError if it is set.
+type slowMember struct {
+	delay        time.Duration
+	startupError *pgproto3.ErrorResponse
+	dials        atomic.Int64
 }
 
-func (s *slowStart) Dial(context.Context, string) (net.Conn, error) {
+func (s *slowMember) Dial(context.Context, string) (net.Conn, error) {
 	s.dials.Add(1)
-	near, far := net.Pipe()
-	go s.serve(far)
-	return near, nil
+	client, server := net.Pipe()
+	go s.serve(server)
+	return client, nil
 }
 
-func (s *slowStart) serve(conn net.Conn) {
+func (s *slowMember) serve(conn net.Conn) {
 	backend := pgproto3.NewBackend(conn, conn)
 	if _, err := backend.ReceiveStartupMessage(); err != nil {
 		return
 	}
 	time.Sleep(s.delay)
-	if s.refusal != nil {
-		backend.Send(s.refusal)
+	if s.startupError != nil {
+		backend.Send(s.startupError)
 		_ = backend.Flush()
 		conn.Close()
 		return
@@ -47,24 +47,24 @@
 	_ = backend.Flush()
 }
 
-// A member that has no connection left refuses the control connection. It is
-// alive: taken for lost, it would be deposed for being busy.
-func TestFullMemberIsBusyAndNotLost(t *testing.T) {
+// A member that has reached its connection limit rejects the control connection.
+// It is alive; if it were considered lost, a busy primary would be replaced.
+func TestFullMemberReturnsErrBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		full := &slowStart{refusal: &pgproto3.ErrorResponse{Severity: "FATAL", Code: sqlStateTooManyConnections, Message: "full"}}
+		full := &slowMember{startupError: &pgproto3.ErrorResponse{Severity: "FATAL", Code: sqlStateTooManyConnections, Message: "full"}}
 		_, err := NewDialer(full, Options{User: "u"}).DialControl(t.Context(), "10.0.0.1:5432")
 		is.True(errors.Is(err, member.ErrBusy))
 	})
 }
 
 // A frozen member has accepted a probe's connection and counts it until it runs
-// again, whatever this end does. Sixty probes within three seconds wait for the
-// same two connections, and the first probe after the thaw gets one of them.
-func TestProbesOfAFrozenMemberShareTheirConnections(t *testing.T) {
+// again, even if this end closes it. Sixty probes within three seconds must share
+// two connections, and the first probe after the member resumes must get one.
+func TestProbesOfFrozenMemberShareConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		frozen := &slowStart{delay: 2020 * time.Millisecond}
+		frozen := &slowMember{delay: 2020 * time.Millisecond}
 		d := NewDialer(frozen, Options{User: "u"})
 		var control member.Control
 		for range 60 {
--- a/internal/member/pgcontrol/pgcontrol.go
+++ b/internal/member/pgcontrol/pgcontrol.go
@@ -1,28 +1,30 @@
-// Package pgcontrol reaches the control side of a member over the PostgreSQL
-// wire protocol: plain SQL functions that return one row of the member's status.
+// Package pgcontrol implements member.Control over the PostgreSQL wire protocol.
+// Each call is an SQL function that returns the member's status as one row.
 //
-// Every call runs on one connection, one call at a time. A call that did not
-// end with a whole answer closes the connection, because a late answer to it
-// must never be taken for the answer to the next call.
+// All calls share one connection and run one at a time. A call that does not
+// receive a complete response closes the connection, because the next call must
+// never read a late response to an earlier one.
 package pgcontrol
 
 // ApplicationName is the application_name of control connections.
 const ApplicationName = "topazrock-control"
 
-// StatusStatement asks a member for its status row; see ParseStatus.
+// StatusStatement queries the status row of a member; see ParseStatus.
 const StatusStatement = "SELECT * FROM group_status()"
 
-// Statements of the other calls.
+// Formats of the statements for the other calls.
 const (
-	waitFormat    = "SELECT * FROM group_wait_position(%d, %d)"
-	enterFormat   = "SELECT * FROM group_enter_term(%d)"
-	promoteFormat = "SELECT * FROM group_promote(%d)"
-	followFormat  = "SELECT * FROM group_follow(%d, '%s')"
+	waitPositionFormat = "SELECT * FROM group_wait_position(%d, %d)"
+	enterTermFormat    = "SELECT * FROM group_enter_term(%d)"
+	promoteFormat      = "SELECT * FROM group_promote(%d)"
+	followFormat       = "SELECT * FROM group_follow(%d, '%s')"
 )
 
 const (
-	// sqlStateTermPassed is what a member answers to a call of a lower term.
+	// sqlStateTermPassed is the error code for a call with a lower term than the
+	// member's.
 	sqlStateTermPassed = "55G01"
-	// sqlStateTooManyConnections is what a member that is full answers at startup.
+	// sqlStateTooManyConnections is the error code at startup if the member has
+	// reached its connection limit.
 	sqlStateTooManyConnections = "53300"
 )
--- a/internal/member/pgcontrol/pgcontrol_test.go
+++ b/internal/member/pgcontrol/pgcontrol_test.go
@@ -15,28 +15,29 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// script is a member that answers each statement as told.
-type script struct {
-	answer func(sql string) []pgproto3.BackendMessage
-	seen   []string
-	params map[string]string
+// scriptedMember is a member that responds to each statement with the messages
+// that respond returns.
+type scriptedMember struct {
+	respond       func(sql string) []pgproto3.BackendMessage
+	statements    []string
+	startupParams map[string]string
 }
 
 // Dial implements netio.Dialer.
-func (s *script) Dial(context.Context, string) (net.Conn, error) {
+func (s *scriptedMember) Dial(context.Context, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	go s.serve(server)
 	return client, nil
 }
 
-func (s *script) serve(conn net.Conn) {
+func (s *scriptedMember) serve(conn net.Conn) {
 	defer conn.Close()
 	b := pgproto3.NewBackend(conn, conn)
 	startup, err := b.ReceiveStartupMessage()
 	if err != nil {
 		return
 	}
-	s.params = startup.(*pgproto3.StartupMessage).Parameters
+	s.startupParams = startup.(*pgproto3.StartupMessage).Parameters
 	b.Send(&pgproto3.AuthenticationOk{})
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	for b.Flush() == nil {
@@ -45,15 +46,15 @@
 		if err != nil || !ok {
 			return
 		}
-		s.seen = append(s.seen, q.String)
-		for _, a := range s.answer(q.String) {
+		s.statements = append(s.statements, q.String)
+		for _, a := range s.respond(q.String) {
 			b.Send(a)
 		}
 		b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	}
 }
 
-func row(fields ...string) []pgproto3.BackendMessage {
+func statusRow(fields ...string) []pgproto3.BackendMessage {
 	names := []string{"role", "entered", "last_term", "last_position", "term_start", "attached"}
 	d := &pgproto3.RowDescription{}
 	r := &pgproto3.DataRow{}
@@ -64,11 +65,11 @@
 	return []pgproto3.BackendMessage{d, r, &pgproto3.CommandComplete{CommandTag: []byte("SELECT 1")}}
 }
 
-func TestCallsSendTheirStatement(t *testing.T) {
+func TestEachCallSendsItsStatement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &script{answer: func(string) []pgproto3.BackendMessage {
-			return row("replica", "7", "6", "120", "90", "7")
+		s := &scriptedMember{respond: func(string) []pgproto3.BackendMessage {
+			return statusRow("replica", "7", "6", "120", "90", "7")
 		}}
 		ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer cancel()
@@ -88,26 +89,26 @@
 		is.NoErr(err)
 		_, err = c.Follow(ctx, 8, "10.0.0.2:5432'")
 		is.NoErr(err)
-		is.Equal(s.seen, []string{
+		is.Equal(s.statements, []string{
 			"SELECT * FROM group_status()",
 			"SELECT * FROM group_wait_position(130, 300)",
 			"SELECT * FROM group_enter_term(8)",
 			"SELECT * FROM group_promote(8)",
 			"SELECT * FROM group_follow(8, '10.0.0.2:5432''')",
 		})
-		is.Equal(s.params["application_name"], ApplicationName)
-		is.Equal(s.params["user"], "ctl")
+		is.Equal(s.startupParams["application_name"], ApplicationName)
+		is.Equal(s.startupParams["user"], "ctl")
 	})
 }
 
-// A member that has entered a higher term refuses the call. The claimer must
-// see ErrTermPassed, and the connection must serve the next call.
-func TestTermPassedKeepsTheConnection(t *testing.T) {
+// A member that has entered a higher term rejects the call. The claimer must get
+// ErrTermPassed, and the connection must remain usable for the next call.
+func TestConnectionUsableAfterErrTermPassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &script{answer: func(sql string) []pgproto3.BackendMessage {
+		s := &scriptedMember{respond: func(sql string) []pgproto3.BackendMessage {
 			if sql == StatusStatement {
-				return row("fenced", "9", "6", "120", "0", "0")
+				return statusRow("fenced", "9", "6", "120", "0", "0")
 			}
 			return []pgproto3.BackendMessage{&pgproto3.ErrorResponse{Severity: "ERROR", Code: "55G01", Message: "entered 9"}}
 		}}
@@ -122,15 +123,16 @@
 	})
 }
 
-// A member answers a status call only after the caller's bound. The call fails
-// at the bound, and the next call fails too: it must not read the late answer.
-func TestLateAnswerIsNeverTakenForTheNext(t *testing.T) {
+// A member responds to a status call only after the call's deadline. The call
+// fails at the deadline. The next call fails too, because it must not read the
+// late response.
+func TestLateResponseIsNotReadByNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		release := make(chan struct{})
-		s := &script{answer: func(string) []pgproto3.BackendMessage {
+		s := &scriptedMember{respond: func(string) []pgproto3.BackendMessage {
 			<-release
-			return row("primary", "1", "1", "10", "0", "1")
+			return statusRow("primary", "1", "1", "10", "0", "1")
 		}}
 		c, err := NewDialer(s, Options{User: "ctl"}).DialControl(t.Context(), "10.0.0.1:5432")
 		is.NoErr(err)
@@ -144,11 +146,11 @@
 		is.True(err != nil)
 		close(release)
 		synctest.Wait()
-		is.Equal(len(s.seen), 1)
+		is.Equal(len(s.statements), 1)
 	})
 }
 
-func TestParseStatusRefusesMalformedRows(t *testing.T) {
+func TestParseStatusRejectsMalformedRows(t *testing.T) {
 	good := []string{"primary", "1", "1", "10", "0", "1"}
 	for column, bad := range map[int]string{0: "leader", 1: "-1", 3: "", 5: "x"} {
 		fields := make([][]byte, len(good))
--- a/internal/member/pgcontrol/status.go
+++ b/internal/member/pgcontrol/status.go
@@ -12,8 +12,8 @@
 // last_term, last_position, term_start, attached.
 const statusColumns = 6
 
-// ParseStatus reads one status row from its text fields, in column order. It
-// returns an error that wraps ErrMalformedStatus for anything else.
+// ParseStatus parses the text fields of one status row, in column order. If they
+// are not a valid status row, the error wraps ErrMalformedStatus.
 func ParseStatus(fields [][]byte) (member.Status, error) {
 	if len(fields) != statusColumns {
 		return member.Status{}, fmt.Errorf("%w: %d columns", ErrMalformedStatus, len(fields))
