--- a/internal/standin/loopback/address.go
+++ b/internal/standin/loopback/address.go
@@ -1,9 +1,10 @@
-// Package loopback finds addresses for parts that run in one process.
+// Package loopback finds free TCP addresses for servers that run in one process.
 package loopback
 
 import "net"
 
-// FreeAddress returns an address at ip with a port that nobody uses now.
+// FreeAddress returns an address at ip with a port that is currently unused. Another
+// process can take the port before the result is used.
 func FreeAddress(ip string) (string, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
--- a/internal/standin/member/connections.go
+++ b/internal/standin/member/connections.go
@@ -1,27 +1,29 @@
 package member
 
-// Connections counts a node's connections since it was made.
+// Connections holds a node's connection counts since New.
 type Connections struct {
-	// Open and Highest count data connections; Highest never exceeds the total.
+	// Open is the current number of data connections and Highest its peak, which
+	// never exceeds Options.ConnectionTotal.
 	Open, Highest int
-	// ControlOpen and ControlHighest count control connections.
+	// ControlOpen and ControlHighest are the same for control connections.
 	ControlOpen, ControlHighest int
-	// Refused counts data connections that were over the total.
+	// Refused counts data connections rejected because of ConnectionTotal.
 	Refused int
 }
 
-// Connections returns the counts of this moment.
+// Connections returns the current connection counts.
 func (n *Node) Connections() Connections {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.counts
+	return n.connectionCounts
 }
 
-// admit counts a connection, or refuses it when the total is reached.
-func (n *Node) admit(control bool) error {
+// admitConnection counts a new connection. A data connection is refused when
+// ConnectionTotal connections are open.
+func (n *Node) admitConnection(control bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &n.counts
+	c := &n.connectionCounts
 	if control {
 		c.ControlOpen++
 		c.ControlHighest = max(c.ControlHighest, c.ControlOpen)
@@ -36,22 +38,22 @@
 	return nil
 }
 
-func (n *Node) leave(control bool) {
+func (n *Node) releaseConnection(control bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if control {
-		n.counts.ControlOpen--
+		n.connectionCounts.ControlOpen--
 	} else {
-		n.counts.Open--
+		n.connectionCounts.Open--
 	}
 }
 
-// Reads counts the look-ups of rows that a node answered, by its role.
+// Reads counts the row lookups that a node served, by its role at the time.
 type Reads struct{ Primary, Replica int }
 
-// Reads returns the counts of this moment.
+// Reads returns the current read counts.
 func (n *Node) Reads() Reads {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reads
+	return n.readCounts
 }
--- a/internal/standin/member/control.go
+++ b/internal/standin/member/control.go
@@ -9,14 +9,14 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// waitPosition returns when the log reaches a position, the entered term
-// changes, or the timeout passes.
+// waitPosition waits until the log reaches position p, the entered term changes,
+// the timeout expires or ctx is done.
 func (n *Node) waitPosition(ctx context.Context, p logpos.Position, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	n.mu.Lock()
-	entered := n.entered
-	for n.entered == entered && n.log.last().Position < p {
+	entered := n.enteredTerm
+	for n.enteredTerm == entered && n.log.lastMark().Position < p {
 		changed := n.changed
 		n.mu.Unlock()
 		select {
@@ -31,47 +31,48 @@
 	n.mu.Unlock()
 }
 
-// enterTerm fences the node: open transactions can no longer commit, and no
-// record of an older term is taken.
+// enterTerm fences the node: open transactions can no longer commit, and records
+// of older terms are rejected.
 func (n *Node) enterTerm(term logpos.Term) error {
-	if err := n.checkTerm(term); err != nil || term == n.entered {
+	if err := n.checkTerm(term); err != nil || term == n.enteredTerm {
 		return err
 	}
-	n.entered, n.role, n.primary = term, member.RoleFenced, ""
-	n.attached, n.termStart = 0, 0
+	n.enteredTerm, n.role, n.primary = term, member.RoleFenced, ""
+	n.attachedTerm, n.termStart = 0, 0
 	n.stopFollowing()
-	for t := range n.writers {
+	for t := range n.lockHolders {
 		t.fenced = true
-		n.release(t)
+		n.endTransaction(t)
 	}
-	n.notify()
+	n.notifyChanged()
 	return nil
 }
 
-// promote makes the fenced node the primary of its entered term.
+// promote makes the fenced node the primary of its entered term. It does nothing
+// if the node already is.
 func (n *Node) promote(term logpos.Term) error {
 	if err := n.checkTerm(term); err != nil {
 		return err
 	}
-	if n.role == member.RolePrimary && term == n.entered {
+	if n.role == member.RolePrimary && term == n.enteredTerm {
 		return nil
 	}
 	if err := n.checkFenced(term); err != nil {
 		return err
 	}
-	n.role, n.primary, n.attached = member.RolePrimary, n.opts.Address, term
-	n.termStart = n.log.last().Position
-	n.add(n.log.next(term, nil))
+	n.role, n.primary, n.attachedTerm = member.RolePrimary, n.opts.Address, term
+	n.termStart = n.log.lastMark().Position
+	n.appendRecord(n.log.newRecord(term, nil))
 	return nil
 }
 
-// follow attaches the fenced node to the primary of its entered term. A replica
-// of that term may be told again, also with another address.
+// follow makes the fenced node a replica of the primary of its entered term. On a
+// replica of that term it can be called again, also with another address.
 func (n *Node) follow(term logpos.Term, primary string) error {
 	if err := n.checkTerm(term); err != nil {
 		return err
 	}
-	if n.role == member.RoleReplica && term == n.entered {
+	if n.role == member.RoleReplica && term == n.enteredTerm {
 		if n.primary == primary {
 			return nil
 		}
@@ -81,23 +82,23 @@
 	}
 	n.role, n.primary = member.RoleReplica, primary
 	n.startFollowing()
-	n.notify()
+	n.notifyChanged()
 	return nil
 }
 
 func (n *Node) checkTerm(term logpos.Term) error {
-	if n.life == nil {
+	if n.process == nil {
 		return &sqlError{stateNotInState, "the member is stopped"}
 	}
-	if term < n.entered {
-		return &sqlError{stateTermPassed, fmt.Sprintf("term %d has passed: term %d was entered", term, n.entered)}
+	if term < n.enteredTerm {
+		return &sqlError{stateTermPassed, fmt.Sprintf("term %d has passed: term %d was entered", term, n.enteredTerm)}
 	}
 	return nil
 }
 
 func (n *Node) checkFenced(term logpos.Term) error {
-	if term != n.entered || n.role != member.RoleFenced {
-		return &sqlError{stateNotInState, fmt.Sprintf("not fenced in term %d: %s of term %d", term, n.role, n.entered)}
+	if term != n.enteredTerm || n.role != member.RoleFenced {
+		return &sqlError{stateNotInState, fmt.Sprintf("not fenced in term %d: %s of term %d", term, n.role, n.enteredTerm)}
 	}
 	return nil
 }
--- a/internal/standin/member/extended.go
+++ b/internal/standin/member/extended.go
@@ -2,29 +2,30 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// prepared is a prepared statement; statement is nil for an empty one.
+// prepared is a prepared statement. Its statement is nil if the query was empty.
 type prepared struct {
 	statement *statement
 	oids      []uint32
 }
 
-// portal is a bound statement. It keeps its answer while rows are left.
+// portal is a bound statement. It keeps its result, of which the first sent rows
+// have been sent, so that Execute can continue after a row limit.
 type portal struct {
 	statement *statement
 	args      []string
 	formats   []int16
-	answer    *answer
+	result    *result
 	sent      int
 }
 
-func (s *session) extended(message pgproto3.FrontendMessage) error {
+func (s *session) handleExtended(message pgproto3.FrontendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.Parse:
-		return s.parse(m)
+		return s.handleParse(m)
 	case *pgproto3.Bind:
-		return s.bind(m)
+		return s.handleBind(m)
 	case *pgproto3.Describe:
-		return s.describe(m)
+		return s.handleDescribe(m)
 	case *pgproto3.Execute:
 		return s.executePortal(m)
 	case *pgproto3.Close:
@@ -40,7 +41,7 @@
 	}
 }
 
-func (s *session) parse(m *pgproto3.Parse) error {
+func (s *session) handleParse(m *pgproto3.Parse) error {
 	if m.Name != "" && s.prepared[m.Name] != nil {
 		return &sqlError{stateDuplicatePrepared, "prepared statement \"" + m.Name + "\" already exists"}
 	}
@@ -67,7 +68,7 @@
 	return nil
 }
 
-func (s *session) bind(m *pgproto3.Bind) error {
+func (s *session) handleBind(m *pgproto3.Bind) error {
 	p := s.prepared[m.PreparedStatement]
 	if p == nil {
 		return &sqlError{stateUnknownPrepared, "prepared statement \"" + m.PreparedStatement + "\" does not exist"}
@@ -77,7 +78,7 @@
 	}
 	args := make([]string, len(m.Parameters))
 	for i, raw := range m.Parameters {
-		args[i] = decode(raw, p.oids[i], format(m.ParameterFormatCodes, i))
+		args[i] = decodeParameter(raw, p.oids[i], formatCode(m.ParameterFormatCodes, i))
 	}
 	formats := append([]int16(nil), m.ResultFormatCodes...)
 	s.portals[m.DestinationPortal] = &portal{statement: p.statement, args: args, formats: formats}
@@ -85,7 +86,7 @@
 	return nil
 }
 
-func (s *session) describe(m *pgproto3.Describe) error {
+func (s *session) handleDescribe(m *pgproto3.Describe) error {
 	var st *statement
 	var formats []int16
 	if m.ObjectType == 'S' {
@@ -105,7 +106,7 @@
 	if st == nil || st.columns == nil {
 		s.backend.Send(&pgproto3.NoData{})
 	} else {
-		s.backend.Send(describe(st.columns, formats))
+		s.backend.Send(rowDescription(st.columns, formats))
 	}
 	return nil
 }
@@ -119,28 +120,29 @@
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	if p.answer == nil {
-		a, err := s.run(p.statement, p.args)
+	if p.result == nil {
+		res, err := s.runStatement(p.statement, p.args)
 		if err != nil {
 			return err
 		}
-		p.answer = a
+		p.result = res
 	}
 	return s.sendRows(p, int(m.MaxRows))
 }
 
-// sendRows sends the next rows of a portal, at most limit if it is not zero.
+// sendRows sends the remaining rows of a portal, at most limit of them if limit is
+// not zero.
 func (s *session) sendRows(p *portal, limit int) error {
-	a := p.answer
-	for sent := 0; p.sent < a.count; sent++ {
+	res := p.result
+	for sent := 0; p.sent < res.count; sent++ {
 		if limit > 0 && sent == limit {
 			s.backend.Send(&pgproto3.PortalSuspended{})
 			return nil
 		}
-		cells := a.row(p.sent)
+		cells := res.row(p.sent)
 		values := make([][]byte, len(cells))
 		for i, cell := range cells {
-			values[i] = encode(cell, a.columns[i].oid, format(p.formats, i))
+			values[i] = encodeCell(cell, res.columns[i].oid, formatCode(p.formats, i))
 		}
 		s.backend.Send(&pgproto3.DataRow{Values: values})
 		p.sent++
@@ -150,6 +152,6 @@
 			}
 		}
 	}
-	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(a.tag)})
+	s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(res.tag)})
 	return nil
 }
--- a/internal/standin/member/format.go
+++ b/internal/standin/member/format.go
@@ -7,7 +7,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-func describe(columns []column, formats []int16) *pgproto3.RowDescription {
+func rowDescription(columns []column, formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	sizes := map[uint32]int16{oidInt4: 4, oidInt8: 8}
 	for i, c := range columns {
@@ -16,14 +16,15 @@
 			size = -1
 		}
 		d.Fields = append(d.Fields, pgproto3.FieldDescription{
-			Name: []byte(c.name), DataTypeOID: c.oid, DataTypeSize: size, TypeModifier: -1, Format: format(formats, i),
+			Name: []byte(c.name), DataTypeOID: c.oid, DataTypeSize: size, TypeModifier: -1, Format: formatCode(formats, i),
 		})
 	}
 	return d
 }
 
-// format picks the format of item i: none given means text, one holds for all.
-func format(codes []int16, i int) int16 {
+// formatCode returns the format of item i. No codes means text for all items; a
+// single code applies to all items.
+func formatCode(codes []int16, i int) int16 {
 	switch {
 	case len(codes) == 0:
 		return pgproto3.TextFormat
@@ -36,8 +37,9 @@
 	}
 }
 
-// decode turns a parameter into text. Only integers differ in binary.
-func decode(raw []byte, oid uint32, f int16) string {
+// decodeParameter converts a parameter to text. Among the supported types only
+// integers have a different binary form.
+func decodeParameter(raw []byte, oid uint32, f int16) string {
 	if f == pgproto3.BinaryFormat && oid != oidText {
 		switch len(raw) {
 		case 4:
@@ -49,7 +51,7 @@
 	return string(raw)
 }
 
-func encode(text string, oid uint32, f int16) []byte {
+func encodeCell(text string, oid uint32, f int16) []byte {
 	number, err := strconv.ParseInt(text, 10, 64)
 	switch {
 	case f != pgproto3.BinaryFormat || oid == oidText || err != nil:
--- a/internal/standin/member/group.go
+++ b/internal/standin/member/group.go
@@ -6,9 +6,9 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// StartGroup starts one node at each address with the same options; the first
-// is the primary of term 1 and the others follow it. The function network gives
-// the view of the host at an IP address.
+// StartGroup starts one node at each address with the same options. The first is
+// the primary of term 1 and the others are its replicas. The function network
+// returns the network as seen by the host at an IP address.
 func StartGroup(base Options, network func(ip string) netio.Network, addresses ...string) ([]*Node, error) {
 	var nodes []*Node
 	for _, address := range addresses {
--- a/internal/standin/member/group_test.go
+++ b/internal/standin/member/group_test.go
@@ -22,18 +22,18 @@
 
 const clientIP = "10.0.9.1"
 
-// bench is a group of three nodes on a network in memory.
-type bench struct {
+// testGroup is a group of three nodes on an in-memory network.
+type testGroup struct {
 	t     *testing.T
 	net   *memnet.Network
 	nodes []*Node
 }
 
-// inGroup runs f under virtual time with a started group.
-func inGroup(t *testing.T, o Options, f func(t *testing.T, b *bench)) {
+// runWithGroup starts a group and runs f with it in virtual time.
+func runWithGroup(t *testing.T, o Options, f func(t *testing.T, b *testGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{t: t, net: memnet.New()}
+		b := &testGroup{t: t, net: memnet.New()}
 		nodes, err := StartGroup(o, func(ip string) netio.Network { return b.net.Host(ip) }, addresses...)
 		if err != nil {
 			t.Fatal(err)
@@ -44,18 +44,18 @@
 				n.Stop()
 			}
 		}()
-		b.settle()
+		b.advanceSecond()
 		f(t, b)
 	})
 }
 
-// settle lets a second of virtual time pass.
-func (b *bench) settle() {
+// advanceSecond advances virtual time by one second.
+func (b *testGroup) advanceSecond() {
 	<-time.After(time.Second)
 	synctest.Wait()
 }
 
-func (b *bench) connect(i int, application string) (*pgx.Conn, error) {
+func (b *testGroup) connect(i int, application string) (*pgx.Conn, error) {
 	c, err := pgx.ParseConfig("postgres://u@" + addresses[i] + "/g?sslmode=disable&application_name=" + application)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return pgx.ConnectConfig(b.t.Context(), c)
 }
 
-func (b *bench) conn(i int) *pgx.Conn {
+func (b *testGroup) mustConnect(i int) *pgx.Conn {
 	b.t.Helper()
 	c, err := b.connect(i, "test")
 	if err != nil {
@@ -76,12 +76,12 @@
 	return c
 }
 
-func (b *bench) exec(c *pgx.Conn, sql string, args ...any) error {
+func (b *testGroup) exec(c *pgx.Conn, sql string, args ...any) error {
 	_, err := c.Exec(b.t.Context(), sql, args...)
 	return err
 }
 
-func (b *bench) value(c *pgx.Conn, sql string, args ...any) string {
+func (b *testGroup) queryValue(c *pgx.Conn, sql string, args ...any) string {
 	b.t.Helper()
 	var v string
 	if err := c.QueryRow(b.t.Context(), sql, args...).Scan(&v); err != nil {
@@ -90,17 +90,17 @@
 	return v
 }
 
-// control runs a control call on a connection of its own.
-func (b *bench) control(i int, call string) (member.Status, error) {
+// controlCall runs a control call on a separate connection.
+func (b *testGroup) controlCall(i int, call string) (member.Status, error) {
 	c, err := b.connect(i, ControlApplication)
 	if err != nil {
 		return member.Status{}, err
 	}
 	defer c.Close(b.t.Context())
-	return statusOf(b.t.Context(), c, call)
+	return queryStatus(b.t.Context(), c, call)
 }
 
-func statusOf(ctx context.Context, c *pgx.Conn, call string) (member.Status, error) {
+func queryStatus(ctx context.Context, c *pgx.Conn, call string) (member.Status, error) {
 	var cells [6]string
 	err := c.QueryRow(ctx, "SELECT * FROM "+call).Scan(&cells[0], &cells[1], &cells[2], &cells[3], &cells[4], &cells[5])
 	var v [6]uint64
@@ -114,7 +114,7 @@
 	}, err
 }
 
-func state(err error) string {
+func sqlState(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		return e.Code
--- a/internal/standin/member/lexer.go
+++ b/internal/standin/member/lexer.go
@@ -5,7 +5,7 @@
 	"unicode"
 )
 
-// Kinds of tokens. Any other kind is the punctuation character itself.
+// Token kinds. The kind of a punctuation token is the character itself.
 const (
 	kindWord   = 'w'
 	kindText   = 't'
@@ -13,16 +13,16 @@
 	kindParam  = '$'
 )
 
-// lexeme is one token of a statement.
-type lexeme struct {
+// token is one token of a statement. A punctuation token has no text.
+type token struct {
 	kind rune
 	text string
 }
 
-// lex splits SQL into tokens and drops comments. It reports false for a literal
-// or a comment that does not end.
-func lex(sql string) ([]lexeme, bool) {
-	var out []lexeme
+// lex splits SQL into tokens and drops comments. It reports false for an
+// unterminated literal or comment.
+func lex(sql string) ([]token, bool) {
+	var out []token
 	for i := 0; i < len(sql); {
 		c := rune(sql[i])
 		switch {
@@ -38,34 +38,35 @@
 			rest, _, _ := strings.Cut(sql[i:], "\n")
 			i += len(rest)
 		case c == '\'':
-			text, size, ok := lexText(sql[i:])
+			text, size, ok := lexQuoted(sql[i:])
 			if !ok {
 				return nil, false
 			}
-			out = append(out, lexeme{kindText, text})
+			out = append(out, token{kindText, text})
 			i += size
 		case c == '$':
-			end := span(sql, i+1, unicode.IsDigit)
-			out = append(out, lexeme{kindParam, sql[i+1 : end]})
+			end := spanEnd(sql, i+1, unicode.IsDigit)
+			out = append(out, token{kindParam, sql[i+1 : end]})
 			i = end
 		case unicode.IsDigit(c):
-			end := span(sql, i, func(r rune) bool { return unicode.IsDigit(r) || r == '.' })
-			out = append(out, lexeme{kindNumber, sql[i:end]})
+			end := spanEnd(sql, i, func(r rune) bool { return unicode.IsDigit(r) || r == '.' })
+			out = append(out, token{kindNumber, sql[i:end]})
 			i = end
 		case isWord(c):
-			end := span(sql, i, isWord)
-			out = append(out, lexeme{kindWord, strings.ToLower(sql[i:end])})
+			end := spanEnd(sql, i, isWord)
+			out = append(out, token{kindWord, strings.ToLower(sql[i:end])})
 			i = end
 		default:
-			out = append(out, lexeme{kind: c})
+			out = append(out, token{kind: c})
 			i++
 		}
 	}
 	return out, true
 }
 
-// lexText reads a quoted literal in which two quotes stand for one.
-func lexText(s string) (text string, size int, ok bool) {
+// lexQuoted reads a quoted literal, in which a doubled quote is an escaped quote.
+// It returns the text and the number of bytes read.
+func lexQuoted(s string) (text string, size int, ok bool) {
 	var b strings.Builder
 	for i := 1; i < len(s); i++ {
 		switch {
@@ -83,7 +84,7 @@
 
 func isWord(r rune) bool { return r == '_' || unicode.IsLetter(r) || unicode.IsDigit(r) }
 
-func span(s string, i int, in func(rune) bool) int {
+func spanEnd(s string, i int, in func(rune) bool) int {
 	for i < len(s) && in(rune(s[i])) {
 		i++
 	}
--- a/internal/standin/member/linesession.go
+++ b/internal/standin/member/linesession.go
@@ -13,19 +13,19 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// lineTable holds the items that the line protocol reads and writes.
+// lineTable is the table that the line protocol reads and writes.
 const lineTable = "items"
 
-// errLost ends a connection whose answer is lost.
-var errLost = errors.New("the answer is lost")
+// errResponseDropped closes a connection without a response; see LoseAnswers.
+var errResponseDropped = errors.New("response dropped")
 
-// lineError is an error with a code of the line protocol.
+// lineError is an error with an error code of the line protocol.
 type lineError struct{ code, text string }
 
 // Error implements error.
 func (e *lineError) Error() string { return e.code + " " + e.text }
 
-// linePrepared is a prepared statement.
+// linePrepared is a prepared statement of the line protocol.
 type linePrepared struct {
 	write bool
 	shape string
@@ -33,40 +33,40 @@
 
 // lineSession serves one connection of the line protocol.
 type lineSession struct {
-	node   *Node
-	life   *life
-	in     *bufio.Reader
-	out    *bufio.Writer
-	number int
-	// user is the name that the connection was opened in.
+	node       *Node
+	process    *process
+	in         *bufio.Reader
+	out        *bufio.Writer
+	connNumber int
+	// user is the user name given in START.
 	user string
 
 	values   map[string]string
 	prepared map[string]linePrepared
-	// tx is the open transaction; readTx says that it only reads, failed that it
-	// can only be rolled back, and wrote that it has written.
+	// tx is the open transaction, or nil. readTx means that it is read-only, failed
+	// that it can only be rolled back, and wrote that it contains writes.
 	tx                    *transaction
 	readTx, failed, wrote bool
-	transactions          int
+	transactionCount      int
 }
 
 // serveLine serves one connection of the line protocol.
-func (n *Node) serveLine(l *life, conn net.Conn, in *bufio.Reader) {
-	s := &lineSession{node: n, life: l, in: in, out: bufio.NewWriter(conn)}
-	defer s.abort()
+func (n *Node) serveLine(proc *process, conn net.Conn, in *bufio.Reader) {
+	s := &lineSession{node: n, process: proc, in: in, out: bufio.NewWriter(conn)}
+	defer s.rollbackOpen()
 	defer s.out.Flush()
-	if !s.start() {
+	if !s.handshake() {
 		return
 	}
-	defer n.leave(false)
-	for s.next() {
+	defer n.releaseConnection(false)
+	for s.serveMessage() {
 	}
 }
 
-// start takes START and admits the connection.
-func (s *lineSession) start() bool {
+// handshake reads START and admits the connection.
+func (s *lineSession) handshake() bool {
 	n := s.node
-	fields := strings.Fields(s.read())
+	fields := strings.Fields(s.readLine())
 	if len(fields) < 3 || fields[0] != "START" {
 		return false
 	}
@@ -74,30 +74,31 @@
 		fmt.Fprintf(s.out, "ERROR WRONGNODE %s\r\n", n.opts.ID)
 		return false
 	}
-	if n.admit(false) != nil {
+	if n.admitConnection(false) != nil {
 		fmt.Fprintf(s.out, "ERROR CONNLIMIT %d\r\n", n.opts.ConnectionTotal)
 		return false
 	}
-	if wait := n.opts.ConnectDelay; wait > 0 && pause(s.life.ctx, wait) != nil {
-		n.leave(false)
+	if delay := n.opts.ConnectDelay; delay > 0 && sleep(s.process.ctx, delay) != nil {
+		n.releaseConnection(false)
 		return false
 	}
 	n.mu.Lock()
-	n.lineConns++
-	s.number, s.user = n.lineConns, fields[2]
+	n.lineConnCount++
+	s.connNumber, s.user = n.lineConnCount, fields[2]
 	n.mu.Unlock()
-	s.reset()
-	s.ready()
+	s.resetSession()
+	s.sendReady()
 	return true
 }
 
-func (s *lineSession) reset() {
+func (s *lineSession) resetSession() {
 	s.values = make(map[string]string)
 	s.prepared = make(map[string]linePrepared)
 }
 
-// read reads one line; empty at the end.
-func (s *lineSession) read() string {
+// readLine flushes pending output if no input is buffered and reads one line. It
+// returns an empty string on any error, including the end of the stream.
+func (s *lineSession) readLine() string {
 	if s.in.Buffered() == 0 && s.out.Flush() != nil {
 		return ""
 	}
@@ -108,21 +109,21 @@
 	return strings.TrimRight(text, "\r\n")
 }
 
-// next serves one message.
-func (s *lineSession) next() bool {
-	word, rest, _ := strings.Cut(s.read(), " ")
+// serveMessage serves one message and reports whether the connection stays open.
+func (s *lineSession) serveMessage() bool {
+	word, rest, _ := strings.Cut(s.readLine(), " ")
 	if word != "QUERY" {
 		return false
 	}
 	id, text, _ := strings.Cut(rest, " ")
-	row, code, err := s.run(id, text)
-	var failure *lineError
+	row, code, err := s.runStatement(id, text)
+	var lineErr *lineError
 	switch {
-	case errors.Is(err, errLost):
+	case errors.Is(err, errResponseDropped):
 		return false
-	case errors.As(err, &failure):
-		s.failed = s.tx != nil && failure.code != "BUSY"
-		fmt.Fprintf(s.out, "ERROR %s %s\r\n", failure.code, failure.text)
+	case errors.As(err, &lineErr):
+		s.failed = s.tx != nil && lineErr.code != "BUSY"
+		fmt.Fprintf(s.out, "ERROR %s %s\r\n", lineErr.code, lineErr.text)
 	case err != nil:
 		return false
 	default:
@@ -131,11 +132,11 @@
 		}
 		fmt.Fprintf(s.out, "COMPLETE %s\r\n", code)
 	}
-	s.ready()
+	s.sendReady()
 	return true
 }
 
-func (s *lineSession) ready() {
+func (s *lineSession) sendReady() {
 	state := "I"
 	switch {
 	case s.failed:
@@ -147,19 +148,19 @@
 	fmt.Fprintf(s.out, "READY %s %d.%d\r\n", state, m.Term, m.Position)
 }
 
-// abort rolls back what is open.
-func (s *lineSession) abort() {
+// rollbackOpen rolls back the open transaction, if any.
+func (s *lineSession) rollbackOpen() {
 	if s.tx != nil {
 		s.node.rollback(s.tx)
 	}
 	s.tx, s.failed, s.wrote = nil, false, false
 }
 
-// run runs one statement. The code of an answer is "-" for what is not a caller's
-// read, write or commit.
-func (s *lineSession) run(id, text string) (row, code string, err error) {
-	statement, behind := s.after(text)
-	if behind {
+// runStatement runs one statement. It returns an authentication code for a read, a
+// write or a commit, and the code "-" for any other statement.
+func (s *lineSession) runStatement(id, text string) (row, code string, err error) {
+	statement, lagging := s.cutPosition(text)
+	if lagging {
 		return "", "", &lineError{"LAGGING", s.node.opts.ID}
 	}
 	verb, rest, _ := strings.Cut(statement, " ")
@@ -168,13 +169,13 @@
 	}
 	switch verb {
 	case "READ", "WRITE", "EXECUTE":
-		return s.statement(id, statement, verb, rest)
+		return s.executeStatement(id, statement, verb, rest)
 	case "COMMIT":
-		return s.commit(id, statement)
+		return s.commitTransaction(id, statement)
 	case "BEGIN":
-		return "", "-", s.begin(rest == "READ")
+		return "", "-", s.beginTransaction(rest == "READ")
 	case "ROLLBACK":
-		s.abort()
+		s.rollbackOpen()
 	case "SET":
 		name, value, _ := strings.Cut(rest, " ")
 		s.values[name] = value
@@ -185,17 +186,18 @@
 	case "CLOSE":
 		delete(s.prepared, rest)
 	case "DISCARD":
-		s.reset()
+		s.resetSession()
 	case "STATUS", "PAUSE", "RESUME", "STEPDOWN":
-		return s.control(verb, rest)
+		return s.executeControl(verb, rest)
 	default:
 		return "", "", &lineError{"MALFORMED", statement}
 	}
 	return "", "-", nil
 }
 
-// after takes the position off a statement and reports whether the log lacks it.
-func (s *lineSession) after(text string) (string, bool) {
+// cutPosition removes a SINCE prefix from a statement and reports whether the log
+// has not reached the position given there.
+func (s *lineSession) cutPosition(text string) (string, bool) {
 	rest, ok := strings.CutPrefix(text, "SINCE ")
 	if !ok {
 		return text, false
@@ -207,17 +209,17 @@
 	return statement, s.node.Status().Last.Less(logpos.Mark{Term: logpos.Term(t), Position: logpos.Position(p)})
 }
 
-func (s *lineSession) begin(readOnly bool) error {
+func (s *lineSession) beginTransaction(readOnly bool) error {
 	if !readOnly && s.node.Status().Role != member.RolePrimary {
 		return &lineError{"READONLY", s.node.opts.ID}
 	}
-	s.tx, s.readTx = newTransaction(s.life), readOnly
-	s.transactions++
+	s.tx, s.readTx = newTransaction(s.process), readOnly
+	s.transactionCount++
 	return nil
 }
 
-// statement runs a read or a write.
-func (s *lineSession) statement(id, text, verb, rest string) (row, code string, err error) {
+// executeStatement runs a read or a write, prepared or not.
+func (s *lineSession) executeStatement(id, text, verb, rest string) (row, code string, err error) {
 	item, data, _ := strings.Cut(rest, " ")
 	writes, shape := verb == "WRITE", ""
 	if verb == "EXECUTE" {
@@ -228,109 +230,110 @@
 		item, data, _ = strings.Cut(data, " ")
 		writes, shape = p.write, p.shape
 	}
-	leads := s.node.Status().Role == member.RolePrimary
-	if !leads && (writes || s.tx != nil && !s.readTx) {
+	isPrimary := s.node.Status().Role == member.RolePrimary
+	if !isPrimary && (writes || s.tx != nil && !s.readTx) {
 		return "", "", &lineError{"READONLY", s.node.opts.ID}
 	}
-	release, err := s.node.slot(s.life.ctx)
+	release, err := s.node.acquireSlot(s.process.ctx)
 	if err != nil {
 		return "", "", err
 	}
 	defer release()
 	if cost := s.node.opts.StatementCost; cost > 0 {
-		if err := pause(s.life.ctx, cost); err != nil {
+		if err := sleep(s.process.ctx, cost); err != nil {
 			return "", "", err
 		}
 	}
-	lost := s.noteRun(id, text, shape)
+	dropped := s.recordRun(id, text, shape)
 	if writes {
-		err = s.write(itemRow(item), data)
+		err = s.writeRow(itemRow(item), data)
 	} else {
-		row, _ = s.node.get(s.open(), itemRow(item))
+		row, _ = s.node.readRow(s.currentTransaction(), itemRow(item))
 		row = "v=" + row
 	}
 	switch {
 	case err != nil:
 		return "", "", err
-	case lost:
-		return "", "", errLost
+	case dropped:
+		return "", "", errResponseDropped
 	}
-	return row, s.sign(id), nil
+	return row, s.authenticationCode(id), nil
 }
 
 func itemRow(item string) row { return row{Table: lineTable, Key: item} }
 
-// open returns the open transaction, or one that sees what is committed.
-func (s *lineSession) open() *transaction {
+// currentTransaction returns the open transaction, or a new one that sees the
+// committed rows.
+func (s *lineSession) currentTransaction() *transaction {
 	if s.tx != nil {
 		return s.tx
 	}
-	return newTransaction(s.life)
+	return newTransaction(s.process)
 }
 
-func (s *lineSession) write(r row, data string) error {
+func (s *lineSession) writeRow(r row, data string) error {
 	w := write{Row: r, Value: data}
 	if s.tx != nil {
-		s.tx.put(w)
+		s.tx.addWrite(w)
 		s.wrote = true
 		return nil
 	}
-	t := newTransaction(s.life)
-	t.put(w)
-	return s.kept(s.node.commit(t))
+	t := newTransaction(s.process)
+	t.addWrite(w)
+	return s.commitError(s.node.commit(t))
 }
 
-// kept turns the refusal of a commit into the protocol's error.
-func (s *lineSession) kept(err error) error {
+// commitError converts errReadOnly from a commit to the error of the line protocol.
+func (s *lineSession) commitError(err error) error {
 	if errors.Is(err, errReadOnly) {
 		return &lineError{"READONLY", s.node.opts.ID}
 	}
 	return err
 }
 
-func (s *lineSession) commit(id, text string) (row, code string, err error) {
+func (s *lineSession) commitTransaction(id, text string) (row, code string, err error) {
 	if s.tx == nil {
 		return "", "", &lineError{"MALFORMED", text}
 	}
 	if s.failed {
-		s.abort()
+		s.rollbackOpen()
 		return "", "", &lineError{"ABORTED", s.node.opts.ID}
 	}
-	lost := s.noteRun(id, text, "")
-	err = s.kept(s.node.commit(s.tx))
+	dropped := s.recordRun(id, text, "")
+	err = s.commitError(s.node.commit(s.tx))
 	s.tx, s.wrote = nil, false
 	switch {
 	case err != nil:
 		return "", "", err
-	case lost:
-		return "", "", errLost
+	case dropped:
+		return "", "", errResponseDropped
 	}
-	return "", s.sign(id), nil
+	return "", s.authenticationCode(id), nil
 }
 
-// control answers a statement about the member itself.
-func (s *lineSession) control(verb, rest string) (row, code string, err error) {
+// executeControl runs STATUS, PAUSE, RESUME or STEPDOWN and returns the status line.
+func (s *lineSession) executeControl(verb, rest string) (row, code string, err error) {
 	n := s.node
 	term, _ := strconv.ParseUint(rest, 10, 64)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.questions++
+	n.controlStatements++
 	switch verb {
 	case "PAUSE":
-		err = n.hold(logpos.Term(term))
+		err = n.pauseReplication(logpos.Term(term))
 	case "RESUME":
-		n.letGo()
+		n.resumeReplication()
 	case "STEPDOWN":
-		if n.role == member.RolePrimary && logpos.Term(term) > n.entered {
-			err = n.hold(logpos.Term(term))
-			n.heldBefore.steppedDown = true
+		if n.role == member.RolePrimary && logpos.Term(term) > n.enteredTerm {
+			err = n.pauseReplication(logpos.Term(term))
+			n.beforePause.steppedDown = true
 		}
 	}
-	return n.lineReport(), "-", err
+	return n.statusLine(), "-", err
 }
 
-// sign makes the authentication code of an answer.
-func (s *lineSession) sign(id string) string {
+// authenticationCode computes the authentication code of the response to a statement.
+func (s *lineSession) authenticationCode(id string) string {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.node.opts.ID, id)
 	return strconv.FormatUint(h.Sum64(), 16)
--- a/internal/standin/member/node.go
+++ b/internal/standin/member/node.go
@@ -1,10 +1,10 @@
-// Package member is a stand-in for one member of a database group. It speaks
-// the PostgreSQL wire protocol or the line protocol over any netio.Network, keeps
-// small keyed tables in a replicated log, and can be fenced, promoted and told to
-// follow.
+// Package member simulates one member of a database group. It serves the
+// PostgreSQL wire protocol and the line protocol over any netio.Network, stores
+// small key-value tables in a replicated log, and can be fenced, promoted or made a
+// replica.
 //
-// Its mutex guards the log, the rows, the row locks and the term. Hooks run
-// without it, so that a test may stop the node at a named point.
+// Node.mu guards the log, the rows, the row locks and the term. Hooks run without
+// holding it, so that a test can stop the node at a named point.
 package member
 
 import (
@@ -19,23 +19,23 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// durable is what survives a restart.
-type durable struct {
-	role      member.Role
-	entered   logpos.Term
-	termStart logpos.Position
-	primary   string
-	log       recordLog
+// persistentState is the state that survives a restart.
+type persistentState struct {
+	role        member.Role
+	enteredTerm logpos.Term
+	termStart   logpos.Position
+	primary     string
+	log         recordLog
 }
 
-// life is one run of the node's process, from Start to Kill.
-type life struct {
+// process is one run of the simulated server process, from Start to Kill.
+type process struct {
 	ctx      context.Context
-	end      context.CancelFunc
+	cancel   context.CancelFunc
 	listener net.Listener
 }
 
-// Node is one stand-in member.
+// Node is one simulated member.
 type Node struct {
 	opts  Options
 	lag   atomic.Int64
@@ -44,29 +44,29 @@
 	wg    sync.WaitGroup
 
 	mu sync.Mutex
-	durable
-	attached logpos.Term
-	rows     map[row]string
-	locks    map[row]*transaction
-	writers  map[*transaction]struct{}
-	// changed is closed and replaced when the log, the term or the lag changes.
-	changed    chan struct{}
-	life       *life
-	stopFollow context.CancelFunc
-	conns      map[net.Conn]struct{}
-	sessions   map[uint32]*session
-	nextPID    uint32
-	counts     Connections
-	reads      Reads
-	// What follows is of the line protocol alone.
-	runs        []Run
-	questions   int
-	loseAnswers int
-	lineConns   int
-	heldBefore  *heldBefore
+	persistentState
+	attachedTerm logpos.Term
+	rows         map[row]string
+	locks        map[row]*transaction
+	lockHolders  map[*transaction]struct{}
+	// changed is closed and replaced whenever the log, the term or the lag changes.
+	changed          chan struct{}
+	process          *process
+	cancelFollowing  context.CancelFunc
+	openConns        map[net.Conn]struct{}
+	sessions         map[uint32]*session
+	nextPID          uint32
+	connectionCounts Connections
+	readCounts       Reads
+	// The fields below are used only by the line protocol.
+	runs              []Run
+	controlStatements int
+	dropResponses     int
+	lineConnCount     int
+	beforePause       *stateBeforePause
 }
 
-// New returns a node that is not started.
+// New returns a node that has not been started.
 func New(o Options) *Node {
 	n := &Node{opts: o, changed: make(chan struct{})}
 	n.lag.Store(int64(o.ReplicationLag))
@@ -75,108 +75,109 @@
 	}
 	n.role = member.RoleFenced
 	if o.Primary != "" {
-		n.entered, n.role, n.primary = 1, member.RoleReplica, o.Primary
+		n.enteredTerm, n.role, n.primary = 1, member.RoleReplica, o.Primary
 	}
 	if o.Primary == o.Address {
-		n.role, n.attached = member.RolePrimary, 1
-		n.log.records = append(n.log.records, n.log.next(1, nil))
+		n.role, n.attachedTerm = member.RolePrimary, 1
+		n.log.records = append(n.log.records, n.log.newRecord(1, nil))
 	}
 	return n
 }
 
-// Start listens and serves. What was persisted before is kept.
+// Start starts listening and serving, with the state persisted by an earlier run.
 func (n *Node) Start() error {
 	l, err := n.opts.Network.Listen(n.opts.Address)
 	if err != nil {
 		return err
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.life = &life{ctx: ctx, end: end, listener: l}
+	n.process = &process{ctx: ctx, cancel: cancel, listener: l}
 	n.locks = map[row]*transaction{}
-	n.writers = map[*transaction]struct{}{}
-	n.conns = map[net.Conn]struct{}{}
+	n.lockHolders = map[*transaction]struct{}{}
+	n.openConns = map[net.Conn]struct{}{}
 	n.sessions = map[uint32]*session{}
-	n.attached = 0
-	// A hold is forgotten with the process.
-	n.revertHold()
-	n.rebuild()
+	n.attachedTerm = 0
+	// A pause does not survive a restart.
+	n.restoreBeforePause()
+	n.rebuildRows()
 	if n.role == member.RolePrimary {
-		n.attached = n.entered
+		n.attachedTerm = n.enteredTerm
 	}
 	if n.role == member.RoleReplica {
 		n.startFollowing()
 	}
-	n.wg.Go(func() { n.accept(n.life) })
+	n.wg.Go(func() { n.acceptConns(n.process) })
 	return nil
 }
 
-// Kill ends the process as SIGKILL does: at once, wherever it is. A hook may
-// call it.
+// Kill ends the process immediately at any point of its work, as SIGKILL does. It
+// can be called from a hook.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life == nil {
+	if n.process == nil {
 		return
 	}
-	n.life.end()
-	_ = n.life.listener.Close()
-	for c := range n.conns {
+	n.process.cancel()
+	_ = n.process.listener.Close()
+	for c := range n.openConns {
 		_ = c.Close()
 	}
-	n.life = nil
+	n.process = nil
 }
 
-// Running reports whether the process is alive.
+// Running reports whether the process is running.
 func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life != nil
+	return n.process != nil
 }
 
-// Stop kills the node and waits until all its work has ended.
+// Stop kills the node and waits until all its goroutines have ended.
 func (n *Node) Stop() {
 	n.Kill()
 	n.wg.Wait()
 }
 
-// Restart stops the node and starts it with what it had persisted.
+// Restart stops the node and starts it again with its persisted state.
 func (n *Node) Restart() error {
 	n.Stop()
 	return n.Start()
 }
 
-// SetNetwork gives a stopped node another view of the network.
+// SetNetwork replaces the network of a stopped node.
 func (n *Node) SetNetwork(network netio.Network) { n.opts.Network = network }
 
-// SetHook calls f at named points of the node's work; nil calls nothing.
+// SetHook makes the node call f at named points of its work. A nil f removes the
+// hook.
 func (n *Node) SetHook(f func(point string)) { n.hook.Store(&f) }
 
-// SetReplicationLag sets how long after its commit this node takes a record.
+// SetReplicationLag sets how long after its commit this node applies a record.
 func (n *Node) SetReplicationLag(d time.Duration) {
 	n.lag.Store(int64(d))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.notify()
+	n.notifyChanged()
 }
 
-// Status returns the node's own report.
+// Status returns the node's current status.
 func (n *Node) Status() member.Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.status()
+	return n.currentStatus()
 }
 
-func (n *Node) status() member.Status {
-	s := member.Status{Role: n.role, Entered: n.entered, Last: n.log.last(), Attached: n.attached}
-	if n.attached != 0 {
+func (n *Node) currentStatus() member.Status {
+	s := member.Status{Role: n.role, Entered: n.enteredTerm, Last: n.log.lastMark(), Attached: n.attachedTerm}
+	if n.attachedTerm != 0 {
 		s.TermStart = n.termStart
 	}
 	return s
 }
 
-// Rows returns a copy of the rows of a table, by key, as committed here.
+// Rows returns a copy of the rows of a table that are committed on this node, by key.
 func (n *Node) Rows(table string) map[string]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,34 +190,34 @@
 	return rows
 }
 
-func (n *Node) at(point string) {
+func (n *Node) callHook(point string) {
 	if f := n.hook.Load(); f != nil && *f != nil {
 		(*f)(point)
 	}
 }
 
-// notify wakes all that wait for a change. Caller holds the mutex.
-func (n *Node) notify() {
+// notifyChanged wakes all goroutines that wait for a change. n.mu must be held.
+func (n *Node) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// rebuild computes the rows from the log. Caller holds the mutex.
-func (n *Node) rebuild() {
+// rebuildRows recomputes the rows from the log. n.mu must be held.
+func (n *Node) rebuildRows() {
 	n.rows = map[row]string{}
 	for _, r := range n.log.records {
-		n.apply(r.Writes)
+		n.applyWrites(r.Writes)
 	}
 }
 
-// add appends a record and applies it. Caller holds the mutex.
-func (n *Node) add(r record) {
+// appendRecord appends a record to the log and applies it. n.mu must be held.
+func (n *Node) appendRecord(r record) {
 	n.log.records = append(n.log.records, r)
-	n.apply(r.Writes)
-	n.notify()
+	n.applyWrites(r.Writes)
+	n.notifyChanged()
 }
 
-func (n *Node) apply(writes []write) {
+func (n *Node) applyWrites(writes []write) {
 	for _, w := range writes {
 		if w.Deleted {
 			delete(n.rows, w.Row)
@@ -226,35 +227,35 @@
 	}
 }
 
-func (n *Node) accept(l *life) {
+func (n *Node) acceptConns(proc *process) {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := proc.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !n.track(l, conn) {
+		if !n.trackConn(proc, conn) {
 			_ = conn.Close()
 			return
 		}
 		n.wg.Go(func() {
-			defer n.untrack(conn)
-			n.serve(l, conn)
+			defer n.untrackConn(conn)
+			n.serveConn(proc, conn)
 		})
 	}
 }
 
-func (n *Node) track(l *life, conn net.Conn) bool {
+func (n *Node) trackConn(proc *process, conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l.ctx.Err() == nil {
-		n.conns[conn] = struct{}{}
+	if proc.ctx.Err() == nil {
+		n.openConns[conn] = struct{}{}
 	}
-	return l.ctx.Err() == nil
+	return proc.ctx.Err() == nil
 }
 
-func (n *Node) untrack(conn net.Conn) {
+func (n *Node) untrackConn(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.conns, conn)
+	delete(n.openConns, conn)
 	_ = conn.Close()
 }
--- a/internal/standin/member/options.go
+++ b/internal/standin/member/options.go
@@ -6,25 +6,26 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// Options set up a Node. Zero bounds mean no bound.
+// Options configure a Node. A limit of zero means no limit.
 type Options struct {
-	// Address is where the node listens: an IP address and a port.
+	// Address is the listen address: an IP address and a port.
 	Address string
-	// Primary is the address of the primary of term 1. The node whose own
-	// address it is leads; the others follow it. Empty starts a node that has
-	// entered no term.
+	// Primary is the address of the primary of term 1. The node with this Address is
+	// the primary, any other node a replica. If it is empty, the node starts fenced
+	// and has entered no term.
 	Primary string
 	Network netio.Network
-	// ID and Group are the names that callers of the line protocol ask for.
+	// ID and Group are the member and group names that clients of the line protocol
+	// give in START.
 	ID, Group string
-	// ConnectionTotal is how many data connections the node takes.
+	// ConnectionTotal is the maximum number of data connections.
 	ConnectionTotal int
-	// Slots is how many statements run at once; others wait.
+	// Slots is the maximum number of concurrent statements; others wait.
 	Slots int
-	// ConnectDelay is how long the set-up of a connection takes.
+	// ConnectDelay is how long it takes to set up a connection.
 	ConnectDelay time.Duration
-	// ReplicationLag is how long after its commit a replica takes a record.
+	// ReplicationLag is how long after its commit a replica applies a record.
 	ReplicationLag time.Duration
-	// StatementCost is how long a statement on rows holds its slot.
+	// StatementCost is the minimum time for which a statement on rows holds its slot.
 	StatementCost time.Duration
 }
--- a/internal/standin/member/parser.go
+++ b/internal/standin/member/parser.go
@@ -2,22 +2,22 @@
 
 import "strconv"
 
-// parser reads one statement. After a failure every method does nothing.
+// parser parses one statement. After a failure, peek returns only empty tokens.
 type parser struct {
-	tokens []lexeme
+	tokens []token
 	next   int
 	failed bool
 	params int
 }
 
-func (p *parser) peek() lexeme {
+func (p *parser) peek() token {
 	if p.failed || p.next >= len(p.tokens) {
-		return lexeme{}
+		return token{}
 	}
 	return p.tokens[p.next]
 }
 
-func (p *parser) accept(word string) bool {
+func (p *parser) acceptToken(word string) bool {
 	t := p.peek()
 	ok := t.kind == kindWord && t.text == word || len(word) == 1 && t.kind == rune(word[0])
 	if ok {
@@ -26,15 +26,15 @@
 	return ok
 }
 
-func (p *parser) expect(words ...string) {
+func (p *parser) expectTokens(words ...string) {
 	for _, w := range words {
-		if !p.accept(w) {
+		if !p.acceptToken(w) {
 			p.failed = true
 		}
 	}
 }
 
-func (p *parser) word() string {
+func (p *parser) parseWord() string {
 	t := p.peek()
 	if t.kind != kindWord {
 		p.failed = true
@@ -43,7 +43,7 @@
 	return t.text
 }
 
-func (p *parser) operand() operand {
+func (p *parser) parseOperand() operand {
 	t := p.peek()
 	p.next++
 	o := operand{text: t.text, oid: oidText}
@@ -61,63 +61,63 @@
 	default:
 		p.failed = true
 	}
-	if p.accept(":") {
-		p.expect(":")
-		p.word()
+	if p.acceptToken(":") {
+		p.expectTokens(":")
+		p.parseWord()
 	}
 	return o
 }
 
-// operands reads operands in parentheses.
-func (p *parser) operands() []operand {
+// parseOperands parses a list of operands in parentheses.
+func (p *parser) parseOperands() []operand {
 	var all []operand
-	p.expect("(")
-	for !p.failed && !p.accept(")") {
+	p.expectTokens("(")
+	for !p.failed && !p.acceptToken(")") {
 		if len(all) > 0 {
-			p.expect(",")
+			p.expectTokens(",")
 		}
-		all = append(all, p.operand())
+		all = append(all, p.parseOperand())
 	}
 	return all
 }
 
-func (p *parser) statement() *statement {
+func (p *parser) parseStatement() *statement {
 	st := &statement{}
-	switch first := p.word(); first {
+	switch first := p.parseWord(); first {
 	case "begin":
 		st.verb, st.tag = verbBegin, "BEGIN"
-		p.rest()
+		p.skipRest()
 	case "start":
 		st.verb, st.tag = verbBegin, "START TRANSACTION"
-		p.expect("transaction")
-		p.rest()
+		p.expectTokens("transaction")
+		p.skipRest()
 	case "commit", "end":
 		st.verb, st.tag = verbCommit, "COMMIT"
-		p.transactionWord()
+		p.skipTransactionWord()
 	case "rollback", "abort":
 		st.verb, st.tag = verbRollback, "ROLLBACK"
-		p.transactionWord()
+		p.skipTransactionWord()
 	case "set":
-		p.set(st)
+		p.parseSet(st)
 	case "reset":
-		st.verb, st.tag, st.name = verbReset, "RESET", p.settingName()
+		st.verb, st.tag, st.name = verbReset, "RESET", p.parseSettingName()
 	case "discard":
 		st.verb, st.tag = verbDiscard, "DISCARD ALL"
-		p.expect("all")
+		p.expectTokens("all")
 	case "show":
-		st.verb, st.name = verbShow, p.settingName()
+		st.verb, st.name = verbShow, p.parseSettingName()
 		st.columns = textColumns(st.name)
 	case "select":
-		p.selects(st)
+		p.parseSelect(st)
 	case "insert":
-		p.insert(st)
+		p.parseInsert(st)
 	case "update":
-		p.update(st)
+		p.parseUpdate(st)
 	case "delete":
 		st.verb = verbDelete
-		p.expect("from")
-		p.table(st)
-		p.where(st, operand{})
+		p.expectTokens("from")
+		p.parseTable(st)
+		p.parseWhere(st, operand{})
 	default:
 		p.failed = true
 	}
@@ -125,4 +125,4 @@
 	return st
 }
 
-func (p *parser) rest() { p.next = len(p.tokens) }
+func (p *parser) skipRest() { p.next = len(p.tokens) }
--- a/internal/standin/member/parserstatement.go
+++ b/internal/standin/member/parserstatement.go
@@ -1,86 +1,86 @@
 package member
 
-func (p *parser) transactionWord() {
-	if !p.accept("transaction") {
-		p.accept("work")
+func (p *parser) skipTransactionWord() {
+	if !p.acceptToken("transaction") {
+		p.acceptToken("work")
 	}
 }
 
-func (p *parser) set(st *statement) {
-	st.verb, st.tag, st.local = verbSet, "SET", p.accept("local")
-	p.accept("session")
-	zone := p.peek().text == "time"
-	st.name = p.settingName()
-	if !zone && !p.accept("=") {
-		p.expect("to")
+func (p *parser) parseSet(st *statement) {
+	st.verb, st.tag, st.local = verbSet, "SET", p.acceptToken("local")
+	p.acceptToken("session")
+	isTimeZone := p.peek().text == "time"
+	st.name = p.parseSettingName()
+	if !isTimeZone && !p.acceptToken("=") {
+		p.expectTokens("to")
 	}
-	if p.accept("default") {
+	if p.acceptToken("default") {
 		st.verb = verbReset
 		return
 	}
-	st.args = []operand{p.setValue()}
-	for p.accept(",") {
-		st.args = append(st.args, p.setValue())
+	st.args = []operand{p.parseSetValue()}
+	for p.acceptToken(",") {
+		st.args = append(st.args, p.parseSetValue())
 	}
 }
 
-// settingName reads the name of a setting, TIME ZONE among them.
-func (p *parser) settingName() string {
-	name := p.word()
-	if name == "time" && p.accept("zone") {
+// parseSettingName parses the name of a setting, including the two-word TIME ZONE.
+func (p *parser) parseSettingName() string {
+	name := p.parseWord()
+	if name == "time" && p.acceptToken("zone") {
 		return "timezone"
 	}
-	for p.accept(".") {
-		name += "." + p.word()
+	for p.acceptToken(".") {
+		name += "." + p.parseWord()
 	}
 	return name
 }
 
-func (p *parser) setValue() operand {
+func (p *parser) parseSetValue() operand {
 	if t := p.peek(); t.kind == kindWord {
-		return operand{text: p.word()}
+		return operand{text: p.parseWord()}
 	}
-	return p.operand()
+	return p.parseOperand()
 }
 
-func (p *parser) selects(st *statement) {
+func (p *parser) parseSelect(st *statement) {
 	switch t := p.peek(); {
 	case t.kind != kindWord && t.kind != '*':
-		st.verb, st.args = verbConstant, []operand{p.operand()}
+		st.verb, st.args = verbConstant, []operand{p.parseOperand()}
 		st.columns = []column{{"?column?", st.args[0].oid}}
-	case p.accept("*"):
-		p.expect("from")
-		st.verb, st.name, st.args = verbControl, p.word(), p.operands()
+	case p.acceptToken("*"):
+		p.expectTokens("from")
+		st.verb, st.name, st.args = verbControl, p.parseWord(), p.parseOperands()
 		count, ok := controlFunctions[st.name]
 		p.failed = p.failed || !ok || len(st.args) != count
 		st.columns = statusColumns
 		if st.name == "group_connections" {
 			st.columns = connectionColumns
 		}
-	case p.accept("count"):
-		p.expect("(", "*", ")", "from")
+	case p.acceptToken("count"):
+		p.expectTokens("(", "*", ")", "from")
 		st.verb, st.columns = verbCount, []column{{"count", oidInt8}}
-		p.table(st)
-	case p.accept("repeat_rows"):
-		st.verb, st.args, st.columns = verbRepeatRows, p.operands(), textColumns("repeat_rows")
+		p.parseTable(st)
+	case p.acceptToken("repeat_rows"):
+		st.verb, st.args, st.columns = verbRepeatRows, p.parseOperands(), textColumns("repeat_rows")
 		p.failed = p.failed || len(st.args) != 2
-	case p.accept("pg_sleep"):
-		st.verb, st.args, st.columns = verbSleep, p.operands(), textColumns("pg_sleep")
+	case p.acceptToken("pg_sleep"):
+		st.verb, st.args, st.columns = verbSleep, p.parseOperands(), textColumns("pg_sleep")
 		p.failed = p.failed || len(st.args) != 1
 	default:
-		p.get(st)
+		p.parseGet(st)
 	}
 }
 
-func (p *parser) get(st *statement) {
+func (p *parser) parseGet(st *statement) {
 	st.verb = verbGet
-	names := []string{p.word()}
-	for p.accept(",") {
-		names = append(names, p.word())
+	names := []string{p.parseWord()}
+	for p.acceptToken(",") {
+		names = append(names, p.parseWord())
 	}
-	p.expect("from")
-	p.table(st)
-	p.where(st, operand{})
+	p.expectTokens("from")
+	p.parseTable(st)
+	p.parseWhere(st, operand{})
 	if p.failed {
 		return
 	}
@@ -91,50 +91,50 @@
 	}
 }
 
-func (p *parser) table(st *statement) {
-	st.table = tables[p.word()]
+func (p *parser) parseTable(st *statement) {
+	st.table = tables[p.parseWord()]
 	if st.table == nil {
 		p.failed = true
 		st.table = &table{}
 	}
 }
 
-func (p *parser) where(st *statement, value operand) {
-	p.expect("where", st.table.key, "=")
-	st.pairs = []pair{{p.operand(), value}}
+func (p *parser) parseWhere(st *statement, value operand) {
+	p.expectTokens("where", st.table.key, "=")
+	st.pairs = []pair{{p.parseOperand(), value}}
 }
 
-func (p *parser) insert(st *statement) {
+func (p *parser) parseInsert(st *statement) {
 	st.verb = verbInsert
-	p.expect("into")
-	p.table(st)
-	p.expect("(", st.table.key, ",", st.table.value, ")", "values")
+	p.expectTokens("into")
+	p.parseTable(st)
+	p.expectTokens("(", st.table.key, ",", st.table.value, ")", "values")
 	for !p.failed {
-		values := p.operands()
+		values := p.parseOperands()
 		if len(values) != 2 {
 			p.failed = true
 			return
 		}
 		st.pairs = append(st.pairs, pair{values[0], values[1]})
-		if !p.accept(",") {
+		if !p.acceptToken(",") {
 			break
 		}
 	}
-	if !p.accept("on") {
+	if !p.acceptToken("on") {
 		return
 	}
-	p.expect("conflict", "(", st.table.key, ")", "do")
-	if p.accept("nothing") {
+	p.expectTokens("conflict", "(", st.table.key, ")", "do")
+	if p.acceptToken("nothing") {
 		st.verb = verbInsertIgnore
 		return
 	}
 	st.verb = verbUpsert
-	p.expect("update", "set", st.table.value, "=", "excluded", ".", st.table.value)
+	p.expectTokens("update", "set", st.table.value, "=", "excluded", ".", st.table.value)
 }
 
-func (p *parser) update(st *statement) {
+func (p *parser) parseUpdate(st *statement) {
 	st.verb = verbUpdate
-	p.table(st)
-	p.expect("set", st.table.value, "=")
-	p.where(st, p.operand())
+	p.parseTable(st)
+	p.expectTokens("set", st.table.value, "=")
+	p.parseWhere(st, p.parseOperand())
 }
--- a/internal/standin/member/replication.go
+++ b/internal/standin/member/replication.go
@@ -13,36 +13,38 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Times of the replication between members.
+// Settings of the replication between members.
 const (
-	heartbeat       = 200 * time.Millisecond
-	streamTimeout   = time.Second
-	reconnectDelay  = 50 * time.Millisecond
-	pendingBatches  = 4096
-	replicationMark = 'R'
+	heartbeatInterval   = 200 * time.Millisecond
+	streamTimeout       = time.Second
+	reconnectDelay      = 50 * time.Millisecond
+	pendingBatches      = 4096
+	replicationGreeting = 'R'
 )
 
-var errNotAttached = errors.New("not a replica of this term any more")
+var errNotAttached = errors.New("no longer a replica of this term")
 
-// attachRequest is a replica's first message.
+// attachRequest is the first message of a replica: its term and the last mark of
+// each term in its log.
 type attachRequest struct {
 	Term logpos.Term
 	Ends []logpos.Mark
 }
 
-// attachAnswer tells a replica where to truncate its log.
+// attachAnswer is the primary's response. The replica truncates its log at Common,
+// where the two logs diverge.
 type attachAnswer struct {
 	Refused   bool
 	Common    logpos.Position
 	TermStart logpos.Position
 }
 
-// batch carries records; an empty one is a heartbeat.
+// batch carries records. An empty batch is a heartbeat.
 type batch struct{ Records []record }
 
-// sendLog serves one replica's stream on the primary.
-func (n *Node) sendLog(l *life, conn net.Conn) {
-	if _, err := conn.Write([]byte{replicationMark}); err != nil {
+// serveReplica serves the replication stream of one replica on the primary.
+func (n *Node) serveReplica(proc *process, conn net.Conn) {
+	if _, err := conn.Write([]byte{replicationGreeting}); err != nil {
 		return
 	}
 	var request attachRequest
@@ -50,31 +52,31 @@
 		return
 	}
 	encoder := gob.NewEncoder(conn)
-	answer := n.answerAttach(request)
+	answer := n.handleAttach(request)
 	if err := encoder.Encode(answer); err != nil || answer.Refused {
 		return
 	}
-	n.stream(l, encoder, request.Term, answer.Common)
+	n.streamRecords(proc, encoder, request.Term, answer.Common)
 }
 
-func (n *Node) answerAttach(r attachRequest) attachAnswer {
+func (n *Node) handleAttach(r attachRequest) attachAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.role != member.RolePrimary || n.entered != r.Term {
+	if n.role != member.RolePrimary || n.enteredTerm != r.Term {
 		return attachAnswer{Refused: true}
 	}
-	return attachAnswer{Common: n.log.common(r.Ends), TermStart: n.termStart}
+	return attachAnswer{Common: n.log.commonPosition(r.Ends), TermStart: n.termStart}
 }
 
-func (n *Node) stream(l *life, encoder *gob.Encoder, term logpos.Term, sent logpos.Position) {
-	for l.ctx.Err() == nil {
+func (n *Node) streamRecords(proc *process, encoder *gob.Encoder, term logpos.Term, sent logpos.Position) {
+	for proc.ctx.Err() == nil {
 		records, changed, ok := n.recordsAfter(term, sent)
 		if !ok {
 			return
 		}
 		if len(records) > 0 {
 			sent = records[len(records)-1].Mark.Position
-		} else if !wait(l.ctx, changed, heartbeat) {
+		} else if !waitForChange(proc.ctx, changed, heartbeatInterval) {
 			return
 		}
 		if err := encoder.Encode(batch{Records: records}); err != nil {
@@ -86,14 +88,15 @@
 func (n *Node) recordsAfter(term logpos.Term, p logpos.Position) ([]record, <-chan struct{}, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.role != member.RolePrimary || n.entered != term {
+	if n.role != member.RolePrimary || n.enteredTerm != term {
 		return nil, nil, false
 	}
-	return n.log.after(p), n.changed, true
+	return n.log.recordsAfter(p), n.changed, true
 }
 
-// wait returns on a change or after d; false when ctx has ended.
-func wait(ctx context.Context, changed <-chan struct{}, d time.Duration) bool {
+// waitForChange returns when changed is closed or after d. It returns false if ctx is
+// done first.
+func waitForChange(ctx context.Context, changed <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -105,28 +108,28 @@
 	return true
 }
 
-// startFollowing streams from the primary until the term changes. Caller holds
-// the mutex.
+// startFollowing replicates from the primary, and reconnects, until stopFollowing or
+// the end of the process. n.mu must be held.
 func (n *Node) startFollowing() {
-	ctx, stop := context.WithCancel(n.life.ctx)
-	n.stopFollow = stop
-	term, primary := n.entered, n.primary
+	ctx, cancel := context.WithCancel(n.process.ctx)
+	n.cancelFollowing = cancel
+	term, primary := n.enteredTerm, n.primary
 	n.wg.Go(func() {
 		for ctx.Err() == nil {
 			_ = n.receiveLog(ctx, term, primary)
-			wait(ctx, nil, reconnectDelay)
+			waitForChange(ctx, nil, reconnectDelay)
 		}
 	})
 }
 
 func (n *Node) stopFollowing() {
-	if n.stopFollow != nil {
-		n.stopFollow()
-		n.stopFollow = nil
+	if n.cancelFollowing != nil {
+		n.cancelFollowing()
+		n.cancelFollowing = nil
 	}
 }
 
-// receiveLog runs one replication connection on the replica.
+// receiveLog serves one replication connection on the replica until it fails.
 func (n *Node) receiveLog(ctx context.Context, term logpos.Term, primary string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -136,19 +139,19 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	decoder, err := n.attach(conn, term)
+	decoder, err := n.attachToPrimary(conn, term)
 	if err != nil {
 		return err
 	}
 	pending := make(chan batch, pendingBatches)
-	n.wg.Go(func() { n.takeAll(ctx, term, pending) })
+	n.wg.Go(func() { n.applyBatches(ctx, term, pending) })
 	for {
 		var b batch
 		if err := conn.SetReadDeadline(time.Now().Add(streamTimeout)); err != nil {
 			return err
 		}
-		// What is pending when the stream breaks is dropped with ctx, as bytes
-		// on their way from a dead primary are lost.
+		// When the stream breaks, ctx is canceled and pending records are dropped,
+		// as bytes in transit from a dead primary are lost.
 		if err := decoder.Decode(&b); err != nil {
 			return err
 		}
@@ -166,8 +169,9 @@
 	return n.opts.Network.Dial(ctx, primary)
 }
 
-// attach finds with the primary where the logs part and drops the tail.
-func (n *Node) attach(conn net.Conn, term logpos.Term) (*gob.Decoder, error) {
+// attachToPrimary agrees with the primary where the two logs diverge, and truncates
+// the replica's log there.
+func (n *Node) attachToPrimary(conn net.Conn, term logpos.Term) (*gob.Decoder, error) {
 	if err := conn.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return nil, err
 	}
@@ -175,18 +179,18 @@
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"replication": "true"},
 	}
-	hello, err := startup.Encode(nil)
+	encoded, err := startup.Encode(nil)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := conn.Write(hello); err != nil {
+	if _, err := conn.Write(encoded); err != nil {
 		return nil, err
 	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
-	request := attachRequest{Term: term, Ends: n.log.ends()}
+	request := attachRequest{Term: term, Ends: n.log.lastMarks()}
 	n.mu.Unlock()
 	if err := gob.NewEncoder(conn).Encode(request); err != nil {
 		return nil, err
@@ -196,34 +200,34 @@
 	if err := decoder.Decode(&answer); err != nil {
 		return nil, err
 	}
-	n.at("replica.attach.before")
+	n.callHook("replica.attach.before")
 	return decoder, n.finishAttach(term, answer)
 }
 
 func (n *Node) finishAttach(term logpos.Term, a attachAnswer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if a.Refused || n.entered != term || n.role != member.RoleReplica {
+	if a.Refused || n.enteredTerm != term || n.role != member.RoleReplica {
 		return errNotAttached
 	}
-	if a.Common < n.log.last().Position {
+	if a.Common < n.log.lastMark().Position {
 		n.log.truncate(a.Common)
-		n.rebuild()
+		n.rebuildRows()
 	}
-	n.attached, n.termStart = term, a.TermStart
-	n.notify()
+	n.attachedTerm, n.termStart = term, a.TermStart
+	n.notifyChanged()
 	return nil
 }
 
-// takeAll takes records as they become due.
-func (n *Node) takeAll(ctx context.Context, term logpos.Term, pending <-chan batch) {
+// applyBatches applies pending records as they become due.
+func (n *Node) applyBatches(ctx context.Context, term logpos.Term, pending <-chan batch) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case b := <-pending:
 			for _, r := range b.Records {
-				if !n.waitDue(ctx, r) || !n.take(ctx, term, r) {
+				if !n.waitUntilDue(ctx, r) || !n.applyRecord(ctx, term, r) {
 					return
 				}
 			}
@@ -231,33 +235,33 @@
 	}
 }
 
-// waitDue waits until the record is as old as the replication lag.
-func (n *Node) waitDue(ctx context.Context, r record) bool {
+// waitUntilDue waits until the record's age reaches the replication lag.
+func (n *Node) waitUntilDue(ctx context.Context, r record) bool {
 	for {
 		n.mu.Lock()
 		changed := n.changed
 		n.mu.Unlock()
-		left := time.Until(r.At.Add(time.Duration(n.lag.Load())))
-		if left <= 0 {
+		remaining := time.Until(r.At.Add(time.Duration(n.lag.Load())))
+		if remaining <= 0 {
 			return ctx.Err() == nil
 		}
-		if !wait(ctx, changed, left) {
+		if !waitForChange(ctx, changed, remaining) {
 			return false
 		}
 	}
 }
 
-func (n *Node) take(ctx context.Context, term logpos.Term, r record) bool {
-	n.at("replica.take.before")
+func (n *Node) applyRecord(ctx context.Context, term logpos.Term, r record) bool {
+	n.callHook("replica.take.before")
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// A fenced replica takes no more records of the old term: the position it
-	// reported when it was fenced must stay true.
-	if ctx.Err() != nil || n.entered != term || n.attached != term {
+	// A fenced replica applies no more records of the old term: the position it
+	// reported when it was fenced must remain its last.
+	if ctx.Err() != nil || n.enteredTerm != term || n.attachedTerm != term {
 		return false
 	}
-	if r.Mark.Position > n.log.last().Position {
-		n.add(r)
+	if r.Mark.Position > n.log.lastMark().Position {
+		n.appendRecord(r)
 	}
 	return true
 }
--- a/internal/standin/member/session.go
+++ b/internal/standin/member/session.go
@@ -9,41 +9,42 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// flushEvery is how many rows of a large answer go out at once.
+// flushEvery is the number of rows after which a large result is flushed.
 const flushEvery = 256
 
-// session serves one client connection.
+// session serves one client connection of the PostgreSQL protocol.
 type session struct {
-	node     *Node
-	life     *life
-	backend  *pgproto3.Backend
-	secret   string
-	settings map[string]string
-	// beforeTransaction is what the settings were before the open transaction
-	// changed them; nil when it has not.
-	beforeTransaction map[string]string
-	prepared          map[string]*prepared
-	portals           map[string]*portal
-	// tx is the open transaction; explicit says that BEGIN opened it. A failed
-	// explicit one has no tx but lasts until the client ends it.
+	node      *Node
+	process   *process
+	backend   *pgproto3.Backend
+	cancelKey string
+	settings  map[string]string
+	// settingsBeforeTransaction are the settings before the open transaction first
+	// changed them, or nil if it has not.
+	settingsBeforeTransaction map[string]string
+	prepared                  map[string]*prepared
+	portals                   map[string]*portal
+	// tx is the open transaction, or nil; explicit means that BEGIN opened it. After
+	// an error an explicit transaction has no tx, but remains open and failed until
+	// the client ends it.
 	tx               *transaction
 	explicit, failed bool
-	// skipping drops messages after an error until Sync.
-	skipping bool
-	// cancelRunning is guarded by the node's mutex.
+	// skipUntilSync is set after an error: messages are ignored until Sync.
+	skipUntilSync bool
+	// cancelRunning cancels the running statement, if any. Node.mu guards it.
 	cancelRunning context.CancelFunc
 }
 
-func (s *session) reset() {
+func (s *session) resetSession() {
 	s.settings = maps.Clone(defaultSettings)
-	for _, p := range startupParameters {
+	for _, p := range reportedParameters {
 		s.settings[strings.ToLower(p[0])] = p[1]
 	}
 	s.prepared = map[string]*prepared{}
 	s.portals = map[string]*portal{}
 }
 
-func (s *session) serve() {
+func (s *session) serveMessages() {
 	for {
 		message, err := s.backend.Receive()
 		if err != nil {
@@ -53,17 +54,17 @@
 		case *pgproto3.Terminate:
 			return
 		case *pgproto3.Query:
-			s.query(m.String)
-			err = s.ready()
+			s.runQuery(m.String)
+			err = s.sendReady()
 		case *pgproto3.Sync:
-			s.skipping = false
-			s.report(s.endImplicit())
-			err = s.ready()
+			s.skipUntilSync = false
+			s.sendError(s.commitImplicit())
+			err = s.sendReady()
 		case *pgproto3.Flush:
 			err = s.backend.Flush()
 		default:
-			if !s.skipping {
-				s.skipping = s.report(s.extended(message))
+			if !s.skipUntilSync {
+				s.skipUntilSync = s.sendError(s.handleExtended(message))
 			}
 		}
 		if err != nil {
@@ -72,8 +73,8 @@
 	}
 }
 
-// ready tells the client the transaction's state and sends all that is buffered.
-func (s *session) ready() error {
+// sendReady sends the transaction status to the client and flushes the output.
+func (s *session) sendReady() error {
 	status := byte('I')
 	switch {
 	case s.failed:
@@ -85,8 +86,9 @@
 	return s.backend.Flush()
 }
 
-// report sends an error and fails the transaction; false if there is none.
-func (s *session) report(err error) bool {
+// sendError sends err to the client and fails the transaction. It returns false and
+// does nothing if err is nil.
+func (s *session) sendError(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -95,21 +97,22 @@
 		e = &sqlError{stateProtocolViolation, err.Error()}
 	}
 	s.backend.Send(e.response("ERROR"))
-	s.abort()
+	s.rollbackOpen()
 	s.failed = s.explicit
 	return true
 }
 
-// abort rolls back what is open; the locks are free at once.
-func (s *session) abort() {
+// rollbackOpen rolls back the open transaction, if any, and so releases its locks.
+func (s *session) rollbackOpen() {
 	if s.tx != nil {
 		s.node.rollback(s.tx)
 		s.tx = nil
 	}
 }
 
-// query runs the statements of a simple query in one implicit transaction.
-func (s *session) query(sql string) {
+// runQuery runs the statements of a simple query in one implicit transaction, unless
+// an explicit one is open.
+func (s *session) runQuery(sql string) {
 	statements, err := parse(sql)
 	if len(statements) == 0 && err == nil {
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
@@ -121,60 +124,60 @@
 		if err != nil {
 			break
 		}
-		var a *answer
-		if a, err = s.run(st, nil); err == nil {
-			err = s.sendAll(a)
+		var res *result
+		if res, err = s.runStatement(st, nil); err == nil {
+			err = s.sendResult(res)
 		}
 	}
-	if !s.report(err) {
-		s.report(s.endImplicit())
+	if !s.sendError(err) {
+		s.sendError(s.commitImplicit())
 	}
 }
 
-func (s *session) sendAll(a *answer) error {
-	if a.columns != nil {
-		s.backend.Send(describe(a.columns, nil))
+func (s *session) sendResult(res *result) error {
+	if res.columns != nil {
+		s.backend.Send(rowDescription(res.columns, nil))
 	}
-	p := &portal{answer: a}
+	p := &portal{result: res}
 	return s.sendRows(p, 0)
 }
 
-// run runs one statement in the open transaction, or begins an implicit one.
-func (s *session) run(st *statement, args []string) (*answer, error) {
+// runStatement runs one statement in the open transaction, or in a new implicit one.
+func (s *session) runStatement(st *statement, args []string) (*result, error) {
 	switch {
 	case st.verb == verbCommit || st.verb == verbRollback:
-		return s.end(st)
+		return s.endTransaction(st)
 	case s.failed:
 		return nil, &sqlError{stateAborted, "current transaction is aborted, commands ignored until end of transaction block"}
 	case st.verb == verbBegin:
 		s.explicit = true
-		return &answer{tag: st.tag}, nil
+		return &result{tag: st.tag}, nil
 	}
 	if s.tx == nil {
-		s.tx = newTransaction(s.life)
+		s.tx = newTransaction(s.process)
 	}
 	if st.verb != verbControl {
-		s.node.at("statement.before")
+		s.node.callHook("statement.before")
 	}
-	ctx, done := s.running()
+	ctx, done := s.cancellableContext()
 	defer done()
 	return s.execute(ctx, st, args)
 }
 
-// end runs COMMIT or ROLLBACK. COMMIT of a failed transaction rolls back.
-func (s *session) end(st *statement) (*answer, error) {
+// endTransaction runs COMMIT or ROLLBACK. COMMIT of a failed transaction rolls back.
+func (s *session) endTransaction(st *statement) (*result, error) {
 	rollback := s.failed || st.verb == verbRollback
 	s.explicit, s.failed = false, false
-	s.endSettings(rollback)
+	s.endSettingChanges(rollback)
 	if rollback {
-		s.abort()
-		return &answer{tag: "ROLLBACK"}, nil
+		s.rollbackOpen()
+		return &result{tag: "ROLLBACK"}, nil
 	}
-	return &answer{tag: st.tag}, s.endImplicit()
+	return &result{tag: st.tag}, s.commitImplicit()
 }
 
-// endImplicit commits what is open unless the client has to.
-func (s *session) endImplicit() error {
+// commitImplicit commits the open transaction unless it is explicit.
+func (s *session) commitImplicit() error {
 	if !s.explicit {
 		clear(s.portals)
 	}
--- a/internal/standin/member/settings.go
+++ b/internal/standin/member/settings.go
@@ -9,8 +9,8 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// defaultSettings are the settings that a member knows, with their values. Names
-// with a dot may be set without being known, as PostgreSQL allows.
+// defaultSettings are the known settings with their default values. As in
+// PostgreSQL, a name with a dot can be set without being known.
 var defaultSettings = map[string]string{
 	"search_path":       "public",
 	"timezone":          "UTC",
@@ -21,20 +21,20 @@
 	"application_name":  "",
 }
 
-// reported are the settings whose changes a client is told of, by the name that
-// they are told under.
-var reported = map[string]string{
+// reportedSettings maps the settings whose changes are reported to the client to the
+// names used in ParameterStatus.
+var reportedSettings = map[string]string{
 	"timezone":         "TimeZone",
 	"datestyle":        "DateStyle",
 	"client_encoding":  "client_encoding",
 	"application_name": "application_name",
 }
 
-// set runs SET. A setting of the session lasts until it is set again; one of the
-// transaction changes nothing that a statement of this member can show.
-func (s *session) set(st *statement, args []string) error {
+// setSetting runs SET. A session setting remains until it is set again. SET LOCAL is
+// only validated: it has no effect, not even on SHOW.
+func (s *session) setSetting(st *statement, args []string) error {
 	if _, known := defaultSettings[st.name]; !known && !strings.Contains(st.name, ".") {
-		return unknownSetting(st.name)
+		return unknownSettingError(st.name)
 	}
 	if st.local {
 		return nil
@@ -43,45 +43,45 @@
 	for _, o := range st.args {
 		values = append(values, o.value(args))
 	}
-	if s.tx != nil && s.explicit && s.beforeTransaction == nil {
-		s.beforeTransaction = maps.Clone(s.settings)
+	if s.tx != nil && s.explicit && s.settingsBeforeTransaction == nil {
+		s.settingsBeforeTransaction = maps.Clone(s.settings)
 	}
-	s.change(st.name, strings.Join(values, ", "))
+	s.changeSetting(st.name, strings.Join(values, ", "))
 	return nil
 }
 
 // resetSetting runs RESET, for one setting or for all.
 func (s *session) resetSetting(name string) {
 	if name != "all" {
-		s.change(name, defaultSettings[name])
+		s.changeSetting(name, defaultSettings[name])
 		return
 	}
 	for name := range s.settings {
-		s.change(name, defaultSettings[name])
+		s.changeSetting(name, defaultSettings[name])
 	}
 }
 
-func (s *session) change(name, value string) {
+func (s *session) changeSetting(name, value string) {
 	if s.settings[name] == value {
 		return
 	}
 	s.settings[name] = value
-	if told := reported[name]; told != "" {
-		s.backend.Send(&pgproto3.ParameterStatus{Name: told, Value: value})
+	if reportedName := reportedSettings[name]; reportedName != "" {
+		s.backend.Send(&pgproto3.ParameterStatus{Name: reportedName, Value: value})
 	}
 }
 
-// endSettings ends what a transaction did to the settings: a rollback takes it
-// back.
-func (s *session) endSettings(rollback bool) {
-	before := s.beforeTransaction
-	s.beforeTransaction = nil
-	if rollback && before != nil {
-		s.settings = before
+// endSettingChanges completes the setting changes of a transaction: a rollback
+// reverts them.
+func (s *session) endSettingChanges(rollback bool) {
+	previous := s.settingsBeforeTransaction
+	s.settingsBeforeTransaction = nil
+	if rollback && previous != nil {
+		s.settings = previous
 	}
 }
 
-func (s *session) show(st *statement) (*answer, error) {
+func (s *session) showSetting(st *statement) (*result, error) {
 	value, ok := s.settings[st.name]
 	if st.name == "transaction_read_only" {
 		value, ok = "on", true
@@ -90,11 +90,11 @@
 		}
 	}
 	if !ok {
-		return nil, unknownSetting(st.name)
+		return nil, unknownSettingError(st.name)
 	}
-	return rowsAnswer(st.columns, []string{value}), nil
+	return rowsResult(st.columns, []string{value}), nil
 }
 
-func unknownSetting(name string) error {
+func unknownSettingError(name string) error {
 	return &sqlError{stateUnknownSetting, "unrecognized configuration parameter \"" + name + "\""}
 }
--- a/internal/standin/member/sqlerror.go
+++ b/internal/standin/member/sqlerror.go
@@ -2,7 +2,7 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// SQLSTATE codes that the node gives, as PostgreSQL does but for the last.
+// SQLSTATE codes that the node returns. All but the last are PostgreSQL's.
 const (
 	stateReadOnly           = "25006"
 	stateAborted            = "25P02"
@@ -18,7 +18,7 @@
 	stateTooManyConnections = "53300"
 	stateNotInState         = "55000"
 	stateProtocolViolation  = "08P01"
-	// stateTermPassed says that the node has entered a higher term.
+	// stateTermPassed means that the node has entered a higher term.
 	stateTermPassed = "55G01"
 )
 
--- a/internal/standin/member/startup.go
+++ b/internal/standin/member/startup.go
@@ -10,15 +10,15 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// ControlApplication is the application name of control connections, which
-// count apart from data connections.
+// ControlApplication is the application name of control connections, which are
+// counted separately and not limited.
 const ControlApplication = "topazrock-control"
 
-// secretSize is the size of a cancel key, in bytes.
-const secretSize = 4
+// cancelKeySize is the size of the secret key of a cancel request, in bytes.
+const cancelKeySize = 4
 
-// startupParameters are reported to every client.
-var startupParameters = [][2]string{
+// reportedParameters are sent to every client at startup, as ParameterStatus.
+var reportedParameters = [][2]string{
 	{"server_version", "17.0"},
 	{"client_encoding", "UTF8"},
 	{"standard_conforming_strings", "on"},
@@ -27,31 +27,31 @@
 	{"TimeZone", "UTC"},
 }
 
-// serve handles one connection from its first byte: the start-up message of
-// PostgreSQL begins with its length, whose first byte is zero.
-func (n *Node) serve(l *life, conn net.Conn) {
+// serveConn detects the protocol of a connection by its first byte and serves it: the
+// startup message of PostgreSQL begins with its length, whose first byte is zero.
+func (n *Node) serveConn(proc *process, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	first, err := in.Peek(1)
 	if err != nil {
 		return
 	}
 	if first[0] != 0 {
-		n.serveLine(l, conn, in)
+		n.serveLine(proc, conn, in)
 		return
 	}
-	n.servePostgres(l, &peeked{Conn: conn, in: in})
+	n.servePostgres(proc, &peekedConn{Conn: conn, in: in})
 }
 
-// peeked is a connection of which some bytes were read ahead.
-type peeked struct {
+// peekedConn is a connection of which some bytes have been read into a buffer.
+type peekedConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
 // Read implements net.Conn.
-func (p *peeked) Read(b []byte) (int, error) { return p.in.Read(b) }
+func (p *peekedConn) Read(b []byte) (int, error) { return p.in.Read(b) }
 
-func (n *Node) servePostgres(l *life, conn net.Conn) {
+func (n *Node) servePostgres(proc *process, conn net.Conn) {
 	backend := pgproto3.NewBackend(conn, conn)
 	for {
 		message, err := backend.ReceiveStartupMessage()
@@ -61,13 +61,13 @@
 		switch m := message.(type) {
 		case *pgproto3.StartupMessage:
 			if m.Parameters["replication"] == "true" {
-				n.sendLog(l, conn)
+				n.serveReplica(proc, conn)
 			} else {
-				n.serveSession(l, conn, backend, m.Parameters["application_name"] == ControlApplication)
+				n.serveSession(proc, conn, backend, m.Parameters["application_name"] == ControlApplication)
 			}
 			return
 		case *pgproto3.CancelRequest:
-			n.cancel(m.ProcessID, string(m.SecretKey))
+			n.cancelStatement(m.ProcessID, string(m.SecretKey))
 			return
 		default: // a request for encryption
 			if _, err := conn.Write([]byte{'N'}); err != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-func (n *Node) serveSession(l *life, conn net.Conn, backend *pgproto3.Backend, control bool) {
-	if err := n.admit(control); err != nil {
+func (n *Node) serveSession(proc *process, conn net.Conn, backend *pgproto3.Backend, control bool) {
+	if err := n.admitConnection(control); err != nil {
 		var refused *sqlError
 		if errors.As(err, &refused) {
 			backend.Send(refused.response("FATAL"))
@@ -86,24 +86,24 @@
 		}
 		return
 	}
-	defer n.leave(control)
-	if wait := n.opts.ConnectDelay; wait > 0 && pause(l.ctx, wait) != nil {
+	defer n.releaseConnection(control)
+	if delay := n.opts.ConnectDelay; delay > 0 && sleep(proc.ctx, delay) != nil {
 		return
 	}
-	s := &session{node: n, life: l, backend: backend, secret: rand.Text()[:secretSize]}
-	s.reset()
-	pid := n.register(s)
-	defer n.unregister(pid, s)
+	s := &session{node: n, process: proc, backend: backend, cancelKey: rand.Text()[:cancelKeySize]}
+	s.resetSession()
+	pid := n.registerSession(s)
+	defer n.unregisterSession(pid, s)
 	backend.Send(&pgproto3.AuthenticationOk{})
-	for _, p := range startupParameters {
+	for _, p := range reportedParameters {
 		backend.Send(&pgproto3.ParameterStatus{Name: p[0], Value: p[1]})
 	}
-	backend.Send(&pgproto3.BackendKeyData{ProcessID: pid, SecretKey: []byte(s.secret)})
-	s.ready()
-	s.serve()
+	backend.Send(&pgproto3.BackendKeyData{ProcessID: pid, SecretKey: []byte(s.cancelKey)})
+	s.sendReady()
+	s.serveMessages()
 }
 
-func (n *Node) register(s *session) uint32 {
+func (n *Node) registerSession(s *session) uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nextPID++
@@ -111,25 +111,27 @@
 	return n.nextPID
 }
 
-func (n *Node) unregister(pid uint32, s *session) {
+func (n *Node) unregisterSession(pid uint32, s *session) {
 	n.mu.Lock()
 	delete(n.sessions, pid)
 	n.mu.Unlock()
-	s.abort()
+	s.rollbackOpen()
 }
 
-// cancel ends the statement that the session runs now, if there is one.
-func (n *Node) cancel(pid uint32, secret string) {
+// cancelStatement cancels the running statement of a session, if any, provided that
+// the key matches.
+func (n *Node) cancelStatement(pid uint32, secret string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if s := n.sessions[pid]; s != nil && s.secret == secret && s.cancelRunning != nil {
+	if s := n.sessions[pid]; s != nil && s.cancelKey == secret && s.cancelRunning != nil {
 		s.cancelRunning()
 	}
 }
 
-// running makes the context of a statement that a cancel request can end.
-func (s *session) running() (context.Context, func()) {
-	ctx, cancel := context.WithCancel(s.life.ctx)
+// cancellableContext returns a context for one statement, which a cancel request can
+// cancel, and a function to call when the statement ends.
+func (s *session) cancellableContext() (context.Context, func()) {
+	ctx, cancel := context.WithCancel(s.process.ctx)
 	s.node.mu.Lock()
 	defer s.node.mu.Unlock()
 	s.cancelRunning = cancel
--- a/internal/standin/member/statement.go
+++ b/internal/standin/member/statement.go
@@ -1,6 +1,6 @@
 package member
 
-// verb is what a statement does.
+// verb is the kind of a statement.
 type verb int
 
 const (
@@ -25,7 +25,7 @@
 	verbControl
 )
 
-// operand is a literal, or a parameter by its number from 1.
+// operand is a literal, or a reference to parameter number param, from 1.
 type operand struct {
 	param int
 	text  string
@@ -42,24 +42,24 @@
 // pair is a key and a value to write.
 type pair struct{ key, value operand }
 
-// statement is one parsed statement.
+// statement is one parsed SQL statement.
 type statement struct {
 	verb verb
-	// tag is the command tag of statements that touch no rows.
+	// tag is the command tag of a statement that does not access rows.
 	tag   string
 	table *table
-	// name is the setting of SET and SHOW or the function of a control call.
+	// name is the setting of SET, RESET and SHOW, or the function of a control call.
 	name    string
 	local   bool
 	columns []column
-	// keyColumn marks the columns that show the key.
+	// keyColumn reports for each column whether it contains the key.
 	keyColumn []bool
 	pairs     []pair
 	args      []operand
 	params    int
 }
 
-// table is one of the node's two tables.
+// table is the name of one of the node's two tables and of its two columns.
 type table struct{ name, key, value string }
 
 var tables = map[string]*table{
@@ -67,13 +67,13 @@
 	"topazrock_request_keys": {"topazrock_request_keys", "key", "outcome"},
 }
 
-// column is a result column.
+// column is a result column with the OID of its type.
 type column struct {
 	name string
 	oid  uint32
 }
 
-// Types of result columns.
+// OIDs of the PostgreSQL types in use.
 const (
 	oidInt8 = 20
 	oidInt4 = 23
@@ -90,7 +90,7 @@
 
 var statusColumns = textColumns("role", "entered", "last_term", "last_position", "term_start", "attached")
 
-// controlFunctions gives the number of arguments of each control call.
+// controlFunctions maps each control function to its number of arguments.
 var controlFunctions = map[string]int{
 	"group_status":        0,
 	"group_wait_position": 2,
@@ -104,7 +104,7 @@
 
 var errSyntax = &sqlError{stateSyntax, "syntax error: not a statement of this member"}
 
-// parse reads all statements of a text.
+// parse parses a query string, which can contain several statements.
 func parse(sql string) ([]*statement, error) {
 	tokens, ok := lex(sql)
 	if !ok {
@@ -118,7 +118,7 @@
 		}
 		if end > 0 {
 			p := parser{tokens: tokens[:end]}
-			st := p.statement()
+			st := p.parseStatement()
 			if p.failed || p.next < len(p.tokens) {
 				return nil, errSyntax
 			}
--- a/internal/standin/member/transaction.go
+++ b/internal/standin/member/transaction.go
@@ -7,50 +7,51 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// lockTimeout bounds a wait for a row lock. It resolves deadlocks.
+// lockTimeout limits the wait for a row lock, and thereby resolves deadlocks.
 const lockTimeout = 10 * time.Second
 
-// row names a row of a table.
+// row identifies a row by its table and key.
 type row struct{ Table, Key string }
 
 // transaction holds the writes and the row locks of one open transaction.
 type transaction struct {
-	life   *life
-	writes map[row]write
-	order  []row
-	locks  []row
-	// fenced says that the node entered a term since: nothing can commit.
+	process    *process
+	writes     map[row]write
+	writeOrder []row
+	locks      []row
+	// fenced means that the node has entered a term since the transaction acquired
+	// its first lock. The transaction can no longer commit.
 	fenced bool
-	// done is closed when the transaction has ended.
+	// done is closed when the transaction ends.
 	done chan struct{}
 }
 
-func newTransaction(l *life) *transaction {
-	return &transaction{life: l, writes: map[row]write{}, done: make(chan struct{})}
+func newTransaction(proc *process) *transaction {
+	return &transaction{process: proc, writes: map[row]write{}, done: make(chan struct{})}
 }
 
-// put notes a write that applies at commit.
-func (t *transaction) put(w write) {
+// addWrite buffers a write until commit, in place of an earlier one to the same row.
+func (t *transaction) addWrite(w write) {
 	if _, ok := t.writes[w.Row]; !ok {
-		t.order = append(t.order, w.Row)
+		t.writeOrder = append(t.writeOrder, w.Row)
 	}
 	t.writes[w.Row] = w
 }
 
-// lookUp reads a row for a client.
-func (n *Node) lookUp(t *transaction, r row) (string, bool) {
+// readRowForClient reads a row and counts the read; see Reads.
+func (n *Node) readRowForClient(t *transaction, r row) (string, bool) {
 	n.mu.Lock()
 	if n.role == member.RolePrimary {
-		n.reads.Primary++
+		n.readCounts.Primary++
 	} else {
-		n.reads.Replica++
+		n.readCounts.Replica++
 	}
 	n.mu.Unlock()
-	return n.get(t, r)
+	return n.readRow(t, r)
 }
 
-// get reads a row as the transaction sees it.
-func (n *Node) get(t *transaction, r row) (string, bool) {
+// readRow returns a row as seen by the transaction.
+func (n *Node) readRow(t *transaction, r row) (string, bool) {
 	if w, ok := t.writes[r]; ok {
 		return w.Value, !w.Deleted
 	}
@@ -60,8 +61,8 @@
 	return v, ok
 }
 
-// count counts a table's rows as the transaction sees them.
-func (n *Node) count(t *transaction, table string) int {
+// countRows returns the number of rows of a table as seen by the transaction.
+func (n *Node) countRows(t *transaction, table string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	total := 0
@@ -78,17 +79,17 @@
 	return total
 }
 
-// lock takes a row lock, and waits while another open transaction holds it.
-func (n *Node) lock(ctx context.Context, t *transaction, r row) error {
+// lockRow acquires a row lock. It waits while another open transaction holds it.
+func (n *Node) lockRow(ctx context.Context, t *transaction, r row) error {
 	timeout := time.NewTimer(lockTimeout)
 	defer timeout.Stop()
 	for {
-		wait, err := n.tryLock(t, r)
-		if wait == nil || err != nil {
+		released, err := n.tryLockRow(t, r)
+		if released == nil || err != nil {
 			return err
 		}
 		select {
-		case <-wait:
+		case <-released:
 		case <-ctx.Done():
 			return errCancelled
 		case <-timeout.C:
@@ -97,11 +98,12 @@
 	}
 }
 
-// tryLock takes a row lock or returns the channel that tells of its release.
-func (n *Node) tryLock(t *transaction, r row) (<-chan struct{}, error) {
+// tryLockRow acquires a row lock, or returns a channel that is closed when the owner
+// releases it.
+func (n *Node) tryLockRow(t *transaction, r row) (<-chan struct{}, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.role != member.RolePrimary || t.fenced || t.life.ctx.Err() != nil {
+	if n.role != member.RolePrimary || t.fenced || t.process.ctx.Err() != nil {
 		return nil, errReadOnly
 	}
 	switch owner := n.locks[r]; owner {
@@ -110,59 +112,59 @@
 	case nil:
 		n.locks[r] = t
 		t.locks = append(t.locks, r)
-		n.writers[t] = struct{}{}
+		n.lockHolders[t] = struct{}{}
 		return nil, nil
 	default:
 		return owner.done, nil
 	}
 }
 
-// commit makes a transaction's writes one record of the log.
+// commit appends the transaction's writes to the log as one record.
 func (n *Node) commit(t *transaction) error {
-	if len(t.order) == 0 {
+	if len(t.writeOrder) == 0 {
 		n.rollback(t)
 		return nil
 	}
-	n.at("commit.before")
+	n.callHook("commit.before")
 	if err := n.commitRecord(t); err != nil {
 		return err
 	}
-	n.at("commit.after_before_answer")
+	n.callHook("commit.after_before_answer")
 	return nil
 }
 
 func (n *Node) commitRecord(t *transaction) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	defer n.release(t)
-	// A node that entered a term, or died, since the statements ran must not
-	// commit: the promotion of another member may be complete already.
-	if n.role != member.RolePrimary || t.fenced || t.life.ctx.Err() != nil {
+	defer n.endTransaction(t)
+	// A node that has entered a term or been killed since the statements ran must
+	// not commit: another member may have been promoted already.
+	if n.role != member.RolePrimary || t.fenced || t.process.ctx.Err() != nil {
 		return errReadOnly
 	}
-	writes := make([]write, 0, len(t.order))
-	for _, r := range t.order {
+	writes := make([]write, 0, len(t.writeOrder))
+	for _, r := range t.writeOrder {
 		writes = append(writes, t.writes[r])
 	}
-	n.add(n.log.next(n.entered, writes))
+	n.appendRecord(n.log.newRecord(n.enteredTerm, writes))
 	return nil
 }
 
 func (n *Node) rollback(t *transaction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.release(t)
+	n.endTransaction(t)
 }
 
-// release ends a transaction and gives back its locks. Caller holds the mutex.
-func (n *Node) release(t *transaction) {
+// endTransaction ends a transaction and releases its locks. n.mu must be held.
+func (n *Node) endTransaction(t *transaction) {
 	for _, r := range t.locks {
 		if n.locks[r] == t {
 			delete(n.locks, r)
 		}
 	}
 	t.locks = nil
-	delete(n.writers, t)
+	delete(n.lockHolders, t)
 	select {
 	case <-t.done:
 	default:
