--- a/internal/standin/command/member.go
+++ b/internal/standin/command/member.go
@@ -8,7 +8,7 @@
 	"github.com/topazrock/topazrock/internal/standin/member"
 )
 
-// memberCommand serves one member until SIGTERM.
+// memberCommand serves one member until SIGTERM or SIGINT.
 type memberCommand struct {
 	Address       string        `long:"address" required:"true" description:"IP address and port to listen at"`
 	Primary       string        `long:"primary" description:"address of the primary of term 1; this member leads if it is its own"`
--- a/internal/standin/command/platform.go
+++ b/internal/standin/command/platform.go
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// platformCommand serves the platform until SIGTERM.
+// platformCommand serves the platform API until SIGTERM or SIGINT.
 type platformCommand struct {
 	Address string `long:"address" default:"127.0.0.1:8080" description:"IP address and port to listen at"`
 	environment
--- a/internal/standin/command/plot.go
+++ b/internal/standin/command/plot.go
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/standin/plots"
 )
 
-// plotCommand draws reports of the bench.
+// plotCommand plots bench reports.
 type plotCommand struct {
 	Folder string `long:"folder" default:"docs/plots" description:"where the PNG and SVG files go" value-name:"FOLDER"`
 	Args   struct {
--- a/internal/standin/command/slopes.go
+++ b/internal/standin/command/slopes.go
@@ -17,7 +17,7 @@
 	"github.com/topazrock/topazrock/internal/standin/slopes"
 )
 
-// slopesCommand measures the slopes of docs/CAPACITY.md.
+// slopesCommand measures the slopes listed in docs/CAPACITY.md.
 type slopesCommand struct {
 	Only   []string      `long:"only" description:"measure only this driver; may be given again" value-name:"DRIVER"`
 	Window time.Duration `long:"window" default:"5s" description:"how long each load runs"`
@@ -26,7 +26,7 @@
 	out    io.Writer
 }
 
-// memberStartTimeout bounds the wait for the member processes to listen.
+// memberStartTimeout is the timeout for each member process to start listening.
 const memberStartTimeout = 5 * time.Second
 
 // Execute implements flags.Commander.
@@ -47,15 +47,15 @@
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
 		for _, s := range found {
-			c.print(s)
+			c.printSlope(s)
 		}
 		all = append(all, found...)
 	}
 	return json.NewEncoder(c.out).Encode(map[string]any{"seed": c.Seed, "slopes": all})
 }
 
-// print writes one slope as text.
-func (c *slopesCommand) print(s slopes.Slope) {
+// printSlope prints one slope and its data points as text.
+func (c *slopesCommand) printSlope(s slopes.Slope) {
 	fmt.Fprintf(c.out, "%s, against %s: %.4g each, %.4g fixed, residual %.1f %%\n",
 		s.Cost, s.Driver, s.PerUnit, s.Fixed, 100*s.Residual)
 	for _, p := range s.Points {
@@ -63,8 +63,8 @@
 	}
 }
 
-// startMembers runs three members as processes of their own, so that their
-// processor time is not measured, and returns their addresses.
+// startMembers starts three members in separate processes, so that their CPU time is not
+// measured, and returns their addresses and a function that stops them.
 func startMembers(ctx context.Context) ([]string, func(), error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -102,7 +102,7 @@
 	return addresses, stop, nil
 }
 
-// waitListening dials until a process listens at the address.
+// waitListening dials until a process listens at the address or memberStartTimeout ends.
 func waitListening(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, memberStartTimeout)
 	defer cancel()
--- a/internal/standin/linedemo/caller.go
+++ b/internal/standin/linedemo/caller.go
@@ -8,96 +8,98 @@
 	"time"
 )
 
-// caller writes ever higher numbers under a key of its own.
+// caller writes increasing numbers to a key of its own and checks that reads return the
+// last acknowledged one or a later one.
 type caller struct {
-	system *system
-	report *Report
-	number int
-	home   int
-	// written is the last number that was sent, and acknowledged the last one that
-	// was acknowledged.
-	written, acknowledged int
-	// own is the session that writes; other reads at another instance.
-	own, other *line
+	system       *system
+	report       *Report
+	number       int
+	homeInstance int
+	// lastWritten is the last number sent, lastAcknowledged the last one whose write was
+	// acknowledged.
+	lastWritten, lastAcknowledged int
+	// ownSession writes, and reads its own writes; otherSession reads at another instance.
+	ownSession, otherSession *session
 }
 
 // run writes and reads until ctx ends.
 func (c *caller) run(ctx context.Context) {
 	defer func() {
-		c.own.close()
-		c.other.close()
+		c.ownSession.close()
+		c.otherSession.close()
 	}()
 	for ctx.Err() == nil {
-		c.own = c.open(c.own, c.home, ownDatabase)
-		c.write()
-		c.read(c.own)
-		c.other = c.open(c.other, (c.home+1)%len(domains), freshDatabase)
-		c.read(c.other)
-		wait(ctx, think)
+		c.ownSession = c.ensureSession(c.ownSession, c.homeInstance, ownDatabase)
+		c.writeNext()
+		c.checkRead(c.ownSession)
+		c.otherSession = c.ensureSession(c.otherSession, (c.homeInstance+1)%len(failureDomains), freshDatabase)
+		c.checkRead(c.otherSession)
+		sleep(ctx, thinkTime)
 	}
 }
 
-// open returns a session that works, an old one if it still does.
-func (c *caller) open(l *line, instance int, database string) *line {
-	if l != nil && !l.broken {
-		return l
+// ensureSession returns s if it still works, otherwise a new session at the instance.
+func (c *caller) ensureSession(s *session, instance int, database string) *session {
+	if s != nil && !s.broken {
+		return s
 	}
-	return dialLine(c.system.fronts[instance], database)
+	return openSession(c.system.callerAddresses[instance], database)
 }
 
 func (c *caller) key() string { return "caller" + strconv.Itoa(c.number) }
 
-// write sends the next number.
-func (c *caller) write() {
-	c.written++
-	_, code, ok := c.own.do(fmt.Sprintf("%d-%d-w", c.number, c.written), fmt.Sprintf("WRITE %s %d", c.key(), c.written))
+// writeNext writes the next number and records the outcome.
+func (c *caller) writeNext() {
+	c.lastWritten++
+	_, code, ok := c.ownSession.runQuery(fmt.Sprintf("%d-%d-w", c.number, c.lastWritten), fmt.Sprintf("WRITE %s %d", c.key(), c.lastWritten))
 	switch {
 	case ok && code == "":
-		c.acknowledged = c.written
-		c.report.acknowledge()
+		c.lastAcknowledged = c.lastWritten
+		c.report.recordAcknowledged()
 	case ok && code == codeBusy:
-		c.report.add(&c.report.Refused)
+		c.report.increment(&c.report.Refused)
 	default:
-		c.report.add(&c.report.Unknown)
+		c.report.increment(&c.report.Unknown)
 	}
 }
 
-// read looks whether a session shows what was acknowledged. It returns whether there
-// was an answer.
-func (c *caller) read(l *line) bool {
-	id := fmt.Sprintf("%d-%d-%s-%d", c.number, c.written, l.database, time.Now().UnixNano())
-	row, code, ok := l.do(id, "READ "+c.key())
+// checkRead reads the key and counts a stale read if the value is older than the last
+// acknowledged write. It reports whether the read succeeded.
+func (c *caller) checkRead(s *session) bool {
+	id := fmt.Sprintf("%d-%d-%s-%d", c.number, c.lastWritten, s.database, time.Now().UnixNano())
+	row, code, ok := s.runQuery(id, "READ "+c.key())
 	if !ok || code != "" {
 		return false
 	}
-	c.report.add(&c.report.Reads)
-	shown, _ := strconv.Atoi(strings.TrimPrefix(row, "v="))
-	if shown < c.acknowledged {
-		c.report.add(&c.report.Stale)
+	c.report.increment(&c.report.Reads)
+	value, _ := strconv.Atoi(strings.TrimPrefix(row, "v="))
+	if value < c.lastAcknowledged {
+		c.report.increment(&c.report.Stale)
 	}
 	return true
 }
 
 const (
-	// lookUps is how often the last look for a write is tried, and betweenLookUps the
-	// pause between two tries.
-	lookUps        = 50
-	betweenLookUps = 100 * time.Millisecond
+	// verifyAttempts is how many times verifyLastWrite tries to read, verifyInterval the
+	// pause between attempts.
+	verifyAttempts = 50
+	verifyInterval = 100 * time.Millisecond
 )
 
-// lookForAll looks for the last acknowledged write. A lower number means that it, and
-// maybe others, are lost; no answer in all tries counts as lost as well.
-func (c *caller) lookForAll(ctx context.Context) {
-	for range lookUps {
+// verifyLastWrite reads the key at the end of the run. A value below the last
+// acknowledged number means that this write, and possibly others, were lost. If no
+// attempt succeeds, that counts as lost as well.
+func (c *caller) verifyLastWrite(ctx context.Context) {
+	for range verifyAttempts {
 		stale := c.report.Stale
-		l := dialLine(c.system.fronts[c.home], freshDatabase)
-		answered := c.read(l)
-		l.close()
+		s := openSession(c.system.callerAddresses[c.homeInstance], freshDatabase)
+		answered := c.checkRead(s)
+		s.close()
 		if answered {
 			c.report.Lost += c.report.Stale - stale
 			return
 		}
-		wait(ctx, betweenLookUps)
+		sleep(ctx, verifyInterval)
 	}
 	c.report.Lost++
 }
--- a/internal/standin/linedemo/demo.go
+++ b/internal/standin/linedemo/demo.go
@@ -1,7 +1,7 @@
 // Package linedemo runs the whole system over the line protocol in one process, on
-// loopback addresses: the platform's store with its appointments, one group of three
-// members, an instance in each of three failure domains, and callers. Half way the
-// primary's process is killed; at the end every acknowledged write is looked for.
+// loopback addresses: the platform with its promotion endpoint, one group of three
+// members, one instance in each of three failure domains, and callers. Halfway through,
+// the primary is killed; at the end each caller checks for its last acknowledged write.
 package linedemo
 
 import (
@@ -13,15 +13,16 @@
 )
 
 const (
-	duration = 10 * time.Second
-	sessions = 24
-	// think is a caller's pause between two writes.
-	think = 20 * time.Millisecond
-	// warmUp is how long the instances have to learn what they serve.
+	loadDuration = 10 * time.Second
+	callerCount  = 24
+	// thinkTime is a caller's pause between iterations.
+	thinkTime = 20 * time.Millisecond
+	// warmUp is the time for the instances to load their configuration before the load
+	// starts.
 	warmUp = 2 * time.Second
 )
 
-// Run runs the demo and tells on out what happens.
+// Run runs the demo and prints its progress to out.
 func Run(ctx context.Context, seed uint64, out, logs io.Writer) (*Report, error) {
 	s, err := startSystem(seed, logs)
 	defer s.close()
@@ -29,35 +30,35 @@
 		return nil, err
 	}
 	fmt.Fprintf(out, "Started the platform, a group of %d members and %d instances in %d failure domains; all speak the line protocol.\n",
-		len(domains), len(domains), len(domains))
-	wait(ctx, warmUp)
-	fmt.Fprintf(out, "%d callers begin. Each writes, reads its own writes, and reads them fresh at another instance.\n", sessions)
+		len(failureDomains), len(failureDomains), len(failureDomains))
+	sleep(ctx, warmUp)
+	fmt.Fprintf(out, "%d callers begin. Each writes, reads its own writes, and reads them fresh at another instance.\n", callerCount)
 	r := &Report{}
-	load, stop := context.WithCancel(ctx)
-	defer stop()
-	callers := make([]*caller, sessions)
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
+	callers := make([]*caller, callerCount)
 	var running sync.WaitGroup
 	for i := range callers {
-		callers[i] = &caller{system: s, report: r, number: i, home: i % len(domains)}
-		running.Go(func() { callers[i].run(load) })
+		callers[i] = &caller{system: s, report: r, number: i, homeInstance: i % len(failureDomains)}
+		running.Go(func() { callers[i].run(loadCtx) })
 	}
-	wait(ctx, duration/2)
+	sleep(ctx, loadDuration/2)
 	killed := time.Now()
 	s.nodes[0].Kill()
 	fmt.Fprintln(out, "The primary's process is killed.")
-	wait(ctx, duration/2)
-	stop()
+	sleep(ctx, loadDuration/2)
+	stopLoad()
 	running.Wait()
-	r.GapMS = r.firstWriteAfter(killed).Milliseconds()
+	r.GapMS = r.gapAfter(killed).Milliseconds()
 	fmt.Fprintln(out, "The callers have ended; now every acknowledged write is looked for.")
 	for _, c := range callers {
-		c.lookForAll(ctx)
+		c.verifyLastWrite(ctx)
 	}
 	return r, ctx.Err()
 }
 
-// wait returns after d, or when ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep returns after d or when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/standin/linedemo/system.go
+++ b/internal/standin/linedemo/system.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	group = "demo-1"
-	// Databases of the demo: reads of one see their own session's writes, those of
-	// the other must be fresh.
+	groupName = "demo-1"
+	// Names of the demo's databases: reads of ownDatabase see their own session's writes,
+	// reads of freshDatabase all acknowledged writes.
 	ownDatabase   = "own"
 	freshDatabase = "fresh"
 
@@ -41,20 +41,20 @@
 	drainTimeout    = time.Second
 )
 
-// domains are the failure domains; each has one member and one instance.
-var domains = []string{"a", "b", "c"}
+// failureDomains are the failure domains; each has one member and one instance.
+var failureDomains = []string{"a", "b", "c"}
 
-// system is everything that the demo runs.
+// system holds all components that the demo runs.
 type system struct {
 	store   *standin.Store
 	nodes   []*member.Node
 	members []string
-	// fronts are the addresses at which instances take callers.
-	fronts  []string
-	closers []func()
+	// callerAddresses are the addresses where the instances accept callers.
+	callerAddresses []string
+	closers         []func()
 }
 
-// startSystem starts everything. The caller closes the system also on an error.
+// startSystem starts all components. The returned system must be closed even on error.
 func startSystem(seed uint64, logs io.Writer) (*system, error) {
 	s := &system{store: standin.NewStore()}
 	if err := s.startMembers(); err != nil {
@@ -64,8 +64,8 @@
 	if err != nil {
 		return s, err
 	}
-	s.publish()
-	for i := range domains {
+	s.publishObjects()
+	for i := range failureDomains {
 		if err := s.startInstance(i, url, seed, logs); err != nil {
 			return s, err
 		}
@@ -75,20 +75,20 @@
 
 func memberID(i int) string { return fmt.Sprintf("i-demo-%d", i) }
 
-// hostOf is the loopback address of a failure domain.
-func hostOf(i int) string { return fmt.Sprintf("127.0.0.%d", 40*(i+1)) }
+// loopbackHost returns the loopback address of a failure domain.
+func loopbackHost(i int) string { return fmt.Sprintf("127.0.0.%d", 40*(i+1)) }
 
 func (s *system) startMembers() error {
-	for i := range domains {
-		address, err := loopback.FreeAddress(hostOf(i))
+	for i := range failureDomains {
+		address, err := loopback.FreeAddress(loopbackHost(i))
 		if err != nil {
 			return err
 		}
 		s.members = append(s.members, address)
 	}
-	for i := range domains {
+	for i := range failureDomains {
 		n := member.New(member.Options{
-			Address: s.members[i], Primary: s.members[0], Network: netio.TCP{}, ID: memberID(i), Group: group,
+			Address: s.members[i], Primary: s.members[0], Network: netio.TCP{}, ID: memberID(i), Group: groupName,
 			ConnectDelay: connectDelay, ConnectionTotal: connections, Slots: slots,
 			ReplicationLag: replicationLag, StatementCost: statementCost,
 		})
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// startPlatform serves the store and the appointments at one address.
+// startPlatform serves the store and the promotion endpoint at one address.
 func (s *system) startPlatform() (url string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
@@ -109,65 +109,65 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/", standin.Handler(s.store))
-	mux.Handle("POST /promotion", newAppointer(s))
+	mux.Handle("POST /promotion", newPromoter(s))
 	server := &http.Server{Handler: mux}
 	go func() { _ = server.Serve(l) }()
 	s.closers = append(s.closers, func() { _ = server.Close() })
 	return "http://" + l.Addr().String(), nil
 }
 
-// publish writes the manifest and the members' entries.
-func (s *system) publish() {
-	s.put(platform.KindManifest, platform.ManifestName, map[string]any{
+// publishObjects writes the manifest and the members' upstream objects.
+func (s *system) publishObjects() {
+	s.putObject(platform.KindManifest, platform.ManifestName, map[string]any{
 		"Version":  1,
-		"Services": []any{map[string]any{"Name": group, "MaxConns": connections}},
+		"Services": []any{map[string]any{"Name": groupName, "MaxConns": connections}},
 		"Limits":   map[string]any{"TxIdleMs": 3000},
 		"Routes": []any{
-			map[string]any{"Name": "r1", "Host": freshDatabase, "Type": "primary", "Service": group, "TimeoutMs": 2000, "SloMs": 400, "Priority": 1},
-			map[string]any{"Name": "r2", "Host": ownDatabase, "Type": "read_your_writes", "Service": group, "TimeoutMs": 2000, "SloMs": 400, "Priority": 2, "MaxStalenessMs": 2500},
+			map[string]any{"Name": "r1", "Host": freshDatabase, "Type": "primary", "Service": groupName, "TimeoutMs": 2000, "SloMs": 400, "Priority": 1},
+			map[string]any{"Name": "r2", "Host": ownDatabase, "Type": "read_your_writes", "Service": groupName, "TimeoutMs": 2000, "SloMs": 400, "Priority": 2, "MaxStalenessMs": 2500},
 		},
 	})
-	for i := range domains {
+	for i := range failureDomains {
 		s.publishMember(i, i == 0)
 	}
 }
 
-// publishMember writes a member's entry.
-func (s *system) publishMember(i int, leads bool) {
+// publishMember writes a member's upstream object with its current role.
+func (s *system) publishMember(i int, isPrimary bool) {
 	role := "replica"
-	if leads {
+	if isPrimary {
 		role = "primary"
 	}
-	s.put(platform.KindUpstreams, memberID(i), map[string]any{
-		"Service": group, "Addr": s.members[i], "Zone": domains[i], "Version": "v1", "Slots": slots,
+	s.putObject(platform.KindUpstreams, memberID(i), map[string]any{
+		"Service": groupName, "Addr": s.members[i], "Zone": failureDomains[i], "Version": "v1", "Slots": slots,
 		"State": "ready", "ColdMs": 0, "DbRole": role, "Seq": 1, "born": 1,
 	})
 }
 
-// put stores a specification over whatever is there.
-func (s *system) put(kind platform.Kind, name string, spec any) {
+// putObject creates or overwrites an object.
+func (s *system) putObject(kind platform.Kind, name string, spec any) {
 	value, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // maps of plain values
+		panic(err) // unreachable: specifications are maps of plain values
 	}
 	ctx := context.Background()
-	held, _ := s.store.Get(ctx, kind, name) // not there: version zero creates it
-	_, _ = s.store.Put(ctx, kind, name, value, held.Version)
+	current, _ := s.store.Get(ctx, kind, name) // if not found, version 0 creates it
+	_, _ = s.store.Put(ctx, kind, name, value, current.Version)
 }
 
 func (s *system) startInstance(i int, url string, seed uint64, logs io.Writer) error {
 	var addresses [3]string
 	for k := range addresses {
-		address, err := loopback.FreeAddress(hostOf(i))
+		address, err := loopback.FreeAddress(loopbackHost(i))
 		if err != nil {
 			return err
 		}
 		addresses[k] = address
 	}
-	s.fronts = append(s.fronts, addresses[0])
+	s.callerAddresses = append(s.callerAddresses, addresses[0])
 	o := instance.Options{
 		Settings: &settings.Settings{
-			Instance:  settings.Instance{ID: "entry-" + domains[i], FailureDomain: domains[i], Region: "demo"},
+			Instance:  settings.Instance{ID: "entry-" + failureDomains[i], FailureDomain: failureDomains[i], Region: "demo"},
 			Caller:    settings.Caller{Address: addresses[0], Wire: settings.WireLine, MaxCallers: maxCallers},
 			Peer:      settings.Peer{Address: addresses[1]},
 			Admin:     settings.Admin{Address: addresses[2]},
@@ -178,27 +178,27 @@
 		},
 		Network: netio.TCP{}, Clock: clock.System{}, Seed: seed + uint64(i),
 		Platform: adapter.NewClient(url, netio.TCP{}, platformTimeout),
-		Logger:   hclog.New(&hclog.LoggerOptions{Name: "entry-" + domains[i], Output: logs, Level: hclog.Info, JSONFormat: true}),
+		Logger:   hclog.New(&hclog.LoggerOptions{Name: "entry-" + failureDomains[i], Output: logs, Level: hclog.Info, JSONFormat: true}),
 		Registry: prometheus.NewRegistry(),
 	}
 	adapter.SpeakLine(&o)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	n := instance.New(o)
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if err := n.Run(ctx); err != nil {
 			fmt.Fprintln(logs, "instance ended:", err)
 		}
 	}()
 	s.closers = append(s.closers, func() {
 		cancel()
-		<-ended
+		<-stopped
 	})
 	return nil
 }
 
-// close stops the instances first, then the rest.
+// close stops the components in reverse order of their start, so the instances first.
 func (s *system) close() {
 	for _, c := range slices.Backward(s.closers) {
 		c()
--- a/internal/standin/memnet/conn.go
+++ b/internal/standin/memnet/conn.go
@@ -17,60 +17,61 @@
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
-// Write implements net.Conn. It blocks only when the pipe's bound is reached.
+// Write implements net.Conn. It blocks only while the pipe is full.
 func (c *conn) Write(b []byte) (int, error) { return c.out.write(b) }
 
-// Close implements net.Conn. The other end reads what was written, then EOF. With bytes
-// unread it resets the connection, as TCP does: what is on its way to the other end is lost.
+// Close implements net.Conn. The other end reads what was written, then EOF. If this end
+// has unread bytes, Close resets the connection, as TCP does: bytes still in flight to
+// the other end are lost.
 func (c *conn) Close() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	if c.in.readerGone {
+	if c.in.readerClosed {
 		return opError("close", net.ErrClosed)
 	}
 	if c.in.size > 0 {
-		c.out.loseUndelivered()
-		c.end(syscall.ECONNRESET)
+		c.out.dropUndelivered()
+		c.terminate(syscall.ECONNRESET)
 		return nil
 	}
-	c.end(io.EOF)
+	c.terminate(io.EOF)
 	return nil
 }
 
-// CloseWrite ends what this end sends, as that of a net.TCPConn does: the other end reads what
-// was written, then EOF, and may still send.
+// CloseWrite closes the sending direction, like net.TCPConn.CloseWrite: the other end
+// reads what was written, then EOF, and can still send.
 func (c *conn) CloseWrite() error {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	if c.out.writerGone {
+	if c.out.writerClosed {
 		return opError("close", net.ErrClosed)
 	}
-	c.endWrites(io.EOF)
+	c.endStream(io.EOF)
 	return nil
 }
 
-// reset ends the connection as the death of this end's process does: what was
-// not delivered is lost. Caller holds the mutex.
+// reset ends the connection as if this end's process had died: undelivered bytes are
+// lost. The caller holds the mutex.
 func (c *conn) reset() {
-	if c.in.readerGone {
+	if c.in.readerClosed {
 		return
 	}
 	c.out.chunks, c.out.size = nil, 0
-	c.end(syscall.ECONNRESET)
+	c.terminate(syscall.ECONNRESET)
 }
 
-// endWrites sends the end of the stream. Caller holds the mutex.
-func (c *conn) endWrites(reason error) {
-	c.out.send(chunk{end: reason})
-	c.out.writerGone = true
+// endStream sends the end of the stream. The caller holds the mutex.
+func (c *conn) endStream(reason error) {
+	c.out.send(chunk{endErr: reason})
+	c.out.writerClosed = true
 	c.out.cond.Broadcast()
 }
 
-func (c *conn) end(reason error) {
-	if !c.out.writerGone || reason != io.EOF {
-		c.endWrites(reason)
+func (c *conn) terminate(reason error) {
+	if !c.out.writerClosed || reason != io.EOF {
+		c.endStream(reason)
 	}
-	c.in.readerGone = true
+	c.in.readerClosed = true
 	delete(c.net.conns, c)
 	c.in.cond.Broadcast()
 	c.out.cond.Broadcast()
--- a/internal/standin/memnet/faults.go
+++ b/internal/standin/memnet/faults.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// SetLatency sets the one-way latency between two hosts, both ways.
+// SetLatency sets the one-way latency between two hosts, in both directions.
 func (n *Network) SetLatency(a, b string, d time.Duration) {
-	n.change(func() { n.latency[link{a, b}], n.latency[link{b, a}] = d, d })
+	n.update(func() { n.latency[link{a, b}], n.latency[link{b, a}] = d, d })
 }
 
-// Cut separates two hosts both ways: bytes on open connections are held and
-// dials hang, until Heal.
+// Cut cuts the link between two hosts in both directions: bytes on open connections are
+// held back and dials hang until Heal.
 func (n *Network) Cut(a, b string) {
-	n.change(func() { n.cut[link{a, b}], n.cut[link{b, a}] = true, true })
+	n.update(func() { n.cut[link{a, b}], n.cut[link{b, a}] = true, true })
 }
 
-// Partition separates all hosts of one side from all of the other, at once.
+// Partition atomically cuts the links between all hosts of one side and all of the other.
 func (n *Network) Partition(a, b []string) {
-	n.change(func() { eachWay(a, b, func(l link) { n.cut[l] = true }) })
+	n.update(func() { forEachLink(a, b, func(l link) { n.cut[l] = true }) })
 }
 
-// Join ends a Partition and delivers what it held.
+// Join heals a Partition and delivers the bytes it held back.
 func (n *Network) Join(a, b []string) {
-	n.change(func() { eachWay(a, b, func(l link) { delete(n.cut, l) }) })
+	n.update(func() { forEachLink(a, b, func(l link) { delete(n.cut, l) }) })
 }
 
-func eachWay(a, b []string, f func(l link)) {
+func forEachLink(a, b []string, f func(l link)) {
 	for _, x := range a {
 		for _, y := range b {
 			f(link{x, y})
@@ -32,40 +32,41 @@
 	}
 }
 
-// CutOneWay holds what travels from one host to another; the way back works.
+// CutOneWay holds back bytes from one host to another; the opposite direction works.
 func (n *Network) CutOneWay(from, to string) {
-	n.change(func() { n.cut[link{from, to}] = true })
+	n.update(func() { n.cut[link{from, to}] = true })
 }
 
-// Heal ends the cuts between two hosts and delivers what they held.
+// Heal restores both directions between two hosts and delivers the bytes held back.
 func (n *Network) Heal(a, b string) {
-	n.change(func() {
+	n.update(func() {
 		delete(n.cut, link{a, b})
 		delete(n.cut, link{b, a})
 	})
 }
 
-// Silence loses all bytes, for good, of the connections that are open between
-// two hosts now. New connections work.
+// Silence makes the connections that are open now between two hosts drop all bytes
+// permanently. New connections work.
 func (n *Network) Silence(a, b string) {
-	n.change(func() {
+	n.update(func() {
 		for c := range n.conns {
 			if l := c.out.link; l == (link{a, b}) || l == (link{b, a}) {
-				c.out.silent, c.in.silent = true, true
+				c.out.blackholed, c.in.blackholed = true, true
 			}
 		}
 	})
 }
 
-// Kill ends the process on a host: its listeners are gone, its connections are
-// reset, dials to it are refused, and its view of the network is dead.
+// Kill simulates the death of the process on a host: its listeners close, its
+// connections are reset, dials to it are refused, and existing Host values for it can
+// no longer listen or dial.
 func (n *Network) Kill(host string) {
-	n.change(func() {
-		n.lives[host]++
+	n.update(func() {
+		n.incarnations[host]++
 		delete(n.frozen, host)
 		for _, l := range n.listeners {
 			if l.host == host {
-				l.shut()
+				l.closeLocked()
 			}
 		}
 		for c := range n.conns {
@@ -76,25 +77,25 @@
 	})
 }
 
-// Freeze holds all bytes to and from a host and its dials, until Thaw. Dials to
-// it complete, as the kernel of a stopped process accepts connections.
+// Freeze holds back all bytes to and from a host, and its own dials, until Thaw. Dials
+// to it complete, because the kernel accepts connections for a stopped process.
 func (n *Network) Freeze(host string) {
-	n.change(func() { n.frozen[host] = true })
+	n.update(func() { n.frozen[host] = true })
 }
 
-// Thaw delivers what Freeze held.
+// Thaw ends Freeze and delivers what it held back.
 func (n *Network) Thaw(host string) {
-	n.change(func() { delete(n.frozen, host) })
+	n.update(func() { delete(n.frozen, host) })
 }
 
-// Reaches reports whether bytes travel between two hosts both ways.
+// Reaches reports whether bytes are delivered between two hosts in both directions.
 func (n *Network) Reaches(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.held(link{a, b}) && !n.held(link{b, a})
+	return !n.isBlocked(link{a, b}) && !n.isBlocked(link{b, a})
 }
 
-func (n *Network) change(f func()) {
+func (n *Network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
--- a/internal/standin/memnet/listener.go
+++ b/internal/standin/memnet/listener.go
@@ -29,18 +29,18 @@
 	}
 }
 
-// Close implements net.Listener. Connections not accepted yet are reset.
+// Close implements net.Listener. Connections that are not yet accepted are reset.
 func (l *listener) Close() error {
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	if l.closed {
 		return opError("close", net.ErrClosed)
 	}
-	l.shut()
+	l.closeLocked()
 	return nil
 }
 
-func (l *listener) shut() {
+func (l *listener) closeLocked() {
 	l.closed = true
 	delete(l.net.listeners, l.address)
 	for _, c := range l.backlog {
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -1,9 +1,9 @@
 // Package memnet is an in-memory network for tests under virtual time.
 //
-// Every process under test gets the view of one host. Latency and faults are
-// set on pairs of hosts. Bytes that a fault holds back are delivered in order
-// once it is healed, as TCP does by sending again. All waiting is on sync.Cond
-// and timers of package time, so that a testing/synctest bubble can idle.
+// Each process under test uses the network through a Host. Latency and faults are set
+// per pair of hosts. Bytes that a fault holds back are delivered in order once it is
+// healed, like TCP retransmission. All waiting uses sync.Cond and timers of package
+// time, so that goroutines in a testing/synctest bubble block durably.
 package memnet
 
 import (
@@ -15,54 +15,54 @@
 	"time"
 )
 
-// firstEphemeralPort is where the ports of dialling ends begin.
+// firstEphemeralPort is where the range of ports for dialing ends and port 0 begins.
 const firstEphemeralPort = 32768
 
-// link is the directed way from one host to another.
+// link is the direction from one host to another.
 type link struct{ from, to string }
 
-// Network joins hosts. One mutex guards the whole network.
+// Network connects hosts. One mutex guards the whole network, including its pipes.
 type Network struct {
-	mu        sync.Mutex
-	changed   *sync.Cond // a fault was set or healed, or a listener came or went
-	listeners map[string]*listener
-	conns     map[*conn]struct{}
-	latency   map[link]time.Duration
-	cut       map[link]bool
-	frozen    map[string]bool
-	lives     map[string]int
-	nextPort  int
+	mu           sync.Mutex
+	changed      *sync.Cond // signaled when a fault or a listener changes, or a connection is queued
+	listeners    map[string]*listener
+	conns        map[*conn]struct{}
+	latency      map[link]time.Duration
+	cut          map[link]bool
+	frozen       map[string]bool
+	incarnations map[string]int
+	nextPort     int
 }
 
 // New returns a network with no latency and no faults.
 func New() *Network {
 	n := &Network{
-		listeners: map[string]*listener{},
-		conns:     map[*conn]struct{}{},
-		latency:   map[link]time.Duration{},
-		cut:       map[link]bool{},
-		frozen:    map[string]bool{},
-		lives:     map[string]int{},
-		nextPort:  firstEphemeralPort,
+		listeners:    map[string]*listener{},
+		conns:        map[*conn]struct{}{},
+		latency:      map[link]time.Duration{},
+		cut:          map[link]bool{},
+		frozen:       map[string]bool{},
+		incarnations: map[string]int{},
+		nextPort:     firstEphemeralPort,
 	}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// Host returns the view of a process that starts now on the host at ip. The
-// view is dead once the host is killed; a restarted process takes a new one.
+// Host returns the network access of a process that starts now on the host at ip. It
+// stops working once the host is killed; a restarted process needs a new one.
 func (n *Network) Host(ip string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &Host{net: n, ip: ip, life: n.lives[ip]}
+	return &Host{net: n, ip: ip, incarnation: n.incarnations[ip]}
 }
 
-// held reports whether bytes on the way from one host to another must wait.
-func (n *Network) held(l link) bool {
+// isBlocked reports whether a fault holds back bytes on a link.
+func (n *Network) isBlocked(l link) bool {
 	return n.cut[l] || n.frozen[l.from] || n.frozen[l.to]
 }
 
-// wakeAll makes every waiting call look again.
+// wakeAll makes every waiting call check its condition again.
 func (n *Network) wakeAll() {
 	n.changed.Broadcast()
 	for c := range n.conns {
@@ -70,7 +70,7 @@
 	}
 }
 
-// waitUntil waits on cond, at the longest until t if t is not zero.
+// waitUntil waits on cond, until t at the latest if t is not zero.
 func waitUntil(cond *sync.Cond, t time.Time) {
 	if t.IsZero() {
 		cond.Wait()
@@ -85,15 +85,15 @@
 	timer.Stop()
 }
 
-// Host is one process's view of the network; it implements netio.Network.
+// Host is one process's access to the network; it implements netio.Network.
 type Host struct {
-	net  *Network
-	ip   string
-	life int
+	net         *Network
+	ip          string
+	incarnation int
 }
 
-// Listen implements netio.Network. The address must be of this host; port 0
-// takes a free one.
+// Listen implements netio.Network. The address must belong to this host; port 0
+// selects a free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	ip, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -102,7 +102,7 @@
 	n := h.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if (ip != "" && ip != h.ip) || h.life != n.lives[h.ip] {
+	if (ip != "" && ip != h.ip) || h.incarnation != n.incarnations[h.ip] {
 		return nil, opError("listen", syscall.EADDRNOTAVAIL)
 	}
 	if port == "0" {
@@ -119,8 +119,8 @@
 	return l, nil
 }
 
-// Dial implements netio.Dialer. It takes one round trip; it hangs while the
-// way there or back is cut, until ctx ends.
+// Dial implements netio.Dialer. It takes one round trip, and hangs while either
+// direction is cut, until ctx ends.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -129,25 +129,25 @@
 	n := h.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.roundTrip(ctx, h.ip, to); err != nil {
+	if err := n.waitRoundTrip(ctx, h.ip, to); err != nil {
 		return nil, err
 	}
-	if h.life != n.lives[h.ip] {
+	if h.incarnation != n.incarnations[h.ip] {
 		return nil, opError("dial", syscall.ENETDOWN)
 	}
 	l := n.listeners[address]
 	if l == nil {
 		return nil, opError("dial", syscall.ECONNREFUSED)
 	}
-	dialled, accepted := n.pair(h.ip, l.address)
-	// A frozen process does not accept, but its kernel completes the connection.
+	dialled, accepted := n.newConnPair(h.ip, l.address)
+	// A frozen process does not accept, but its kernel completes the handshake.
 	l.backlog = append(l.backlog, accepted)
 	n.changed.Broadcast()
 	return dialled, nil
 }
 
-// Pair returns the two ends of a connection between two hosts, after a round
-// trip. It lets another network borrow the latency and the faults of this one.
+// Pair returns both ends of a connection between two hosts, after a round trip, without
+// a listener. Other networks use it to apply this network's latency and faults.
 func (n *Network) Pair(ctx context.Context, from, address string) (dialled, accepted net.Conn, err error) {
 	to, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -155,28 +155,28 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.roundTrip(ctx, from, to); err != nil {
+	if err := n.waitRoundTrip(ctx, from, to); err != nil {
 		return nil, nil, err
 	}
-	dialled, accepted = n.pair(from, address)
+	dialled, accepted = n.newConnPair(from, address)
 	return dialled, accepted, nil
 }
 
-// roundTrip waits as long as a connection's set-up takes. Caller holds the mutex.
-func (n *Network) roundTrip(ctx context.Context, from, to string) error {
+// waitRoundTrip waits for the time that connection setup takes. The caller holds the mutex.
+func (n *Network) waitRoundTrip(ctx context.Context, from, to string) error {
 	stop := context.AfterFunc(ctx, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.changed.Broadcast()
 	})
 	defer stop()
-	there, back := link{from, to}, link{to, from}
-	arrival := time.Now().Add(n.latency[there] + n.latency[back])
+	forward, reverse := link{from, to}, link{to, from}
+	arrival := time.Now().Add(n.latency[forward] + n.latency[reverse])
 	for {
 		switch {
 		case ctx.Err() != nil:
 			return opError("dial", ctx.Err())
-		case n.cut[there] || n.cut[back] || n.frozen[from]:
+		case n.cut[forward] || n.cut[reverse] || n.frozen[from]:
 			n.changed.Wait()
 		case time.Now().Before(arrival):
 			waitUntil(n.changed, arrival)
@@ -186,15 +186,15 @@
 	}
 }
 
-// pair makes the two ends of a connection. Caller holds the mutex.
-func (n *Network) pair(from, address string) (dialled, accepted *conn) {
+// newConnPair creates both ends of a connection. The caller holds the mutex.
+func (n *Network) newConnPair(from, address string) (dialled, accepted *conn) {
 	n.nextPort++
 	dialled = &conn{net: n, local: tcpAddr(net.JoinHostPort(from, fmt.Sprint(n.nextPort))), remote: tcpAddr(address)}
 	accepted = &conn{net: n, local: dialled.remote, remote: dialled.local}
 	to := dialled.remote.IP.String()
-	there, back := newPipe(n, link{from, to}), newPipe(n, link{to, from})
-	dialled.in, dialled.out = back, there
-	accepted.in, accepted.out = there, back
+	forward, reverse := newPipe(n, link{from, to}), newPipe(n, link{to, from})
+	dialled.in, dialled.out = reverse, forward
+	accepted.in, accepted.out = forward, reverse
 	n.conns[dialled] = struct{}{}
 	n.conns[accepted] = struct{}{}
 	return dialled, accepted
--- a/internal/standin/memnet/network_test.go
+++ b/internal/standin/memnet/network_test.go
@@ -24,8 +24,8 @@
 	latency = 2 * time.Millisecond
 )
 
-// pair returns a network with one connection from host A to host B.
-func pair(t *testing.T) (*Network, net.Conn, net.Conn) {
+// connectHosts returns a network with one open connection from host A to host B.
+func connectHosts(t *testing.T) (*Network, net.Conn, net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	n := New()
@@ -45,10 +45,10 @@
 	return string(buf[:k]), err
 }
 
-func TestBytesTakeTheLatency(t *testing.T) {
+func TestLatencyDelaysBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, b := pair(t)
+		_, a, b := connectHosts(t)
 		start := time.Now()
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
@@ -67,7 +67,7 @@
 func TestReadDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, _, b := pair(t)
+		_, _, b := connectHosts(t)
 		is.NoErr(b.SetReadDeadline(time.Now().Add(time.Second)))
 		start := time.Now()
 		_, err := read(b)
@@ -76,24 +76,24 @@
 	})
 }
 
-func TestWriteBlocksAtTheBound(t *testing.T) {
+func TestWriteBlocksWhenPipeIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, _ := pair(t)
+		_, a, _ := connectHosts(t)
 		is.NoErr(a.SetWriteDeadline(time.Now().Add(time.Second)))
-		k, err := a.Write(make([]byte, pipeBound+1))
-		is.Equal(k, pipeBound)
+		k, err := a.Write(make([]byte, pipeCapacity+1))
+		is.Equal(k, pipeCapacity)
 		is.True(errors.Is(err, os.ErrDeadlineExceeded))
 	})
 }
 
-// The caller sees nothing while the hosts are cut, not even an error: a read
-// waits, a dial hangs until its context ends. After the cut is healed the bytes
-// written in between arrive, because TCP sends them again.
+// While a link is cut, neither reads nor dials fail: a read waits and a dial hangs until
+// its context ends. After the cut is healed, bytes written in the meantime arrive, as
+// TCP retransmits them.
 func TestCutHoldsBytesAndDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := pair(t)
+		n, a, b := connectHosts(t)
 		n.CutOneWay(hostA, hostB)
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
@@ -112,12 +112,12 @@
 	})
 }
 
-// The caller of an old connection sees nothing for ever, while a new dial works,
-// because something between the two ends has lost track of the old one.
-func TestSilenceKeepsNewConnections(t *testing.T) {
+// A connection whose state is lost between the two ends (for example in a NAT device)
+// never delivers anything again, while a new dial works.
+func TestSilenceSparesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := pair(t)
+		n, a, b := connectHosts(t)
 		n.Silence(hostA, hostB)
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
@@ -129,13 +129,13 @@
 	})
 }
 
-// The caller's read fails with a reset and its dial is refused, because the
-// process at the other end died. The dead process cannot use the network again;
-// its successor on the same host can.
+// After the process at the other end is killed, reads fail with a reset and dials are
+// refused. The killed process cannot use the network again; a new process on the same
+// host can.
 func TestKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, _ := pair(t)
+		n, a, _ := connectHosts(t)
 		dead := n.Host(hostB)
 		n.Kill(hostB)
 		_, err := read(a)
@@ -149,12 +149,12 @@
 	})
 }
 
-// The caller connects to a frozen process, because its kernel accepts, but gets
-// no answer until the process is thawed; then all bytes arrive.
+// Dials to a frozen process succeed, because its kernel accepts, but no bytes are
+// delivered until it is thawed; then all of them arrive.
 func TestFreezeAndThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := pair(t)
+		n, a, b := connectHosts(t)
 		n.Freeze(hostB)
 		_, err := n.Host(hostA).Dial(t.Context(), addrB)
 		is.NoErr(err)
@@ -168,12 +168,12 @@
 	})
 }
 
-// The caller on one side of a partition reads nothing until the sides are joined,
-// because all pairs of hosts are cut at one moment.
+// During a partition nothing is delivered between the sides; Join delivers the bytes
+// that were held back.
 func TestPartitionAndJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, a, b := pair(t)
+		n, a, b := connectHosts(t)
 		n.Partition([]string{hostA}, []string{hostB, "10.0.0.3"})
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
@@ -185,12 +185,12 @@
 	})
 }
 
-// A close with bytes unread resets the connection: the other end reads what has arrived and no
-// more. Behind a half-close it goes on sending.
+// Closing a connection with unread bytes resets it: the other end reads only what has
+// already arrived. After a half-close the other end can still send.
 func TestCloseWithUnreadBytesResets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, a, b := pair(t)
+		_, a, b := connectHosts(t)
 		_, err := a.Write([]byte("unread"))
 		is.NoErr(err)
 		_, err = b.Write([]byte("early"))
@@ -205,7 +205,7 @@
 		_, err = read(a)
 		is.True(errors.Is(err, syscall.ECONNRESET))
 
-		_, a, b = pair(t)
+		_, a, b = connectHosts(t)
 		is.NoErr(b.(interface{ CloseWrite() error }).CloseWrite())
 		_, err = read(a)
 		is.Equal(err, io.EOF)
--- a/internal/standin/memnet/pipe.go
+++ b/internal/standin/memnet/pipe.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// pipeBound is how many bytes a pipe holds before writes block.
-const pipeBound = 1 << 20
+// pipeCapacity is the number of bytes that a pipe buffers before writes block.
+const pipeCapacity = 1 << 20
 
-// chunk is what travels: bytes, or the end of the stream as an error.
+// chunk is a unit in flight: bytes, or the end of the stream as an error.
 type chunk struct {
-	data    []byte
-	end     error
-	arrives time.Time
+	data      []byte
+	endErr    error
+	arrivesAt time.Time
 }
 
 // pipe is one direction of a connection.
@@ -27,9 +27,9 @@
 	cond          *sync.Cond
 	chunks        []chunk
 	size          int
-	silent        bool
-	readerGone    bool
-	writerGone    bool
+	blackholed    bool
+	readerClosed  bool
+	writerClosed  bool
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
@@ -38,26 +38,26 @@
 	return &pipe{net: n, link: l, cond: sync.NewCond(&n.mu)}
 }
 
-// send puts a chunk on its way. A silent pipe loses it. Caller holds the mutex.
+// send queues a chunk for delivery. A blackholed pipe drops it. The caller holds the mutex.
 func (p *pipe) send(c chunk) {
-	if p.silent {
+	if p.blackholed {
 		return
 	}
-	c.arrives = time.Now().Add(p.net.latency[p.link])
-	if k := len(p.chunks); k > 0 && p.chunks[k-1].arrives.After(c.arrives) {
-		c.arrives = p.chunks[k-1].arrives
+	c.arrivesAt = time.Now().Add(p.net.latency[p.link])
+	if k := len(p.chunks); k > 0 && p.chunks[k-1].arrivesAt.After(c.arrivesAt) {
+		c.arrivesAt = p.chunks[k-1].arrivesAt
 	}
 	p.chunks = append(p.chunks, c)
 	p.size += len(c.data)
 	p.cond.Broadcast()
 }
 
-// loseUndelivered drops what has not arrived. Caller holds the mutex.
-func (p *pipe) loseUndelivered() {
+// dropUndelivered drops the chunks that have not arrived. The caller holds the mutex.
+func (p *pipe) dropUndelivered() {
 	arrived := p.chunks[:0]
 	p.size = 0
 	for _, c := range p.chunks {
-		if time.Now().Before(c.arrives) || p.net.held(p.link) {
+		if time.Now().Before(c.arrivesAt) || p.net.isBlocked(p.link) {
 			break
 		}
 		arrived = append(arrived, c)
@@ -72,31 +72,32 @@
 	for {
 		wake := p.readDeadline
 		switch {
-		case p.readerGone:
+		case p.readerClosed:
 			return 0, opError("read", net.ErrClosed)
 		case expired(p.readDeadline):
 			return 0, opError("read", os.ErrDeadlineExceeded)
-		case len(p.chunks) > 0 && !p.silent && !p.net.held(p.link):
-			arrives := p.chunks[0].arrives
-			if !time.Now().Before(arrives) {
-				return p.take(b)
+		case len(p.chunks) > 0 && !p.blackholed && !p.net.isBlocked(p.link):
+			arrivesAt := p.chunks[0].arrivesAt
+			if !time.Now().Before(arrivesAt) {
+				return p.readFirstChunk(b)
 			}
-			if wake.IsZero() || arrives.Before(wake) {
-				wake = arrives
+			if wake.IsZero() || arrivesAt.Before(wake) {
+				wake = arrivesAt
 			}
 		}
 		waitUntil(p.cond, wake)
 	}
 }
 
-// take copies out of the first chunk. An end stays for reads to come.
-func (p *pipe) take(b []byte) (int, error) {
+// readFirstChunk copies bytes from the first chunk. The end of the stream stays queued
+// for later reads.
+func (p *pipe) readFirstChunk(b []byte) (int, error) {
 	c := &p.chunks[0]
-	if c.end == io.EOF {
+	if c.endErr == io.EOF {
 		return 0, io.EOF
 	}
-	if c.end != nil {
-		return 0, opError("read", c.end)
+	if c.endErr != nil {
+		return 0, opError("read", c.endErr)
 	}
 	k := copy(b, c.data)
 	c.data = c.data[k:]
@@ -114,16 +115,16 @@
 	sent := 0
 	for {
 		switch {
-		case p.writerGone:
+		case p.writerClosed:
 			return sent, opError("write", net.ErrClosed)
-		case p.readerGone && !p.silent && !p.net.held(p.link):
+		case p.readerClosed && !p.blackholed && !p.net.isBlocked(p.link):
 			return sent, opError("write", syscall.EPIPE)
 		case expired(p.writeDeadline):
 			return sent, opError("write", os.ErrDeadlineExceeded)
 		case sent == len(b):
 			return sent, nil
-		case p.size < pipeBound:
-			k := min(len(b)-sent, pipeBound-p.size)
+		case p.size < pipeCapacity:
+			k := min(len(b)-sent, pipeCapacity-p.size)
 			p.send(chunk{data: append([]byte(nil), b[sent:sent+k]...)})
 			sent += k
 		default:
--- a/internal/standin/peernet/net.go
+++ b/internal/standin/peernet/net.go
@@ -1,5 +1,5 @@
-// Package peernet carries calls between instances in memory, for tests of parts that
-// call peers and serve them.
+// Package peernet is an in-memory transport for calls between instances, for tests of
+// components that call peers and handle peer calls.
 package peernet
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/peer"
 )
 
-// Net connects endpoints. The zero value is not ready; use New.
+// Net connects endpoints. The zero value is not usable; call New.
 type Net struct {
 	mu       sync.Mutex
 	handlers map[string]map[string]peer.Handler
@@ -22,7 +22,7 @@
 	return &Net{handlers: make(map[string]map[string]peer.Handler), cut: make(map[string]bool)}
 }
 
-// SetCut cuts the endpoint at an address off from all others, or heals that.
+// SetCut disconnects the endpoint at an address from all others, or reconnects it.
 func (n *Net) SetCut(address string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,7 +32,7 @@
 // At returns the endpoint at an address.
 func (n *Net) At(address string) Endpoint { return Endpoint{net: n, address: address} }
 
-func (n *Net) handler(from, to, method string) peer.Handler {
+func (n *Net) handlerFor(from, to, method string) peer.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cut[from] || n.cut[to] {
@@ -57,24 +57,25 @@
 	e.net.handlers[e.address][method] = h
 }
 
-// Call implements peer.Caller. A peer that is cut off, or not there, answers nothing.
+// Call implements peer.Caller. If the peer is disconnected or has no handler for the
+// method, Call blocks until ctx ends.
 func (e Endpoint) Call(ctx context.Context, address, method string, params, reply any) error {
-	h := e.net.handler(e.address, address, method)
+	h := e.net.handlerFor(e.address, address, method)
 	if h == nil {
 		<-ctx.Done()
 		return peer.ErrNotSent
 	}
-	raw, err := json.Marshal(params)
+	encodedParams, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	answer, err := h(ctx, e.address, raw)
+	result, err := h(ctx, e.address, encodedParams)
 	if err != nil {
 		return err
 	}
-	back, err := json.Marshal(answer)
+	encoded, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(back, reply)
+	return json.Unmarshal(encoded, reply)
 }
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -8,10 +8,10 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Call names a kind of call that the store counts.
+// Call is a kind of API call that the store counts.
 type Call string
 
-// Kinds of calls. A watch counts once however long it waits.
+// Kinds of API calls. A watch counts once, regardless of how long it waits.
 const (
 	CallGet       Call = "get"
 	CallList      Call = "list"
@@ -21,50 +21,50 @@
 	CallInventory Call = "inventory"
 )
 
-// Faults are the switches of the store.
+// Faults configures fault injection in the store.
 type Faults struct {
-	// Outage makes every call fail, a waiting watch too.
+	// Outage makes every call fail, including watches that are already waiting.
 	Outage bool
-	// Silent makes calls wait until their callers give up.
+	// Silent makes new calls block until their context ends.
 	Silent bool
-	// DeafWatches makes watches hear nothing while objects change.
+	// DeafWatches makes watches report no changes.
 	DeafWatches bool
-	// LateChanges is how many of the next Puts get no answer and take effect LateBy
-	// later, if their condition still holds then.
+	// LateChanges is the number of upcoming Puts that return ErrOutcomeUnknown at once
+	// and are applied LateBy later, if their version condition still holds then.
 	LateChanges int
 	LateBy      time.Duration
-	// Delay is added to every call.
+	// Delay is the latency added to every call.
 	Delay time.Duration
-	// LoseAnswers is how many of the next Puts take effect with no answer.
+	// LoseAnswers is the number of upcoming Puts that are applied but return ErrOutcomeUnknown.
 	LoseAnswers int
-	// InventoryLag is how late the list of machines shows a change.
+	// InventoryLag is the delay before a change of the inventory becomes visible.
 	InventoryLag time.Duration
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults and wakes waiting watches.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.notify()
+	s.notifyWatchers()
 }
 
-// Faults returns the switches.
+// Faults returns the faults that are currently injected.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns how many calls of each kind have come.
+// Calls returns the number of calls received so far, by kind.
 func (s *Store) Calls() map[Call]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// begin counts a call and applies the delay and the outage.
-func (s *Store) begin(ctx context.Context, c Call) error {
+// beginCall counts a call and applies the Delay, Silent and Outage faults.
+func (s *Store) beginCall(ctx context.Context, c Call) error {
 	s.mu.Lock()
 	s.calls[c]++
 	delay := s.faults.Delay
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -12,8 +12,8 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// faultSwitches is the body of POST /v1/faults.
-type faultSwitches struct {
+// faultsRequest is the body of POST /v1/faults.
+type faultsRequest struct {
 	Outage         bool `json:"outage"`
 	Silent         bool `json:"silent"`
 	DeafWatches    bool `json:"deaf_watches"`
@@ -24,9 +24,10 @@
 	InventoryLagMS int  `json:"inventory_lag_ms"`
 }
 
-// Handler serves a store in the platform's published form, and switches for its
-// faults beside it. A change whose answer is lost takes effect, and the connection is
-// closed with no answer. An object's Revision counts its own changes.
+// Handler serves a store over the platform's published HTTP API, plus endpoints that
+// set its faults and inventory and report its call counts. When a fault loses the
+// response to a change, the connection is closed without a response. An object's
+// Revision is its own version, not the revision of the store.
 func Handler(s *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.serveGet)
@@ -36,22 +37,22 @@
 	mux.HandleFunc("DELETE /v1/objects/{kind}/{name}", s.serveDelete)
 	mux.HandleFunc("PUT /v1/inventory", s.serveSetInventory)
 	mux.HandleFunc("POST /v1/faults", s.serveFaults)
-	mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Calls(), nil) })
+	mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { writeReply(w, s.Calls(), nil) })
 	return mux
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
-	o, err := s.Get(r.Context(), kindOf(r), r.PathValue("name"))
-	reply(w, published(o), err)
+	o, err := s.Get(r.Context(), requestedKind(r), r.PathValue("name"))
+	writeReply(w, toPublished(o), err)
 }
 
-// serveList answers a list, or a watch where the query asks for one.
+// serveList serves a list, or a watch if the query contains Watch.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.FormValue("Watch") != "" {
 		s.serveWatch(w, r)
 		return
 	}
-	objects, revision, err := s.listOf(r.Context(), kindOf(r))
+	objects, revision, err := s.listWithInventory(r.Context(), requestedKind(r))
 	p := objectPage{Items: []object{}, StoreRevision: revision}
 	after := r.FormValue("after")
 	for _, o := range objects {
@@ -62,9 +63,9 @@
 			p.HasMore = true
 			break
 		}
-		p.Items = append(p.Items, published(o))
+		p.Items = append(p.Items, toPublished(o))
 	}
-	reply(w, p, err)
+	writeReply(w, p, err)
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -77,34 +78,34 @@
 	if ms, err := strconv.Atoi(r.FormValue("WaitMs")); err == nil {
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	objects, revision, err := s.watch(r.Context(), kindOf(r), after, wait)
-	answer := eventList{Events: []event{}, StoreRevision: revision}
+	objects, revision, err := s.watch(r.Context(), requestedKind(r), after, wait)
+	response := eventList{Events: []event{}, StoreRevision: revision}
 	for _, o := range objects {
-		answer.Events = append(answer.Events, event{Object: published(o), Removed: o.Removed})
+		response.Events = append(response.Events, event{Object: toPublished(o), Removed: o.Removed})
 	}
-	reply(w, answer, err)
+	writeReply(w, response, err)
 }
 
 // servePut creates or replaces an object.
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 2*platform.MaxValueSize))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 2*platform.MaxValueSize))
 	if err != nil {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	var o object
-	if err := json.Unmarshal(text, &o); err != nil || o.Meta.Name == "" {
+	if err := json.Unmarshal(body, &o); err != nil || o.Meta.Name == "" {
 		http.Error(w, "an object with meta and spec is needed", http.StatusBadRequest)
 		return
 	}
 	if r.Method == http.MethodPost {
 		o.Meta.Revision = 0
 	}
-	stored, err := s.Put(r.Context(), kindOf(r), o.Meta.Name, valueOf(kindOf(r), o.Spec), o.Meta.Revision)
+	stored, err := s.Put(r.Context(), requestedKind(r), o.Meta.Name, specValue(requestedKind(r), o.Spec), o.Meta.Revision)
 	if errors.Is(err, platform.ErrOutcomeUnknown) {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, published(stored), err)
+	writeReply(w, toPublished(stored), err)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
@@ -113,7 +114,7 @@
 		http.Error(w, "Revision must be a number", http.StatusBadRequest)
 		return
 	}
-	reply(w, struct{}{}, s.Delete(r.Context(), kindOf(r), r.PathValue("name"), revision))
+	writeReply(w, struct{}{}, s.Delete(r.Context(), requestedKind(r), r.PathValue("name"), revision))
 }
 
 func (s *Store) serveSetInventory(w http.ResponseWriter, r *http.Request) {
@@ -123,11 +124,11 @@
 		return
 	}
 	s.SetInventory(i)
-	reply(w, i, nil)
+	writeReply(w, i, nil)
 }
 
 func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var f faultSwitches
+	var f faultsRequest
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -142,11 +143,11 @@
 		LateBy:       time.Duration(f.LateByMS) * time.Millisecond,
 		InventoryLag: time.Duration(f.InventoryLagMS) * time.Millisecond,
 	})
-	reply(w, f, nil)
+	writeReply(w, f, nil)
 }
 
-// reply writes a JSON body, or the status that stands for an error.
-func reply(w http.ResponseWriter, body any, err error) {
+// writeReply writes the JSON body, or the HTTP status that corresponds to the error.
+func writeReply(w http.ResponseWriter, body any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
@@ -162,8 +163,8 @@
 	}
 }
 
-// kindOf returns the kind that a path names.
-func kindOf(r *http.Request) platform.Kind {
+// requestedKind returns the object kind in the request path.
+func requestedKind(r *http.Request) platform.Kind {
 	switch kind := r.PathValue("kind"); kind {
 	case "config":
 		return platform.KindManifest
--- a/internal/standin/platform/published.go
+++ b/internal/standin/platform/objects.go
@@ -9,10 +9,10 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// pageSize is how many objects one answer of a list holds.
+// pageSize is the maximum number of objects in one list response.
 const pageSize = 500
 
-// object is an object as the platform publishes it.
+// object is the JSON form of an object in the platform's HTTP API.
 type object struct {
 	Meta meta            `json:"meta"`
 	Spec json.RawMessage `json:"spec"`
@@ -23,14 +23,14 @@
 	Revision int64  `json:"Revision"`
 }
 
-// objectPage is the body of a list.
+// objectPage is the response body of a list.
 type objectPage struct {
 	Items         []object `json:"items"`
 	HasMore       bool     `json:"HasMore"`
 	StoreRevision int64    `json:"StoreRevision"`
 }
 
-// eventList is the body of a watch.
+// eventList is the response body of a watch.
 type eventList struct {
 	Events        []event `json:"events"`
 	StoreRevision int64   `json:"StoreRevision"`
@@ -41,33 +41,34 @@
 	Removed bool   `json:"Removed"`
 }
 
-// spec is the specification of an object of the product's own kinds.
+// spec is the specification of an object of a kind that topazrock itself writes: Value
+// if the stored value is valid JSON, Bytes otherwise.
 type spec struct {
 	Value json.RawMessage `json:"value,omitempty"`
 	Bytes []byte          `json:"bytes,omitempty"`
 }
 
-// written reports whether others than the product write a kind, whose specifications
-// are stored as they are.
-func written(kind platform.Kind) bool {
+// writtenExternally reports whether objects of a kind are written by others than
+// topazrock. Their specifications are stored unchanged.
+func writtenExternally(kind platform.Kind) bool {
 	return kind == platform.KindManifest || kind == platform.KindUpstreams
 }
 
-// valueOf returns the value that a specification holds.
-func valueOf(kind platform.Kind, text json.RawMessage) []byte {
-	if written(kind) {
-		return text
+// specValue returns the value to store for a specification.
+func specValue(kind platform.Kind, raw json.RawMessage) []byte {
+	if writtenExternally(kind) {
+		return raw
 	}
 	var s spec
-	if json.Unmarshal(text, &s) != nil || s.Value == nil {
+	if json.Unmarshal(raw, &s) != nil || s.Value == nil {
 		return s.Bytes
 	}
 	return s.Value
 }
 
-func published(o platform.Object) object {
+func toPublished(o platform.Object) object {
 	p := object{Meta: meta{Name: o.Name, Revision: o.Version}, Spec: o.Value}
-	if written(o.Kind) {
+	if writtenExternally(o.Kind) {
 		return p
 	}
 	s := spec{Bytes: o.Value}
@@ -78,9 +79,9 @@
 	return p
 }
 
-// listOf lists a kind by name. The lists of machines show what SetInventory set, for
-// tests that set it, beside the objects.
-func (s *Store) listOf(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+// listWithInventory lists the objects of a kind, sorted by name. Lists of instances and
+// upstreams also include the machines that tests set with SetInventory.
+func (s *Store) listWithInventory(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
 	objects, revision, err := s.List(ctx, kind)
 	if err != nil {
 		return nil, 0, err
@@ -90,14 +91,14 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		objects = append(objects, machinesOf(kind, inventory)...)
+		objects = append(objects, inventoryObjects(kind, inventory)...)
 	}
 	slices.SortFunc(objects, func(a, b platform.Object) int { return cmp.Compare(a.Name, b.Name) })
 	return objects, revision, nil
 }
 
-// machinesOf returns an inventory's machines of a kind as objects.
-func machinesOf(kind platform.Kind, i platform.Inventory) []platform.Object {
+// inventoryObjects converts the inventory's machines of a kind to objects.
+func inventoryObjects(kind platform.Kind, i platform.Inventory) []platform.Object {
 	var objects []platform.Object
 	if kind == platform.KindInstances {
 		for _, instance := range i.Instances {
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the platform: an object API with versions,
-// conditional updates and watches, and the list of machines. It serves tests in
-// memory and processes over HTTP, and has switches for the platform's faults.
+// Package platform is a fake of the platform: an object API with versions, conditional
+// updates and watches, plus the inventory of machines. Tests use it in memory, processes
+// over HTTP. It can inject the platform's faults.
 package platform
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// shown is a list of machines and when it was set.
-type shown struct {
-	at        time.Time
+// datedInventory is an inventory and the time it was set.
+type datedInventory struct {
+	setAt     time.Time
 	inventory platform.Inventory
 }
 
@@ -24,8 +24,8 @@
 type collection struct {
 	objects  map[string]platform.Object
 	revision int64
-	// floor is the revision that a watch must not lie before.
-	floor int64
+	// compactedRevision is the oldest revision that a watch can start from.
+	compactedRevision int64
 }
 
 // Store implements platform.API in memory.
@@ -34,10 +34,10 @@
 
 	mu        sync.Mutex
 	kinds     map[platform.Kind]*collection
-	inventory []shown
+	inventory []datedInventory
 	faults    Faults
 	calls     map[Call]int
-	// changed is closed and replaced when an object or a switch changes.
+	// changed is closed and replaced when an object or the injected faults change.
 	changed chan struct{}
 }
 
@@ -52,24 +52,25 @@
 	}
 }
 
-// SetHook calls f at KIND.put.before and KIND.put.after_before_answer.
+// SetHook makes Put call f at the points KIND.put.before (before the value is stored) and
+// KIND.put.after_before_answer (after it is stored, before Put returns).
 func (s *Store) SetHook(f func(point string)) { s.hook.Store(&f) }
 
-// SetInventory sets the list of machines. Callers see it after InventoryLag.
+// SetInventory sets the inventory. It becomes visible after Faults.InventoryLag.
 func (s *Store) SetInventory(i platform.Inventory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inventory = append(s.inventory, shown{time.Now(), i})
+	s.inventory = append(s.inventory, datedInventory{time.Now(), i})
 }
 
 // Get implements platform.API.
 func (s *Store) Get(ctx context.Context, kind platform.Kind, name string) (platform.Object, error) {
-	if err := s.begin(ctx, CallGet); err != nil {
+	if err := s.beginCall(ctx, CallGet); err != nil {
 		return platform.Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.collection(kind).objects[name]
+	o, ok := s.collectionFor(kind).objects[name]
 	if !ok || o.Removed {
 		return platform.Object{}, platform.ErrNotFound
 	}
@@ -78,13 +79,13 @@
 
 // List implements platform.API.
 func (s *Store) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
-	if err := s.begin(ctx, CallList); err != nil {
+	if err := s.beginCall(ctx, CallList); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.collection(kind)
-	objects := slices.DeleteFunc(c.after(0), func(o platform.Object) bool { return o.Removed })
+	c := s.collectionFor(kind)
+	objects := slices.DeleteFunc(c.objectsAfter(0), func(o platform.Object) bool { return o.Removed })
 	return objects, c.revision, nil
 }
 
@@ -95,40 +96,40 @@
 
 // Put implements platform.API.
 func (s *Store) Put(ctx context.Context, kind platform.Kind, name string, value []byte, ifVersion int64) (platform.Object, error) {
-	if err := s.begin(ctx, CallPut); err != nil {
+	if err := s.beginCall(ctx, CallPut); err != nil {
 		return platform.Object{}, err
 	}
-	s.at(string(kind) + ".put.before")
-	if s.takeLate(kind, name, value, ifVersion) {
+	s.callHook(string(kind) + ".put.before")
+	if s.deferPut(kind, name, value, ifVersion) {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
-	o, lost, err := s.store(kind, name, value, ifVersion)
+	o, answerLost, err := s.applyPut(kind, name, value, ifVersion)
 	if err != nil {
 		return platform.Object{}, err
 	}
-	s.at(string(kind) + ".put.after_before_answer")
-	if lost || ctx.Err() != nil {
+	s.callHook(string(kind) + ".put.after_before_answer")
+	if answerLost || ctx.Err() != nil {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
 	return o, nil
 }
 
-// takeLate puts a change off, if the next one is to be late.
-func (s *Store) takeLate(kind platform.Kind, name string, value []byte, ifVersion int64) bool {
+// deferPut schedules the change for later and returns true if LateChanges is not used up.
+func (s *Store) deferPut(kind platform.Kind, name string, value []byte, ifVersion int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LateChanges == 0 {
 		return false
 	}
 	s.faults.LateChanges--
-	time.AfterFunc(s.faults.LateBy, func() { _, _, _ = s.store(kind, name, value, ifVersion) })
+	time.AfterFunc(s.faults.LateBy, func() { _, _, _ = s.applyPut(kind, name, value, ifVersion) })
 	return true
 }
 
-func (s *Store) store(kind platform.Kind, name string, value []byte, ifVersion int64) (o platform.Object, lost bool, err error) {
+func (s *Store) applyPut(kind platform.Kind, name string, value []byte, ifVersion int64) (o platform.Object, answerLost bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.collection(kind)
+	c := s.collectionFor(kind)
 	o = c.objects[name]
 	if o.Removed {
 		o.Version = 0
@@ -139,22 +140,22 @@
 	c.revision++
 	o = platform.Object{Kind: kind, Name: name, Version: ifVersion + 1, Revision: c.revision, Value: bytes.Clone(value)}
 	c.objects[name] = o
-	lost = s.faults.LoseAnswers > 0
-	if lost {
+	answerLost = s.faults.LoseAnswers > 0
+	if answerLost {
 		s.faults.LoseAnswers--
 	}
-	s.notify()
-	return o, lost, nil
+	s.notifyWatchers()
+	return o, answerLost, nil
 }
 
 // Delete implements platform.API.
 func (s *Store) Delete(ctx context.Context, kind platform.Kind, name string, ifVersion int64) error {
-	if err := s.begin(ctx, CallDelete); err != nil {
+	if err := s.beginCall(ctx, CallDelete); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.collection(kind)
+	c := s.collectionFor(kind)
 	o, ok := c.objects[name]
 	switch {
 	case !ok || o.Removed:
@@ -164,38 +165,38 @@
 	}
 	c.revision++
 	c.objects[name] = platform.Object{Kind: kind, Name: name, Version: o.Version + 1, Revision: c.revision, Removed: true}
-	s.notify()
+	s.notifyWatchers()
 	return nil
 }
 
 // Inventory implements platform.API.
 func (s *Store) Inventory(ctx context.Context) (platform.Inventory, error) {
-	if err := s.begin(ctx, CallInventory); err != nil {
+	if err := s.beginCall(ctx, CallInventory); err != nil {
 		return platform.Inventory{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := time.Now().Add(-s.faults.InventoryLag)
+	setBefore := time.Now().Add(-s.faults.InventoryLag)
 	for _, i := range slices.Backward(s.inventory) {
-		if !i.at.After(due) {
+		if !i.setAt.After(setBefore) {
 			return i.inventory, nil
 		}
 	}
 	return platform.Inventory{}, nil
 }
 
-func (s *Store) at(point string) {
+func (s *Store) callHook(point string) {
 	if f := s.hook.Load(); f != nil && *f != nil {
 		(*f)(point)
 	}
 }
 
-func (s *Store) notify() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) collection(kind platform.Kind) *collection {
+func (s *Store) collectionFor(kind platform.Kind) *collection {
 	c := s.kinds[kind]
 	if c == nil {
 		c = &collection{objects: map[string]platform.Object{}}
--- a/internal/standin/platform/store_test.go
+++ b/internal/standin/platform/store_test.go
@@ -43,9 +43,9 @@
 	})
 }
 
-// The caller learns nothing of its Put though the value is stored, because the
-// answer was lost on the way back. In an outage every call fails, and a watch
-// that waits already fails as the outage begins.
+// A Put whose response is lost returns ErrOutcomeUnknown although the value is stored.
+// An outage fails a watch that is already waiting. An inventory becomes visible only
+// after InventoryLag.
 func TestFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,14 +78,14 @@
 	call := func(method, path, body string) (int, string) {
 		r, err := http.NewRequestWithContext(t.Context(), method, server.URL+path, strings.NewReader(body))
 		is.NoErr(err)
-		answer, err := server.Client().Do(r)
+		response, err := server.Client().Do(r)
 		if err != nil {
 			return 0, ""
 		}
-		defer answer.Body.Close()
-		text, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		text, err := io.ReadAll(response.Body)
 		is.NoErr(err)
-		return answer.StatusCode, strings.TrimSpace(string(text))
+		return response.StatusCode, strings.TrimSpace(string(text))
 	}
 	const kind = "/v1/objects/topazrock-groups"
 	code, text := call("POST", kind, `{"meta":{"Name":"a"},"spec":{"value":{"x":1}}}`)
@@ -125,8 +125,8 @@
 	is.Equal(code, 503)
 }
 
-// A change gets no answer and takes effect a second later, unless another one came
-// first: then its condition does not hold any more.
+// A delayed Put is applied a second later, unless another Put came first and its version
+// condition no longer holds.
 func TestLateChangesKeepTheirCondition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/standin/platform/view.go
+++ b/internal/standin/platform/view.go
@@ -9,59 +9,59 @@
 )
 
 const (
-	// callTimeout and watchTimeout bound calls as an instance's client does: a call
-	// that the platform never answers must end.
+	// callTimeout and watchTimeout bound calls the way an instance's platform client does,
+	// so that calls that never get a response end.
 	callTimeout  = 2 * time.Second
 	watchTimeout = 30 * time.Second
 )
 
-// View is the platform as one instance reaches it.
+// View is one instance's connection to the platform. It can be cut or frozen.
 type View struct {
 	store *Store
 
-	mu   sync.Mutex
-	away bool
-	// thawed is not nil while the instance is frozen, and is closed at its thaw.
-	thawed chan struct{}
+	mu           sync.Mutex
+	disconnected bool
+	// thaw is non-nil while the instance is frozen and is closed by Thaw.
+	thaw chan struct{}
 }
 
-// NewView returns a view of a store that reaches it.
+// NewView returns a connected view of a store.
 func NewView(s *Store) *View { return &View{store: s} }
 
-// SetAway cuts the instance off from the platform, or ends that.
-func (v *View) SetAway(away bool) {
+// SetAway disconnects the instance from the platform, or reconnects it.
+func (v *View) SetAway(disconnected bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.away = away
+	v.disconnected = disconnected
 }
 
-// Freeze holds all calls until Thaw, as those of a stopped process are.
+// Freeze blocks all new calls until Thaw, as if the instance's process were stopped.
 func (v *View) Freeze() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.thawed == nil {
-		v.thawed = make(chan struct{})
+	if v.thaw == nil {
+		v.thaw = make(chan struct{})
 	}
 }
 
-// Thaw lets held calls go on.
+// Thaw unblocks the calls that Freeze blocked.
 func (v *View) Thaw() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.thawed != nil {
-		close(v.thawed)
-		v.thawed = nil
+	if v.thaw != nil {
+		close(v.thaw)
+		v.thaw = nil
 	}
 }
 
-func (v *View) reach(ctx context.Context) error {
+func (v *View) waitReachable(ctx context.Context) error {
 	v.mu.Lock()
-	away, thawed := v.away, v.thawed
+	disconnected, thaw := v.disconnected, v.thaw
 	v.mu.Unlock()
-	if thawed != nil {
-		<-thawed
+	if thaw != nil {
+		<-thaw
 	}
-	if away {
+	if disconnected {
 		return platform.ErrUnavailable
 	}
 	return ctx.Err()
@@ -71,7 +71,7 @@
 func (v *View) Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	return v.store.Get(ctx, k, name)
@@ -81,7 +81,7 @@
 func (v *View) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return nil, 0, err
 	}
 	return v.store.List(ctx, k)
@@ -96,7 +96,7 @@
 func (v *View) Put(ctx context.Context, k platform.Kind, name string, value []byte, ifVersion int64) (platform.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	return v.store.Put(ctx, k, name, value, ifVersion)
@@ -106,7 +106,7 @@
 func (v *View) Delete(ctx context.Context, k platform.Kind, name string, ifVersion int64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return err
 	}
 	return v.store.Delete(ctx, k, name, ifVersion)
@@ -116,7 +116,7 @@
 func (v *View) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return nil, after, err
 	}
 	return v.store.Watch(ctx, k, after)
@@ -126,7 +126,7 @@
 func (v *View) Inventory(ctx context.Context) (platform.Inventory, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := v.reach(ctx); err != nil {
+	if err := v.waitReachable(ctx); err != nil {
 		return platform.Inventory{}, err
 	}
 	return v.store.Inventory(ctx)
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -9,30 +9,31 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// defaultWait is how long a watch waits for a change.
+// defaultWait is how long a watch waits for a change before it returns without one.
 const defaultWait = 10 * time.Second
 
-// Compact forgets the history of a kind: watches from before now must list.
+// Compact discards the history of a kind: a watch from an older revision fails with
+// ErrCompacted and its client must list again.
 func (s *Store) Compact(kind platform.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.collection(kind)
-	c.floor = c.revision
+	c := s.collectionFor(kind)
+	c.compactedRevision = c.revision
 }
 
-// Watch implements platform.API. It waits ten seconds at the longest.
+// Watch implements platform.API. It waits at most ten seconds.
 func (s *Store) Watch(ctx context.Context, kind platform.Kind, after int64) ([]platform.Object, int64, error) {
 	return s.watch(ctx, kind, after, defaultWait)
 }
 
 func (s *Store) watch(ctx context.Context, kind platform.Kind, after int64, wait time.Duration) ([]platform.Object, int64, error) {
-	if err := s.begin(ctx, CallWatch); err != nil {
+	if err := s.beginCall(ctx, CallWatch); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		objects, revision, changed, err := s.peek(kind, after)
+		objects, revision, changed, err := s.changesAfter(kind, after)
 		deaf := s.Faults().DeafWatches
 		if err != nil || len(objects) > 0 && !deaf {
 			return objects, revision, err
@@ -50,21 +51,21 @@
 	}
 }
 
-func (s *Store) peek(kind platform.Kind, after int64) ([]platform.Object, int64, <-chan struct{}, error) {
+func (s *Store) changesAfter(kind platform.Kind, after int64) ([]platform.Object, int64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.collection(kind)
+	c := s.collectionFor(kind)
 	switch {
 	case s.faults.Outage:
 		return nil, 0, nil, platform.ErrUnavailable
-	case after < c.floor || after > c.revision:
+	case after < c.compactedRevision || after > c.revision:
 		return nil, 0, nil, platform.ErrCompacted
 	}
-	return c.after(after), c.revision, s.changed, nil
+	return c.objectsAfter(after), c.revision, s.changed, nil
 }
 
-// after returns the objects changed past a revision, in that order.
-func (c *collection) after(revision int64) []platform.Object {
+// objectsAfter returns the objects changed after a revision, in order of their revisions.
+func (c *collection) objectsAfter(revision int64) []platform.Object {
 	objects := []platform.Object{}
 	for _, o := range c.objects {
 		if o.Revision > revision {
--- a/internal/standin/plots/plots.go
+++ b/internal/standin/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws what runs of the bench measured: the failover gap and the
-// share of reads that replicas served.
+// Package plots plots the results of bench runs: the failover gap and the share of reads
+// served by replicas.
 package plots
 
 import (
@@ -20,21 +20,21 @@
 )
 
 const (
-	leastWidth = 18 * vg.Centimeter
-	// runWidth is the room that each run gets.
+	minWidth = 18 * vg.Centimeter
+	// runWidth is the width per run.
 	runWidth = 3 * vg.Centimeter
 	height   = 11 * vg.Centimeter
 	barWidth = 7 * vg.Millimeter
-	// headroom leaves the legend a place above the highest bar.
+	// headroom scales the Y axis to leave space for the legend above the highest bar.
 	headroom = 1.3
-	// maxLine bounds one report, in bytes.
+	// maxLine is the maximum length of an input line in bytes.
 	maxLine = 4 << 20
 )
 
-// errNoReport says that an input holds no report of the bench.
+// errNoReport is returned if an input contains no usable bench report.
 var errNoReport = errors.New("no report of the bench")
 
-// Read returns the reports in a text: its lines that are JSON objects.
+// Read returns the reports in a bench output: the lines that begin with "{".
 func Read(r io.Reader) ([]bench.Report, error) {
 	var reports []bench.Report
 	lines := bufio.NewScanner(r)
@@ -58,7 +58,7 @@
 	return reports, nil
 }
 
-// Write draws the reports into PNG and SVG files of a folder and returns their names.
+// Write plots the reports as PNG and SVG files in a folder and returns their paths.
 func Write(folder string, reports []bench.Report) ([]string, error) {
 	var names []string
 	for name, draw := range map[string]func([]bench.Report) (*plot.Plot, error){
@@ -68,9 +68,9 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, form := range []string{".png", ".svg"} {
-			file := filepath.Join(folder, name+form)
-			if err := p.Save(max(leastWidth, runWidth*vg.Length(len(reports))), height, file); err != nil {
+		for _, extension := range []string{".png", ".svg"} {
+			file := filepath.Join(folder, name+extension)
+			if err := p.Save(max(minWidth, runWidth*vg.Length(len(reports))), height, file); err != nil {
 				return nil, err
 			}
 			names = append(names, file)
@@ -79,17 +79,17 @@
 	return names, nil
 }
 
-// drawGaps draws median, 99th percentile and longest gap of each run that has one.
+// drawGaps plots the median, 99th percentile and maximum gap of each run that has gaps.
 func drawGaps(reports []bench.Report) (*plot.Plot, error) {
 	var labels []string
-	var median, high, longest plotter.Values
+	var median, p99, longest plotter.Values
 	for _, r := range reports {
 		if r.Gaps == nil || r.Gaps.Count == 0 {
 			continue
 		}
-		labels = append(labels, fmt.Sprintf("%s, gaps: %d", label(r), r.Gaps.Count))
+		labels = append(labels, fmt.Sprintf("%s, gaps: %d", runLabel(r), r.Gaps.Count))
 		median = append(median, r.Gaps.P50MS)
-		high = append(high, r.Gaps.P99MS)
+		p99 = append(p99, r.Gaps.P99MS)
 		longest = append(longest, r.Gaps.MaxMS)
 	}
 	if len(labels) == 0 {
@@ -98,15 +98,15 @@
 	p := plot.New()
 	p.Title.Text = "Failover gap: how long writes were impossible"
 	p.Y.Label.Text = "milliseconds"
-	return p, addBars(p, labels, []string{"median", "99th percentile", "longest"}, median, high, longest)
+	return p, addBars(p, labels, []string{"median", "99th percentile", "longest"}, median, p99, longest)
 }
 
-// drawShares draws the share of reads that replicas served in each run.
+// drawShares plots the share of reads served by replicas in each run.
 func drawShares(reports []bench.Report) (*plot.Plot, error) {
 	var labels []string
 	var shares plotter.Values
 	for _, r := range reports {
-		labels = append(labels, fmt.Sprintf("%s, lag %g ms", label(r), r.LagMS))
+		labels = append(labels, fmt.Sprintf("%s, lag %g ms", runLabel(r), r.LagMS))
 		shares = append(shares, 100*r.ReplicaReadShare)
 	}
 	p := plot.New()
@@ -115,8 +115,8 @@
 	return p, addBars(p, labels, []string{"reads at replicas"}, shares)
 }
 
-// label names a run.
-func label(r bench.Report) string {
+// runLabel returns the label of a run: its profile, fault and baseline.
+func runLabel(r bench.Report) string {
 	l := fmt.Sprintf("%s, %s", r.Profile, r.Fault)
 	if r.Baseline != "" {
 		l += ", baseline " + string(r.Baseline)
@@ -124,7 +124,7 @@
 	return l
 }
 
-// addBars adds series of bars side by side, one group of bars for each label.
+// addBars adds a grouped bar chart with one group per label and one bar per series.
 func addBars(p *plot.Plot, labels, names []string, series ...plotter.Values) error {
 	for i, values := range series {
 		bars, err := plotter.NewBarChart(values, barWidth)
@@ -146,12 +146,12 @@
 	}
 	p.X.Min, p.X.Max = -0.6, float64(len(labels))-0.4
 	p.Add(plotter.NewGrid())
-	p.NominalX(wrap(labels)...)
+	p.NominalX(wrapLabels(labels)...)
 	return nil
 }
 
-// wrap puts the parts of a label on lines of their own.
-func wrap(labels []string) []string {
+// wrapLabels puts each comma-separated part of a label on its own line.
+func wrapLabels(labels []string) []string {
 	wrapped := make([]string, len(labels))
 	for i, l := range labels {
 		wrapped[i] = strings.ReplaceAll(l, ", ", "\n")
--- a/internal/standin/plots/plots_test.go
+++ b/internal/standin/plots/plots_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-const run = "some text\n" +
+const benchOutput = "some text\n" +
 	`{"profile":"lentes","fault":"primary-kill","replica_read_share":0.9,"gaps":{"count":3,"p50_ms":250,"p99_ms":400,"max_ms":410}}` + "\n"
 
 func TestReportsAreDrawn(t *testing.T) {
 	is := is.New(t)
-	reports, err := Read(strings.NewReader(run))
+	reports, err := Read(strings.NewReader(benchOutput))
 	is.NoErr(err)
 	files, err := Write(t.TempDir(), reports)
 	is.NoErr(err)
