--- a/internal/standin/command/plot.go
+++ b/internal/standin/command/plot.go
@@ -27,12 +27,12 @@
 		if err != nil {
 			return err
 		}
-		read, err := plots.Read(file)
+		parsed, err := plots.Read(file)
 		file.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		reports = append(reports, read...)
+		reports = append(reports, parsed...)
 	}
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return err
--- a/internal/standin/command/slopes.go
+++ b/internal/standin/command/slopes.go
@@ -42,14 +42,14 @@
 		if len(c.Only) > 0 && !slices.Contains(c.Only, m.Name) {
 			continue
 		}
-		found, err := m.Run(c.ctx, slopes.Options{Window: c.Window, Seed: c.Seed, Members: members})
+		measured, err := m.Run(c.ctx, slopes.Options{Window: c.Window, Seed: c.Seed, Members: members})
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
-		for _, s := range found {
+		for _, s := range measured {
 			c.printSlope(s)
 		}
-		all = append(all, found...)
+		all = append(all, measured...)
 	}
 	return json.NewEncoder(c.out).Encode(map[string]any{"seed": c.Seed, "slopes": all})
 }
--- a/internal/standin/linedemo/system.go
+++ b/internal/standin/linedemo/system.go
@@ -188,7 +188,7 @@
 	go func() {
 		defer close(stopped)
 		if err := n.Run(ctx); err != nil {
-			fmt.Fprintln(logs, "instance ended:", err)
+			fmt.Fprintln(logs, "instance stopped with an error:", err)
 		}
 	}()
 	s.closers = append(s.closers, func() {
--- a/internal/standin/memnet/network_test.go
+++ b/internal/standin/memnet/network_test.go
@@ -187,7 +187,7 @@
 
 // Closing a connection with unread bytes resets it: the other end reads only what has
 // already arrived. After a half-close the other end can still send.
-func TestCloseWithUnreadBytesResets(t *testing.T) {
+func TestCloseWithUnreadBytesResetsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		_, a, b := connectHosts(t)
--- a/internal/standin/platform/store_test.go
+++ b/internal/standin/platform/store_test.go
@@ -127,7 +127,7 @@
 
 // A delayed Put is applied a second later, unless another Put came first and its version
 // condition no longer holds.
-func TestLateChangesKeepTheirCondition(t *testing.T) {
+func TestLateChangesCheckVersionWhenApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewStore()
--- a/internal/standin/plots/plots_test.go
+++ b/internal/standin/plots/plots_test.go
@@ -11,7 +11,7 @@
 const benchOutput = "some text\n" +
 	`{"profile":"lentes","fault":"primary-kill","replica_read_share":0.9,"gaps":{"count":3,"p50_ms":250,"p99_ms":400,"max_ms":410}}` + "\n"
 
-func TestReportsAreDrawn(t *testing.T) {
+func TestWriteCreatesPlotFiles(t *testing.T) {
 	is := is.New(t)
 	reports, err := Read(strings.NewReader(benchOutput))
 	is.NoErr(err)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestTextWithoutReportIsRefused(t *testing.T) {
+func TestReadRejectsInputWithoutReports(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(strings.NewReader("nothing here\n"))
 	is.True(err != nil)
