--- a/internal/standin/command/plot.go
+++ b/internal/standin/command/plot.go
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/standin/plots"
 )
 
-// plotCommand draws reports of the bench.
+// plotCommand plots bench reports.
 type plotCommand struct {
 	Folder string `long:"folder" default:"docs/plots" description:"where the PNG and SVG files go" value-name:"FOLDER"`
 	Args   struct {
@@ -27,12 +27,12 @@
 		if err != nil {
 			return err
 		}
-		read, err := plots.Read(file)
+		parsed, err := plots.Read(file)
 		file.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		reports = append(reports, read...)
+		reports = append(reports, parsed...)
 	}
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return err
