--- a/internal/instance/administration.go
+++ b/internal/instance/administration.go
@@ -117,9 +117,9 @@
 		all = append(all, adminapi.PoolView{
 			Group:  name,
 			Total:  h.group.Connections,
-			Share:  h.seats.Limit().Connections,
-			Slots:  h.seats.Limit().Slots,
-			Seated: h.seats.Seated(),
+			Share:  h.share.Limit().Connections,
+			Slots:  h.share.Limit().Slots,
+			Seated: h.share.Seated(),
 			InUse:  s.InUse,
 			Idle:   s.Idle,
 		})
@@ -133,7 +133,7 @@
 func (a adminWorkspaces) Workspaces() []adminapi.WorkspaceView {
 	var all []adminapi.WorkspaceView
 	for _, w := range a.instance.documents.Workspaces().All() {
-		use := a.instance.limits.UseOf(w.Name)
+		use := a.instance.quotaGuard.UseOf(w.Name)
 		all = append(all, adminapi.WorkspaceView{
 			Name:           w.Name,
 			Priority:       w.Priority,
@@ -171,21 +171,21 @@
 	if !l.instance.documents.Ready() {
 		reasons = append(reasons, "no service document is known yet")
 	}
-	if l.instance.callers.Draining() || l.instance.leaving.Load() {
+	if l.instance.callers.Draining() || l.instance.draining.Load() {
 		reasons = append(reasons, "draining")
 	}
 	if l.instance.cutOff.Load() {
 		reasons = append(reasons, "cut off from most groups")
 	}
-	var unasked []string
+	var unprobed []string
 	for name, h := range l.instance.homesCopy() {
-		if !asked(h.watcher.Snapshot()) {
-			unasked = append(unasked, name)
+		if !membersProbed(h.watcher.Snapshot()) {
+			unprobed = append(unprobed, name)
 		}
 	}
-	if len(unasked) > 0 {
-		slices.Sort(unasked)
-		reasons = append(reasons, "members are not asked yet: "+strings.Join(unasked, ", "))
+	if len(unprobed) > 0 {
+		slices.Sort(unprobed)
+		reasons = append(reasons, "members are not asked yet: "+strings.Join(unprobed, ", "))
 	}
 	return len(reasons) == 0, reasons
 }
@@ -193,7 +193,7 @@
 // asked reports whether a term of the group is known, or every member was tried
 // once. Waiting for a term would let one team's group with no member left keep
 // every instance that starts meanwhile from serving all the others.
-func asked(s *group.Snapshot) bool {
+func membersProbed(s *group.Snapshot) bool {
 	if s.Term > 0 {
 		return true
 	}
@@ -206,9 +206,9 @@
 }
 
 // Drain implements adminapi.Lifecycle.
-func (l adminLifecycle) Drain() { l.instance.stopOnce() }
+func (l adminLifecycle) Drain() { l.instance.requestDrain() }
 
 // Draining implements adminapi.Lifecycle.
 func (l adminLifecycle) Draining() bool {
-	return l.instance.leaving.Load() || l.instance.callers.Draining()
+	return l.instance.draining.Load() || l.instance.callers.Draining()
 }
--- a/internal/instance/administration_test.go
+++ b/internal/instance/administration_test.go
@@ -12,11 +12,11 @@
 // All members of one team's group are gone while the instances are replaced one
 // by one. A new instance that waited for them would never be ready, and with
 // the last old one the balancer would have nowhere to send any team's callers.
-func TestGroupWithoutMembersDoesNotHoldReadinessBack(t *testing.T) {
+func TestGroupWithoutMembersDoesNotDelayReadiness(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1, 0)
-	is.True(!asked(&group.Snapshot{Members: []group.MemberView{{}, {Failing: now}}})) // one not tried yet
-	is.True(asked(&group.Snapshot{Members: []group.MemberView{{SeenAt: now}, {Failing: now}}}))
-	is.True(asked(&group.Snapshot{Members: []group.MemberView{{Failing: now}, {Failing: now}}}))
-	is.True(asked(&group.Snapshot{Term: 1, Members: []group.MemberView{{}}}))
+	is.True(!membersProbed(&group.Snapshot{Members: []group.MemberView{{}, {Failing: now}}})) // one not tried yet
+	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{SeenAt: now}, {Failing: now}}}))
+	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{Failing: now}, {Failing: now}}}))
+	is.True(membersProbed(&group.Snapshot{Term: 1, Members: []group.MemberView{{}}}))
 }
--- a/internal/instance/callers_test.go
+++ b/internal/instance/callers_test.go
@@ -21,21 +21,21 @@
 // session that is given another's token reads that session's write with a class
 // that accepts old data; a token that is not taken would be refused, so a wrong
 // one shows that each way reaches the instance.
-func TestWaysOfCarryingATokenInTheGuide(t *testing.T) {
-	inBed(t, func(b *bed) {
-		writer := b.mustConnect(0, "")
-		b.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+func TestTokenExamplesInCallersGuide(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		writer := tc.mustConnect(0, "")
+		tc.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		carried := token(writer)
-		b.is.True(carried != "")
-		for name, read := range map[string]func(*bed, string) (string, error){
+		tc.is.True(carried != "")
+		for name, read := range map[string]func(*testCluster, string) (string, error){
 			"pgx, SET":        readAfterSet,
-			"pgx, start-up":   readFromTheStart,
+			"pgx, start-up":   readAfterStartup,
 			"lib/pq, options": readThroughLibPQ,
 		} {
-			v, err := read(b, carried)
-			b.is.NoErr(err)
-			b.is.Equal(v, "1")
-			_, err = read(b, "nonsense")
+			v, err := read(tc, carried)
+			tc.is.NoErr(err)
+			tc.is.Equal(v, "1")
+			_, err = read(tc, "nonsense")
 			if err == nil {
 				t.Errorf("%s: a wrong token was not refused", name)
 			}
@@ -43,53 +43,53 @@
 	})
 }
 
-const readOld = "SELECT v FROM kv WHERE k = $1" + agedRead
+const readOldData = "SELECT v FROM kv WHERE k = $1" + agedRead
 
-func readAfterSet(b *bed, carried string) (v string, err error) {
-	c := b.mustConnect(1, "")
+func readAfterSet(tc *testCluster, carried string) (v string, err error) {
+	c := tc.mustConnect(1, "")
 	if _, err := c.Exec(ctx, "SET topazrock.token = '"+carried+"'"); err != nil {
 		return "", err
 	}
-	err = c.QueryRow(ctx, readOld, "a").Scan(&v)
+	err = c.QueryRow(ctx, readOldData, "a").Scan(&v)
 	return v, err
 }
 
-func readFromTheStart(b *bed, carried string) (v string, err error) {
-	config := b.config(2, "")
+func readAfterStartup(tc *testCluster, carried string) (v string, err error) {
+	config := tc.config(2, "")
 	config.RuntimeParams["topazrock.token"] = carried
 	c, err := pgx.ConnectConfig(ctx, config)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close(ctx)
-	err = c.QueryRow(ctx, readOld, "a").Scan(&v)
+	err = c.QueryRow(ctx, readOldData, "a").Scan(&v)
 	return v, err
 }
 
-func readThroughLibPQ(b *bed, carried string) (v string, err error) {
+func readThroughLibPQ(tc *testCluster, carried string) (v string, err error) {
 	dsn := "postgres://clerk:%s@%s/%s?sslmode=disable&options=-c%%20topazrock.token%%3D%s"
-	connector, err := pq.NewConnector(fmt.Sprintf(dsn, bedPassword, instanceAddress(1), bedGroup, carried))
+	connector, err := pq.NewConnector(fmt.Sprintf(dsn, testPassword, instanceAddress(1), testGroup, carried))
 	if err != nil {
 		return "", err
 	}
-	connector.Dialer(bedDialer{b})
+	connector.Dialer(testDialer{tc})
 	db := sql.OpenDB(connector)
 	defer db.Close()
-	err = db.QueryRow(readOld, "a").Scan(&v)
+	err = db.QueryRow(readOldData, "a").Scan(&v)
 	return v, err
 }
 
 // A family's payment is sent again by a service that follows the guide, under the
 // number of the payment. Both calls end well and one row is there, also when the
 // number holds signs that a tag must encode.
-func TestPaymentLoopOfTheGuide(t *testing.T) {
-	inBed(t, func(b *bed) {
+func TestPaymentRetryLoopInCallersGuide(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
 		for _, number := range []string{"2026-0017", "it's, 100%/x"} {
 			for i := range 2 {
-				b.is.NoErr(pay(ctx, b.mustConnect(i, ""), number))
+				tc.is.NoErr(pay(ctx, tc.mustConnect(i, ""), number))
 			}
 		}
-		b.is.Equal(b.count(b.mustConnect(2, "")), 2)
+		tc.is.Equal(tc.count(tc.mustConnect(2, "")), 2)
 	})
 }
 
--- a/internal/instance/cancel.go
+++ b/internal/instance/cancel.go
@@ -11,15 +11,15 @@
 // than the caller's session.
 const methodCancelCaller = "caller.cancel"
 
-// cancelCaller names a caller's session.
-type cancelCaller struct {
+// cancelParams names a caller's session.
+type cancelParams struct {
 	ProcessID uint32 `json:"process_id"`
 	Secret    uint32 `json:"secret"`
 }
 
 func (n *Instance) registerCancel(f *frontend.Server) {
 	n.peers.Handle(methodCancelCaller, func(_ context.Context, _ string, params json.RawMessage) (any, error) {
-		var c cancelCaller
+		var c cancelParams
 		if err := json.Unmarshal(params, &c); err != nil {
 			return nil, err
 		}
@@ -37,7 +37,7 @@
 		if frontend.ProcessIDPrefix(p.ID) != frontend.PrefixOf(processID) {
 			continue
 		}
-		err := n.client.Call(ctx, p.PeerAddress, methodCancelCaller, cancelCaller{ProcessID: processID, Secret: secret}, nil)
+		err := n.client.Call(ctx, p.PeerAddress, methodCancelCaller, cancelParams{ProcessID: processID, Secret: secret}, nil)
 		if err != nil {
 			n.options.Logger.Debug("Cancel request was not passed on.", "instance", p.ID, "error", err)
 		}
--- a/internal/instance/documents.go
+++ b/internal/instance/documents.go
@@ -31,7 +31,7 @@
 
 // sharer is a source of documents that shares its calls to the platform with other
 // instances.
-type sharer interface {
+type sharingUser interface {
 	UseSharing(s *objectwatch.Sharing)
 }
 
@@ -51,19 +51,19 @@
 
 func newStoredDocuments(s *config.Store, m *membership.Members) *storedDocuments {
 	d := &storedDocuments{store: s, members: m}
-	s.Subscribe(func(config.Applied) { d.gatherWorkspaces() })
+	s.Subscribe(func(config.Applied) { d.rebuildWorkspaces() })
 	return d
 }
 
-// gatherWorkspaces finds the workspaces of all documents. Those of two services never have the
+// rebuildWorkspaces finds the workspaces of all documents. Those of two services never have the
 // same name.
-func (d *storedDocuments) gatherWorkspaces() {
+func (d *storedDocuments) rebuildWorkspaces() {
 	var entries []workspace.Entry
 	for _, a := range d.store.All() {
 		for _, w := range a.Service.Workspaces {
-			named := w.Workspace
-			named.Name = a.Service.FullName(w)
-			entries = append(entries, workspace.Entry{Workspace: named})
+			entry := w.Workspace
+			entry.Name = a.Service.FullName(w)
+			entries = append(entries, workspace.Entry{Workspace: entry})
 		}
 	}
 	table, _ := workspace.NewTable(entries)
--- a/internal/instance/path_test.go
+++ b/internal/instance/endtoend_test.go
@@ -22,15 +22,15 @@
 // session carries no token, so the read takes a barrier; a replica that has the
 // write answers it.
 func TestWriteThroughOneReadThroughAnother(t *testing.T) {
-	inBed(t, func(b *bed) {
-		writer := b.mustConnect(0, "")
-		b.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		b.is.True(token(writer) != "")
-		reader := b.mustConnect(1, "")
+	withCluster(t, func(tc *testCluster) {
+		writer := tc.mustConnect(0, "")
+		tc.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		tc.is.True(token(writer) != "")
+		reader := tc.mustConnect(1, "")
 		var v string
 		err := reader.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1 /*request='application'*/", "a").Scan(&v)
-		b.is.NoErr(err)
-		b.is.Equal(v, "1")
+		tc.is.NoErr(err)
+		tc.is.Equal(v, "1")
 	})
 }
 
@@ -38,112 +38,112 @@
 // units of both go over the same few connections. Each session gets the answer
 // of its own text, because the names on a connection are made of the texts.
 func TestPreparedStatementsUnderTransactionPooling(t *testing.T) {
-	inBed(t, func(b *bed) {
-		one, two := b.mustConnect(0, ""), b.mustConnect(0, "")
-		b.exec(one, "INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1")
+	withCluster(t, func(tc *testCluster) {
+		one, two := tc.mustConnect(0, ""), tc.mustConnect(0, "")
+		tc.exec(one, "INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1")
 		_, err := one.Prepare(ctx, "s", "SELECT v FROM kv WHERE k = $1")
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = two.Prepare(ctx, "s", "SELECT k, v FROM kv WHERE k = $1")
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		for range 3 {
 			var k, v string
-			b.is.NoErr(one.QueryRow(ctx, "s", "a").Scan(&v))
-			b.is.NoErr(two.QueryRow(ctx, "s", "a").Scan(&k, &v))
-			b.is.Equal(k+v, "a1")
+			tc.is.NoErr(one.QueryRow(ctx, "s", "a").Scan(&v))
+			tc.is.NoErr(two.QueryRow(ctx, "s", "a").Scan(&k, &v))
+			tc.is.Equal(k+v, "a1")
 		}
 		_, err = one.Prepare(ctx, "bad", "NONSENSE")
-		b.is.Equal(state(err), "42601")
-		b.is.NoErr(one.QueryRow(ctx, "SELECT 1").Scan(new(int)))
+		tc.is.Equal(state(err), "42601")
+		tc.is.NoErr(one.QueryRow(ctx, "SELECT 1").Scan(new(int)))
 	})
 }
 
 // A transaction's statements see each other, a failed one rolls back, and the
 // connection goes to the next caller clean.
 func TestTransactions(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		tx, err := c.Begin(ctx)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '2')")
-		b.is.Equal(state(err), "23505")
+		tc.is.Equal(state(err), "23505")
 		_, err = tx.Exec(ctx, "SELECT 1")
-		b.is.Equal(state(err), "25P02")
-		b.is.NoErr(tx.Rollback(ctx))
-		b.is.Equal(b.count(c), 0)
+		tc.is.Equal(state(err), "25P02")
+		tc.is.NoErr(tx.Rollback(ctx))
+		tc.is.Equal(tc.count(c), 0)
 		tx, err = c.Begin(ctx)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('b', '1')")
-		b.is.NoErr(err)
-		b.is.NoErr(tx.Commit(ctx))
-		b.is.Equal(b.count(b.mustConnect(2, "")), 1)
+		tc.is.NoErr(err)
+		tc.is.NoErr(tx.Commit(ctx))
+		tc.is.Equal(tc.count(tc.mustConnect(2, "")), 1)
 	})
 }
 
 // lib/pq sends unnamed statements whose Parse and Bind come in different units,
 // which may reach different connections. The Bind still finds its statement.
 func TestLibPQ(t *testing.T) {
-	inBed(t, func(b *bed) {
-		connector, err := pq.NewConnector(fmt.Sprintf("postgres://clerk:%s@%s/%s?sslmode=disable", bedPassword, instanceAddress(0), bedGroup))
-		b.is.NoErr(err)
-		connector.Dialer(bedDialer{b})
+	withCluster(t, func(tc *testCluster) {
+		connector, err := pq.NewConnector(fmt.Sprintf("postgres://clerk:%s@%s/%s?sslmode=disable", testPassword, instanceAddress(0), testGroup))
+		tc.is.NoErr(err)
+		connector.Dialer(testDialer{tc})
 		db := sql.OpenDB(connector)
 		defer db.Close()
 		db.SetMaxOpenConns(3)
 		_, err = db.Exec("INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1")
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		var v string
-		b.is.NoErr(db.QueryRow("SELECT v FROM kv WHERE k = $1", "a").Scan(&v))
-		b.is.Equal(v, "1")
+		tc.is.NoErr(db.QueryRow("SELECT v FROM kv WHERE k = $1", "a").Scan(&v))
+		tc.is.Equal(v, "1")
 		stmt, err := db.Prepare("SELECT v FROM kv WHERE k = $1")
-		b.is.NoErr(err)
-		b.is.NoErr(stmt.QueryRow("a").Scan(&v))
-		b.is.NoErr(stmt.Close())
+		tc.is.NoErr(err)
+		tc.is.NoErr(stmt.QueryRow("a").Scan(&v))
+		tc.is.NoErr(stmt.Close())
 		tx, err := db.Begin()
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec("UPDATE kv SET v = $1 WHERE k = $2", "2", "a")
-		b.is.NoErr(err)
-		b.is.NoErr(tx.Commit())
+		tc.is.NoErr(err)
+		tc.is.NoErr(tx.Commit())
 	})
 }
 
 // An answer many times the size of the buffer arrives whole and in order.
 func TestLargeAnswerIsWhole(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		rows, err := c.Query(ctx, "SELECT repeat_rows(5000, 200)")
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		n := 0
 		for rows.Next() {
 			n++
 		}
-		b.is.NoErr(rows.Err())
-		b.is.Equal(n, 5000)
+		tc.is.NoErr(rows.Err())
+		tc.is.Equal(n, 5000)
 	})
 }
 
 // A caller asks for a large answer and reads nothing of it. The instance cuts
 // the caller off at the write timeout, and the member's connection serves others.
 func TestCallerThatReadsNothing(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		conn := c.PgConn().Conn()
 		_, err := conn.Write(encodedQuery("SELECT repeat_rows(50000, 200)"))
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		time.Sleep(15 * time.Second)
-		b.is.Equal(b.count(b.mustConnect(0, "")), 0)
-		b.is.NoErr(conn.SetReadDeadline(time.Now().Add(time.Minute)))
+		tc.is.Equal(tc.count(tc.mustConnect(0, "")), 0)
+		tc.is.NoErr(conn.SetReadDeadline(time.Now().Add(time.Minute)))
 		_, err = io.Copy(io.Discard, conn)
-		b.is.True(err == nil || !isTimeout(err))
+		tc.is.True(err == nil || !isTimeout(err))
 	})
 }
 
 // A caller cancels a statement that runs for a minute. It ends at once with the
 // member's own error, though the cancel reached another instance.
 func TestCancelThroughAnotherInstance(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		done := make(chan error)
 		go func() {
 			_, err := c.Exec(ctx, "SELECT pg_sleep(4)")
@@ -151,41 +151,41 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		start := time.Now()
-		b.cancelThrough(1, c)
-		b.is.Equal(state(<-done), "57014")
-		b.is.True(time.Since(start) < time.Second)
-		b.is.NoErr(c.Ping(ctx))
+		tc.cancelThrough(1, c)
+		tc.is.Equal(state(<-done), "57014")
+		tc.is.True(time.Since(start) < time.Second)
+		tc.is.NoErr(c.Ping(ctx))
 	})
 }
 
 // Wrong passwords and unknown users get the same answer; an unknown group and a
 // token of another group get their own.
 func TestStartupRefusals(t *testing.T) {
-	inBed(t, func(b *bed) {
+	withCluster(t, func(tc *testCluster) {
 		wrong := func(change func(*pgx.ConnConfig)) string {
-			c := b.config(0, "")
+			c := tc.config(0, "")
 			change(c)
 			_, err := pgx.ConnectConfig(ctx, c)
 			return state(err)
 		}
-		b.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Password = "no" }), "28P01")
-		b.is.Equal(wrong(func(c *pgx.ConnConfig) { c.User = "nobody" }), "28P01")
-		b.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Database = "other" }), "TD010")
-		b.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "other:1:1" }), "TD012")
-		b.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "x" }), "TD012")
+		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Password = "no" }), "28P01")
+		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.User = "nobody" }), "28P01")
+		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Database = "other" }), "TD010")
+		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "other:1:1" }), "TD012")
+		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "x" }), "TD012")
 	})
 }
 
 // A token past the end of the log is refused in a bounded time; a session must
 // never wait for a position that no log reaches.
 func TestForgedToken(t *testing.T) {
-	inBed(t, func(b *bed) {
-		for _, forged := range []string{bedGroup + ":1:99999999", bedGroup + ":99:1"} {
-			c := b.mustConnect(0, forged)
+	withCluster(t, func(tc *testCluster) {
+		for _, forged := range []string{testGroup + ":1:99999999", testGroup + ":99:1"} {
+			c := tc.mustConnect(0, forged)
 			start := time.Now()
 			_, err := c.Exec(ctx, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
-			b.is.Equal(state(err), "TD013")
-			b.is.True(time.Since(start) < 2*time.Second)
+			tc.is.Equal(state(err), "TD013")
+			tc.is.True(time.Since(start) < 2*time.Second)
 		}
 	})
 }
@@ -193,30 +193,30 @@
 // Garbage instead of a start-up packet, half a packet, and a message of a wrong
 // length each cost only their own connection.
 func TestGarbageBytes(t *testing.T) {
-	inBed(t, func(b *bed) {
+	withCluster(t, func(tc *testCluster) {
 		for _, bytes := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00", "\xff\xff\xff\xff\xff\xff\xff\xff"} {
-			conn, err := b.net.Host(callerHost).Dial(ctx, instanceAddress(0))
-			b.is.NoErr(err)
+			conn, err := tc.net.Host(callerHost).Dial(ctx, instanceAddress(0))
+			tc.is.NoErr(err)
 			_, err = conn.Write([]byte(bytes))
-			b.is.NoErr(err)
+			tc.is.NoErr(err)
 			time.Sleep(11 * time.Second)
 			_, err = io.ReadAll(conn)
-			b.is.NoErr(err)
+			tc.is.NoErr(err)
 		}
-		c := b.mustConnect(0, "")
+		c := tc.mustConnect(0, "")
 		_, err := c.PgConn().Conn().Write([]byte("Q\x00\x00\x00\x01"))
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = io.ReadAll(c.PgConn().Conn())
-		b.is.NoErr(err)
-		b.is.Equal(b.count(b.mustConnect(0, "")), 0)
+		tc.is.NoErr(err)
+		tc.is.Equal(tc.count(tc.mustConnect(0, "")), 0)
 	})
 }
 
 // Tags that name no class, lack a key, or hold one that is too long are refused
 // before anything is sent.
 func TestTagRefusals(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		insert := "INSERT INTO kv (k, v) VALUES ('a', '1') "
 		for tag, want := range map[string]string{
 			"/*request='none'*/":        "TD024",
@@ -228,7 +228,7 @@
 			"/*request='note',traceparent='00-aa-bb-01'*/ ON CONFLICT DO NOTHING -": "42601",
 		} {
 			_, err := c.Exec(ctx, insert+tag)
-			b.is.Equal(state(err), want)
+			tc.is.Equal(state(err), want)
 		}
 	})
 }
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -13,67 +13,67 @@
 	name string
 	// strike begins the fault and heal ends it. The members and instances that
 	// are hit are those of the failure domain poa-a, where the first primary is.
-	strike, heal func(b *bed)
+	inject, heal func(tc *testCluster)
 }
 
 // allFaults are the rows of the fault matrix.
 var allFaults = []matrixFault{
-	{"none", func(*bed) {}, func(*bed) {}},
-	{"kill primary", func(b *bed) { b.killMember(0) }, func(b *bed) { b.restartMember(0) }},
-	{"kill replica", func(b *bed) { b.killMember(1) }, func(b *bed) { b.restartMember(1) }},
-	{"kill instance", func(b *bed) { b.killInstance(0) }, func(b *bed) { b.replaceInstance(0) }},
-	{"cut domain", (*bed).cutDomain, (*bed).healDomain},
-	{"cut primary one way", func(b *bed) { b.cutOneWay(memberHost(0)) }, (*bed).healDomain},
-	{"freeze primary", func(b *bed) { b.net.Freeze(memberHost(0)) }, func(b *bed) { b.net.Thaw(memberHost(0)) }},
-	{"freeze instance", func(b *bed) { b.freezeInstance(0) }, func(b *bed) { b.thawInstance(0) }},
-	{"slow network", func(b *bed) { b.setLatency(30 * time.Millisecond) }, func(b *bed) { b.setLatency(0) }},
-	{"platform down", func(b *bed) { b.store.SetFaults(standin.Faults{Outage: true}) }, (*bed).healPlatform},
-	{"platform slow", func(b *bed) { b.store.SetFaults(standin.Faults{Delay: 300 * time.Millisecond}) }, (*bed).healPlatform},
-	{"platform answer lost", func(b *bed) { b.store.SetFaults(standin.Faults{LoseAnswers: 3}) }, (*bed).healPlatform},
-	{"operator race", (*bed).raceOperators, func(*bed) {}},
-	{"silent connections", (*bed).silence, func(*bed) {}},
-	{"instance list wrong", (*bed).wrongList, (*bed).rightList},
-	{"replica far behind", func(b *bed) { b.nodes[2].SetReplicationLag(time.Minute) }, func(b *bed) { b.nodes[2].SetReplicationLag(bedLag) }},
-}
-
-func (b *bed) killMember(i int) {
-	b.net.Kill(memberHost(i))
-	b.nodes[i].Kill()
-}
-
-func (b *bed) restartMember(i int) {
-	b.nodes[i].Stop()
-	b.nodes[i].SetNetwork(b.net.Host(memberHost(i)))
-	b.is.NoErr(b.nodes[i].Start())
+	{"none", func(*testCluster) {}, func(*testCluster) {}},
+	{"kill primary", func(tc *testCluster) { tc.killMember(0) }, func(tc *testCluster) { tc.restartMember(0) }},
+	{"kill replica", func(tc *testCluster) { tc.killMember(1) }, func(tc *testCluster) { tc.restartMember(1) }},
+	{"kill instance", func(tc *testCluster) { tc.killInstance(0) }, func(tc *testCluster) { tc.replaceInstance(0) }},
+	{"cut domain", (*testCluster).cutDomain, (*testCluster).healDomain},
+	{"cut primary one way", func(tc *testCluster) { tc.cutOneWay(memberHost(0)) }, (*testCluster).healDomain},
+	{"freeze primary", func(tc *testCluster) { tc.net.Freeze(memberHost(0)) }, func(tc *testCluster) { tc.net.Thaw(memberHost(0)) }},
+	{"freeze instance", func(tc *testCluster) { tc.freezeInstance(0) }, func(tc *testCluster) { tc.thawInstance(0) }},
+	{"slow network", func(tc *testCluster) { tc.setLatency(30 * time.Millisecond) }, func(tc *testCluster) { tc.setLatency(0) }},
+	{"platform down", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{Outage: true}) }, (*testCluster).healPlatform},
+	{"platform slow", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{Delay: 300 * time.Millisecond}) }, (*testCluster).healPlatform},
+	{"platform answer lost", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{LoseAnswers: 3}) }, (*testCluster).healPlatform},
+	{"operator race", (*testCluster).raceOperators, func(*testCluster) {}},
+	{"silent connections", (*testCluster).silenceConnections, func(*testCluster) {}},
+	{"instance list wrong", (*testCluster).showWrongList, (*testCluster).restoreList},
+	{"replica far behind", func(tc *testCluster) { tc.nodes[2].SetReplicationLag(time.Minute) }, func(tc *testCluster) { tc.nodes[2].SetReplicationLag(testReplicationLag) }},
+}
+
+func (tc *testCluster) killMember(i int) {
+	tc.net.Kill(memberHost(i))
+	tc.nodes[i].Kill()
+}
+
+func (tc *testCluster) restartMember(i int) {
+	tc.nodes[i].Stop()
+	tc.nodes[i].SetNetwork(tc.net.Host(memberHost(i)))
+	tc.is.NoErr(tc.nodes[i].Start())
 }
 
 // killInstance takes the instance's process off the network and the platform.
 // What is left of it in this process can reach nothing.
-func (b *bed) killInstance(i int) {
-	b.net.Kill(instanceHost(i))
-	b.views[i].SetAway(true)
+func (tc *testCluster) killInstance(i int) {
+	tc.net.Kill(instanceHost(i))
+	tc.views[i].SetAway(true)
 }
 
 // replaceInstance starts a new process at the address of a killed one.
-func (b *bed) replaceInstance(i int) {
-	b.stop[i]()
-	b.dead = append(b.dead, b.ended[i])
-	b.startInstanceAt(i)
+func (tc *testCluster) replaceInstance(i int) {
+	tc.stop[i]()
+	tc.replacedRunErrors = append(tc.replacedRunErrors, tc.runErrors[i])
+	tc.startInstanceAt(i)
 }
 
-func (b *bed) freezeInstance(i int) {
-	b.net.Freeze(instanceHost(i))
-	b.views[i].Freeze()
+func (tc *testCluster) freezeInstance(i int) {
+	tc.net.Freeze(instanceHost(i))
+	tc.views[i].Freeze()
 }
 
-func (b *bed) thawInstance(i int) {
-	b.net.Thaw(instanceHost(i))
-	b.views[i].Thaw()
+func (tc *testCluster) thawInstance(i int) {
+	tc.net.Thaw(instanceHost(i))
+	tc.views[i].Thaw()
 }
 
 // domainHosts returns the hosts in the failure domain poa-a, and the others.
-func (b *bed) domainHosts() (inside, outside []string) {
-	for i := range bedDomains {
+func (tc *testCluster) domainHosts() (inside, outside []string) {
+	for i := range testDomains {
 		hosts := []string{memberHost(i), instanceHost(i)}
 		if i == 0 {
 			inside = hosts
@@ -84,8 +84,8 @@
 	return inside, outside
 }
 
-func (b *bed) eachPair(f func(in, out string)) {
-	inside, outside := b.domainHosts()
+func (tc *testCluster) eachPair(f func(in, out string)) {
+	inside, outside := tc.domainHosts()
 	for _, in := range inside {
 		for _, out := range outside {
 			f(in, out)
@@ -95,65 +95,65 @@
 
 // cutDomain cuts poa-a off from the other domains and from the platform. Its
 // callers still reach it.
-func (b *bed) cutDomain() {
-	b.eachPair(b.net.Cut)
-	b.views[0].SetAway(true)
+func (tc *testCluster) cutDomain() {
+	tc.eachPair(tc.net.Cut)
+	tc.views[0].SetAway(true)
 }
 
-func (b *bed) healDomain() {
-	b.eachPair(b.net.Heal)
-	b.views[0].SetAway(false)
+func (tc *testCluster) healDomain() {
+	tc.eachPair(tc.net.Heal)
+	tc.views[0].SetAway(false)
 }
 
 // cutOneWay loses what a host sends to the other domains.
-func (b *bed) cutOneWay(host string) {
-	_, outside := b.domainHosts()
+func (tc *testCluster) cutOneWay(host string) {
+	_, outside := tc.domainHosts()
 	for _, out := range outside {
-		b.net.CutOneWay(host, out)
+		tc.net.CutOneWay(host, out)
 	}
 }
 
-func (b *bed) setLatency(d time.Duration) {
+func (tc *testCluster) setLatency(d time.Duration) {
 	var hosts []string
-	for i := range bedDomains {
+	for i := range testDomains {
 		hosts = append(hosts, memberHost(i), instanceHost(i))
 	}
 	for i, one := range hosts {
 		for _, other := range hosts[:i] {
-			b.net.SetLatency(one, other, d)
+			tc.net.SetLatency(one, other, d)
 		}
 	}
 }
 
-func (b *bed) healPlatform() { b.store.SetFaults(standin.Faults{}) }
+func (tc *testCluster) healPlatform() { tc.store.SetFaults(standin.Faults{}) }
 
 // raceOperators lets two operators edit the same version through two instances.
 // Whatever they are told must agree with what is in force.
-func (b *bed) raceOperators() {
+func (tc *testCluster) raceOperators() {
 	for _, i := range []int{1, 2} {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 			defer cancel()
-			current, ok := b.instances[i].store.Current("base")
+			current, ok := tc.instances[i].store.Current("base")
 			if ok {
-				_, _ = b.instances[i].store.Apply(ctx, "base", current.Text, current.Version, "racer")
+				_, _ = tc.instances[i].store.Apply(ctx, "base", current.Text, current.Version, "racer")
 			}
 		}()
 	}
 }
 
 // silence makes every open connection of poa-a silent for good; new ones work.
-func (b *bed) silence() {
-	b.eachPair(b.net.Silence)
-	b.net.Silence(instanceHost(0), memberHost(0))
+func (tc *testCluster) silenceConnections() {
+	tc.eachPair(tc.net.Silence)
+	tc.net.Silence(instanceHost(0), memberHost(0))
 }
 
-// wrongList shows a list without the instance of poa-a, which lives on, and
+// showWrongList shows a list without the instance of poa-a, which lives on, and
 // with one that does not exist.
-func (b *bed) wrongList() {
-	list := b.inventory()
-	list.Instances[0] = platform.Instance{ID: "ghost", FailureDomain: bedDomains[0], PeerAddress: "10.0.8.8:7432"}
-	b.store.SetInventory(list)
+func (tc *testCluster) showWrongList() {
+	list := tc.inventory()
+	list.Instances[0] = platform.Instance{ID: "ghost", FailureDomain: testDomains[0], PeerAddress: "10.0.8.8:7432"}
+	tc.store.SetInventory(list)
 }
 
-func (b *bed) rightList() { b.store.SetInventory(b.inventory()) }
+func (tc *testCluster) restoreList() { tc.store.SetInventory(tc.inventory()) }
--- a/internal/instance/steps_test.go
+++ b/internal/instance/faultsteps_test.go
@@ -13,7 +13,7 @@
 	flow, name string
 	// arm makes strike run once when the point is reached, and starts whatever
 	// leads to it.
-	arm func(b *bed, strike func())
+	arm func(tc *testCluster, inject func())
 }
 
 // allSteps are the columns of the fault matrix.
@@ -38,86 +38,86 @@
 	{"apply", "not yet stored", whileApplying(atPlatform("services.put.before"))},
 	{"apply", "stored, not answered", whileApplying(atPlatform("services.put.after_before_answer"))},
 	{"drain", "drain begins", atDrain},
-	{"lend", "seat not yet changed", whileReseating(atPlatform("shares.put.before"))},
-	{"lend", "seat changed, not answered", whileReseating(atPlatform("shares.put.after_before_answer"))},
+	{"lend", "seat not yet changed", whileMovingHome(atPlatform("shares.put.before"))},
+	{"lend", "seat changed, not answered", whileMovingHome(atPlatform("shares.put.after_before_answer"))},
 }
 
 // once returns a hook that strikes the first time its point is reached. The
 // fault strikes beside the hook's caller, which then goes on a moment later. A
 // sync.Once would not do: those who wait for it hold virtual time.
-func once(point string, strike func()) func(string) {
-	var struck atomic.Bool
+func injectOnce(point string, inject func()) func(string) {
+	var injected atomic.Bool
 	return func(at string) {
-		if at == point && struck.CompareAndSwap(false, true) {
-			go strike()
+		if at == point && injected.CompareAndSwap(false, true) {
+			go inject()
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func atMember(i int, point string) func(*bed, func()) {
-	return func(b *bed, strike func()) { b.nodes[i].SetHook(once(point, strike)) }
+func atMember(i int, point string) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) { tc.nodes[i].SetHook(injectOnce(point, inject)) }
 }
 
-func atAnyMember(point string) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		hook := once(point, strike)
-		for _, n := range b.nodes {
+func atAnyMember(point string) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		hook := injectOnce(point, inject)
+		for _, n := range tc.nodes {
 			n.SetHook(hook)
 		}
 	}
 }
 
-func atPlatform(point string) func(*bed, func()) {
-	return func(b *bed, strike func()) { b.store.SetHook(once(point, strike)) }
+func atPlatform(point string) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) { tc.store.SetHook(injectOnce(point, inject)) }
 }
 
-func atLoad(point string) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		hook := once(point, strike)
-		b.loadHook.Store(&hook)
+func atLoad(point string) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		hook := injectOnce(point, inject)
+		tc.loadHook.Store(&hook)
 	}
 }
 
-func failoverStep(s failover.Step) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		hook := once(string(s), strike)
-		b.onFailoverStep(func(s failover.Step) { hook(string(s)) })
+func failoverStep(s failover.Step) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		hook := injectOnce(string(s), inject)
+		tc.onFailoverStep(func(s failover.Step) { hook(string(s)) })
 	}
 }
 
 // afterKill arms the point and kills the primary, so that a failover begins.
-func afterKill(arm func(*bed, func())) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		arm(b, strike)
-		b.killMember(0)
+func afterKill(arm func(*testCluster, func())) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		arm(tc, inject)
+		tc.killMember(0)
 	}
 }
 
 // whileApplying arms the point and applies a document.
-func whileApplying(arm func(*bed, func())) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		arm(b, strike)
-		go b.applyAgain()
+func whileApplying(arm func(*testCluster, func())) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		arm(tc, inject)
+		go tc.reapplyDocument()
 	}
 }
 
-// whileReseating arms the point and moves a home: the instance of fln-c leaves
+// whileMovingHome arms the point and moves a home: the instance of fln-c leaves
 // the list and comes back, so that it gives its seat up and takes one.
-func whileReseating(arm func(*bed, func())) func(*bed, func()) {
-	return func(b *bed, strike func()) {
-		arm(b, strike)
-		list := b.inventory()
+func whileMovingHome(arm func(*testCluster, func())) func(*testCluster, func()) {
+	return func(tc *testCluster, inject func()) {
+		arm(tc, inject)
+		list := tc.inventory()
 		list.Instances[2].Leaving = true
-		b.store.SetInventory(list)
+		tc.store.SetInventory(list)
 		time.Sleep(3 * time.Second)
-		b.store.SetInventory(b.inventory())
+		tc.store.SetInventory(tc.inventory())
 	}
 }
 
 // atDrain starts the graceful stop of an instance and strikes beside it.
-func atDrain(b *bed, strike func()) {
-	b.draining[1] = true
-	b.stop[1]()
-	go strike()
+func atDrain(tc *testCluster, inject func()) {
+	tc.draining[1] = true
+	tc.stop[1]()
+	go inject()
 }
--- a/internal/instance/flush_test.go
+++ b/internal/instance/flush_test.go
@@ -8,16 +8,16 @@
 
 // ask sends messages over c's connection and returns the answers up to the
 // first that is of the kind of last.
-func (b *bed) ask(f *pgproto3.Frontend, last string, messages ...pgproto3.FrontendMessage) []string {
-	b.t.Helper()
+func (tc *testCluster) exchange(f *pgproto3.Frontend, last string, messages ...pgproto3.FrontendMessage) []string {
+	tc.t.Helper()
 	for _, m := range messages {
 		f.Send(m)
 	}
-	b.is.NoErr(f.Flush())
+	tc.is.NoErr(f.Flush())
 	var kinds []string
 	for {
 		m, err := f.Receive()
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		kind := kindOf(m)
 		if kind == "ParameterStatus" {
 			continue
@@ -56,23 +56,23 @@
 // Some drivers describe a statement with Flush and run it later with Sync. They
 // wait for the description before they send more: without an answer to Flush
 // both sides would wait. An error is answered once, and Sync then only says ready.
-func TestFlushAnswersADescription(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+func TestFlushReturnsDescription(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		conn := c.PgConn().Conn()
 		f := pgproto3.NewFrontend(conn, conn)
 		parse := &pgproto3.Parse{Name: "s", Query: "SELECT v FROM kv WHERE k = $1"}
 		describe := &pgproto3.Describe{ObjectType: 'S', Name: "s"}
 		bind := &pgproto3.Bind{PreparedStatement: "s", Parameters: [][]byte{[]byte("a")}}
 		run, sync, flush := &pgproto3.Execute{}, &pgproto3.Sync{}, &pgproto3.Flush{}
-		b.is.Equal(b.ask(f, "rows", parse, describe, flush), []string{"parsed", "parameters", "rows"})
-		b.is.Equal(b.ask(f, "ready I", bind, run, sync), []string{"bound", "row", "complete", "ready I"})
+		tc.is.Equal(tc.exchange(f, "rows", parse, describe, flush), []string{"parsed", "parameters", "rows"})
+		tc.is.Equal(tc.exchange(f, "ready I", bind, run, sync), []string{"bound", "row", "complete", "ready I"})
 		bad := &pgproto3.Parse{Name: "x", Query: "NONSENSE"}
-		b.is.Equal(b.ask(f, "42601", bad, flush), []string{"42601"})
-		b.is.Equal(b.ask(f, "ready I", bind, run, sync), []string{"ready I"})
-		b.is.Equal(b.ask(f, "TD017", bind, run, flush), []string{"TD017"})
-		b.is.Equal(b.ask(f, "ready I", sync), []string{"ready I"})
-		b.is.Equal(b.ask(f, "ready I", bind, run, sync), []string{"bound", "row", "complete", "ready I"})
+		tc.is.Equal(tc.exchange(f, "42601", bad, flush), []string{"42601"})
+		tc.is.Equal(tc.exchange(f, "ready I", bind, run, sync), []string{"ready I"})
+		tc.is.Equal(tc.exchange(f, "TD017", bind, run, flush), []string{"TD017"})
+		tc.is.Equal(tc.exchange(f, "ready I", sync), []string{"ready I"})
+		tc.is.Equal(tc.exchange(f, "ready I", bind, run, sync), []string{"bound", "row", "complete", "ready I"})
 	})
 }
--- a/internal/instance/history_test.go
+++ b/internal/instance/history_test.go
@@ -23,10 +23,10 @@
 	// historyReaders is how many of the callers only read and do not roam.
 	historyReaders = 2
 	historyKeys    = 3
-	// historyBefore and historyAfter are how long callers work before a fault
+	// historyBeforeFault and historyAfterFault are how long callers work before a fault
 	// and after its end.
-	historyBefore = 500 * time.Millisecond
-	historyAfter  = 1500 * time.Millisecond
+	historyBeforeFault = 500 * time.Millisecond
+	historyAfterFault  = 1500 * time.Millisecond
 	// historyCheckTimeout bounds the search for an order, in real time. The
 	// searches take milliseconds.
 	historyCheckTimeout = 2 * time.Minute
@@ -138,11 +138,11 @@
 			c.read(key)
 		}
 		if !c.onlyReads && c.random.IntN(3) == 0 {
-			c.move(c.random.IntN(2) == 0)
+			c.moveToAnother(c.random.IntN(2) == 0)
 		}
 		time.Sleep(time.Duration(10+c.random.IntN(40)) * time.Millisecond)
 	}
-	c.leave()
+	c.disconnect()
 }
 
 func (c *historyCaller) write(key string) {
@@ -151,14 +151,14 @@
 	call := c.history.tick()
 	f := c.exec(in.value, sql)
 	switch f {
-	case fateAcknowledged:
+	case outcomeAcknowledged:
 		c.history.add(c.client, call, c.history.tick(), in, "")
-	case fateUnknown:
+	case outcomeUnknown:
 		c.history.add(c.client, call, neverReturned, in, "")
-		c.move(false)
-	case fateDidNotRun:
+		c.moveToAnother(false)
+	case outcomeDidNotRun:
 		// The write is left out: a read that finds its value has no order.
-		c.move(false)
+		c.moveToAnother(false)
 	}
 }
 
@@ -173,33 +173,33 @@
 	var v string
 	err := conn.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1"+c.tag, key).Scan(&v)
 	if err != nil && !errors.Is(err, pgx.ErrNoRows) {
-		c.move(false)
+		c.moveToAnother(false)
 		return
 	}
 	c.history.add(c.client, call, c.history.tick(), registerInput{key: key}, v)
 }
 
 // recordHistory lets callers work on a bed while a fault strikes.
-func recordHistory(b *bed, f matrixFault, seed uint64, tag string) *history {
+func recordHistory(tc *testCluster, f matrixFault, seed uint64, tag string) *history {
 	h := &history{}
-	l := &load{bed: b, fates: make(map[string]fate)}
+	l := &load{cluster: tc, outcomes: make(map[string]outcome)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	for i := range historyCallers {
 		c := &historyCaller{client: i, history: h, tag: tag, onlyReads: i < historyReaders}
-		c.load, c.name, c.at = l, fmt.Sprintf("h%d", i), (len(bedDomains)-1+i)%len(bedDomains)
+		c.load, c.name, c.instance = l, fmt.Sprintf("h%d", i), (len(testDomains)-1+i)%len(testDomains)
 		c.random = rand.New(rand.NewPCG(seed, uint64(i)))
-		l.wait.Go(c.run)
+		l.callers.Go(c.run)
 	}
-	time.Sleep(historyBefore)
-	f.strike(b)
-	time.Sleep(struckFor)
-	f.heal(b)
-	time.Sleep(historyAfter)
-	l.end()
+	time.Sleep(historyBeforeFault)
+	f.inject(tc)
+	time.Sleep(faultDuration)
+	f.heal(tc)
+	time.Sleep(historyAfterFault)
+	l.stopAndWait()
 	return h
 }
 
-func faultNamed(name string) matrixFault {
+func findFault(name string) matrixFault {
 	for _, f := range allFaults {
 		if f.name == name {
 			return f
@@ -220,7 +220,7 @@
 				t.Parallel()
 				is := is.New(t)
 				var h *history
-				inBed(t, func(b *bed) { h = recordHistory(b, faultNamed(name), seed, freshRead) })
+				withCluster(t, func(tc *testCluster) { h = recordHistory(tc, findFault(name), seed, freshRead) })
 				reads, writes, unknown := h.counts()
 				t.Logf("%d reads, %d writes acknowledged, %d of unknown outcome", reads, writes, unknown)
 				is.Equal(h.check(), porcupine.Ok)
@@ -235,12 +235,12 @@
 // replica is 300 ms behind the other. A caller is then shown a value older than
 // one that was acknowledged to another caller, which the class allows and a
 // linearizable history does not: the check of the test above must find it.
-func TestHistoryCheckFindsAgedReads(t *testing.T) {
+func TestHistoryCheckDetectsStaleReads(t *testing.T) {
 	is := is.New(t)
 	var h *history
-	inBed(t, func(b *bed) {
-		b.nodes[2].SetReplicationLag(300 * time.Millisecond)
-		h = recordHistory(b, faultNamed("none"), 1, agedRead)
+	withCluster(t, func(tc *testCluster) {
+		tc.nodes[2].SetReplicationLag(300 * time.Millisecond)
+		h = recordHistory(tc, findFault("none"), 1, agedRead)
 	})
 	is.Equal(h.check(), porcupine.Illegal)
 }
--- a/internal/instance/home.go
+++ b/internal/instance/home.go
@@ -29,14 +29,14 @@
 	queues   *admission.PerMember
 	executor *executor.Group
 	router   *executor.Router
-	seats    share
-
-	// stopSeats ends the manager of seats; seeking counts it.
-	stopSeats context.CancelFunc
-	seeking   sync.WaitGroup
-	// stopParts ends what needs the seat; parts counts it.
-	stopParts context.CancelFunc
-	parts     sync.WaitGroup
+	share    connectionShare
+
+	// cancelShare ends the manager of seats; seeking counts it.
+	cancelShare  context.CancelFunc
+	shareRunning sync.WaitGroup
+	// cancelComponents ends what needs the seat; parts counts it.
+	cancelComponents context.CancelFunc
+	components       sync.WaitGroup
 }
 
 // newHome builds the parts of a home without starting them.
@@ -69,7 +69,7 @@
 		h.gate = admission.New(gate)
 	}
 	h.executor = n.newExecutor(g, h)
-	h.seats = n.newShare(g, version, h)
+	h.share = n.newShare(g, version, h)
 	return h
 }
 
@@ -99,7 +99,7 @@
 		Service:       func() *document.Service { return n.service(g.Name) },
 		Tracker:       n.tracker(h.watcher),
 		Pool:          h.pool,
-		Gate:          h.gateInUse(),
+		Gate:          h.admissionGate(),
 		Budget: retry.New(retry.Config{
 			Group:   g.Name,
 			Clock:   n.options.Clock,
@@ -117,16 +117,16 @@
 	})
 }
 
-// gateInUse returns the gate that units go through.
-func (h *home) gateInUse() admission.Gate {
+// admissionGate returns the gate that units go through.
+func (h *home) admissionGate() admission.Gate {
 	if h.queues != nil {
 		return h.queues
 	}
 	return h.gate
 }
 
-// setPerMember bounds what the home uses of each member.
-func (h *home) setPerMember(connections int) {
+// setMemberLimit bounds what the home uses of each member.
+func (h *home) setMemberLimit(connections int) {
 	h.pool.SetMemberLimit(connections)
 	h.queues.SetSlots(connections)
 }
@@ -141,30 +141,30 @@
 
 // newShare returns what bounds the home: a seat in the group's ledger, or an even
 // part where members bound their connections themselves.
-func (n *Instance) newShare(g document.Group, version int64, h *home) share {
+func (n *Instance) newShare(g document.Group, version int64, h *home) connectionShare {
 	if n.protocol.MemberShares {
 		e := &shares.Even{
 			Clock:       n.options.Clock,
 			Linger:      n.protocol.Linger,
 			Connections: shares.Pool(h.pool),
-			Each:        h.setPerMember,
-			Control:     controlPerMember,
-			Part:        func(total int) int { return n.partOf(g.Name, total) },
-			SeatChanged: h.seatChanged,
+			Each:        h.setMemberLimit,
+			Control:     controlConnsPerMember,
+			Part:        func(total int) int { return n.connectionShareOf(g.Name, total) },
+			SeatChanged: h.shareChanged,
 		}
 		e.SetAllocation(allocation(g, version))
 		return e
 	}
-	m := n.newSeats(g, version, h)
-	n.seats.Add(m)
+	m := n.newShareManager(g, version, h)
+	n.shareDirectory.Add(m)
 	return m
 }
 
-// controlPerMember is how many connections to each member a home keeps for
+// controlConnsPerMember is how many connections to each member a home keeps for
 // following it.
-const controlPerMember = 1
+const controlConnsPerMember = 1
 
-func (n *Instance) newSeats(g document.Group, version int64, h *home) *shares.Manager {
+func (n *Instance) newShareManager(g document.Group, version int64, h *home) *shares.Manager {
 	return shares.New(shares.Config{
 		Group:       g.Name,
 		Self:        n.holder,
@@ -177,7 +177,7 @@
 		Connections: shares.Pool(h.pool),
 		Slots:       shares.Gate(h.gate),
 		Control:     len(g.Members),
-		SeatChanged: h.seatChanged,
+		SeatChanged: h.shareChanged,
 	}, allocation(g, version))
 }
 
@@ -199,42 +199,42 @@
 // start asks for a seat and keeps it until stop.
 func (h *home) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.stopSeats = cancel
-	h.seeking.Go(func() { h.seats.Run(ctx) })
+	h.cancelShare = cancel
+	h.shareRunning.Go(func() { h.share.Run(ctx) })
 }
 
-// seatChanged starts what needs the seat, or ends it before the seat goes.
-func (h *home) seatChanged(seated bool) {
+// shareChanged starts what needs the seat, or ends it before the seat goes.
+func (h *home) shareChanged(seated bool) {
 	if !seated {
 		h.router.Retire(h.group.Name)
-		h.endParts()
+		h.stopComponents()
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h.stopParts = cancel
-	h.parts.Go(func() { h.watcher.Run(ctx) })
-	h.parts.Go(func() { h.claimer.Run(ctx) })
+	h.cancelComponents = cancel
+	h.components.Go(func() { h.watcher.Run(ctx) })
+	h.components.Go(func() { h.claimer.Run(ctx) })
 	h.router.Add(h.executor)
-	h.parts.Go(func() { h.executor.Run(ctx) })
+	h.components.Go(func() { h.executor.Run(ctx) })
 }
 
-// endParts closes the control connections and returns when they are closed.
-func (h *home) endParts() {
-	if h.stopParts == nil {
+// stopComponents closes the control connections and returns when they are closed.
+func (h *home) stopComponents() {
+	if h.cancelComponents == nil {
 		return
 	}
-	h.stopParts()
-	h.parts.Wait()
+	h.cancelComponents()
+	h.components.Wait()
 }
 
 // stop gives the seat back and closes every connection to members. An error
 // says that the platform could not be told; the seat is then found again by
 // proof once another process answers at this instance's address.
 func (h *home) stop(ctx context.Context) error {
-	h.stopSeats()
-	h.seeking.Wait()
-	err := h.seats.Close(ctx)
-	h.endParts()
+	h.cancelShare()
+	h.shareRunning.Wait()
+	err := h.share.Close(ctx)
+	h.stopComponents()
 	_ = h.pool.Close(ctx)
 	return err
 }
--- a/internal/instance/homecount.go
+++ b/internal/instance/homecount.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// leastShare is the least part of a member's connections with which an instance
+	// minShare is the least part of a member's connections with which an instance
 	// is home to a group: one to follow the member, and two for statements, so that
 	// one long statement does not hold up all others.
-	leastShare = 3
-	// usualShare is the part that a home gets where not every instance can be one.
-	usualShare = 4
-	// redundantHomes is how many homes a failure domain has at least where its part of the
+	minShare = 3
+	// defaultShare is the part that a home gets where not every instance can be one.
+	defaultShare = 4
+	// minHomesPerDomain is how many homes a failure domain has at least where its part of the
 	// connections allows it: the loss of one leaves its callers another one near.
-	redundantHomes = 2
-	// homesPerSlot is how many homes there may be for each slot of a member while every
+	minHomesPerDomain = 2
+	// maxHomesPerSlot is how many homes there may be for each slot of a member while every
 	// instance is one.
-	homesPerSlot = 2
-	// everyInstance makes every instance of a failure domain a home.
-	everyInstance = 1 << 20
+	maxHomesPerSlot = 2
+	// allInstances makes every instance of a failure domain a home.
+	allInstances = 1 << 20
 )
 
 // fleetSize is how many instances there are, and in how many failure domains.
 type fleetSize struct{ instances, domains int }
 
-// sizeOf counts instances and their failure domains. It is counted once for all groups:
+// fleetSizeOf counts instances and their failure domains. It is counted once for all groups:
 // counted for each, a comparison of homes would take groups times instances.
-func sizeOf(instances []platform.Instance) fleetSize {
+func fleetSizeOf(instances []platform.Instance) fleetSize {
 	domains := make(map[string]bool)
 	for _, i := range instances {
 		domains[i.FailureDomain] = true
@@ -51,29 +51,29 @@
 	if g.MemberConnections <= 0 || fleet.domains == 0 {
 		return 0
 	}
-	if g.MemberConnections >= leastShare*fleet.instances && !crowds(fleet, g) {
-		return everyInstance
+	if g.MemberConnections >= minShare*fleet.instances && !exceedsSlots(fleet, g) {
+		return allInstances
 	}
-	byConnections := max(g.MemberConnections/usualShare/fleet.domains, 1)
-	bySlots := max(memberSlots(g)/fleet.domains, redundantHomes)
+	byConnections := max(g.MemberConnections/defaultShare/fleet.domains, 1)
+	bySlots := max(memberSlots(g)/fleet.domains, minHomesPerDomain)
 	return min(byConnections, bySlots)
 }
 
 // crowds reports whether all instances as homes would be many more than a member has slots.
 // Slots that are not known bound nothing.
-func crowds(fleet fleetSize, g document.Group) bool {
+func exceedsSlots(fleet fleetSize, g document.Group) bool {
 	slots := memberSlots(g)
-	return slots > 0 && fleet.instances > homesPerSlot*slots
+	return slots > 0 && fleet.instances > maxHomesPerSlot*slots
 }
 
 // memberSlots is how many statements one member of a group runs at once.
 func memberSlots(g document.Group) int { return g.Slots / max(len(g.Members), 1) }
 
-// evenPart is the part of a member's connections that one home may use. Half of them
+// evenShare is the part of a member's connections that one home may use. Half of them
 // are divided evenly among the homes, and half among the failure domains first:
 // callers come to the instances of their own domain, so that where a domain has fewer
 // instances each has more to do. The parts of all homes sum to no more than the whole.
-func evenPart(total int, homes []platform.Instance, self platform.Instance) int {
+func evenShare(total int, homes []platform.Instance, self platform.Instance) int {
 	domains := make(map[string]int)
 	for _, i := range homes {
 		domains[i.FailureDomain]++
--- a/internal/instance/homecount_test.go
+++ b/internal/instance/homecount_test.go
@@ -15,12 +15,12 @@
 // before a member than it has slots, but for the two that each failure domain keeps.
 func TestHomesFitTheMembersConnectionsAndSlots(t *testing.T) {
 	for _, c := range []struct{ connections, slots, instances, domains, want int }{
-		{34, 5, 8, 3, everyInstance},
-		{34, 5, 9, 3, everyInstance}, // one that was replaced is still listed
-		{55, 5, 7, 3, everyInstance},
+		{34, 5, 8, 3, allInstances},
+		{34, 5, 9, 3, allInstances}, // one that was replaced is still listed
+		{55, 5, 7, 3, allInstances},
 		{125, 5, 35, 5, 2}, // connections for all, and seven before each slot
-		{125, 5, 10, 5, everyInstance},
-		{34, 0, 8, 3, everyInstance}, // the members' slots are not known yet
+		{125, 5, 10, 5, allInstances},
+		{34, 0, 8, 3, allInstances}, // the members' slots are not known yet
 		{36, 3, 77, 4, 2},
 		{48, 6, 59, 3, 2},
 		{176, 6, 74, 4, 2},
@@ -37,11 +37,11 @@
 				instances = append(instances, platform.Instance{ID: fmt.Sprint(i), FailureDomain: fmt.Sprint(i % c.domains)})
 			}
 			members := make([]document.Member, 3)
-			got := homesPerDomain(document.Group{MemberConnections: c.connections, Members: members, Slots: c.slots * len(members)}, sizeOf(instances))
+			got := homesPerDomain(document.Group{MemberConnections: c.connections, Members: members, Slots: c.slots * len(members)}, fleetSizeOf(instances))
 			is.Equal(got, c.want)
-			if got != everyInstance && got > 1 {
-				is.True(got*c.domains*usualShare <= c.connections)
-				is.True(got*c.domains <= max(c.slots, redundantHomes*c.domains))
+			if got != allInstances && got > 1 {
+				is.True(got*c.domains*defaultShare <= c.connections)
+				is.True(got*c.domains <= max(c.slots, minHomesPerDomain*c.domains))
 			}
 		})
 	}
@@ -49,19 +49,19 @@
 
 // Three failure domains have four, two and two instances and as many callers each. The
 // parts follow the callers and never sum to more than the member takes.
-func TestPartsFollowTheCallersAndStayWithinTheWhole(t *testing.T) {
+func TestEvenSharesStayWithinTheTotal(t *testing.T) {
 	is := is.New(t)
 	var homes []platform.Instance
 	for i, domain := range []string{"a", "a", "a", "a", "b", "b", "c", "c"} {
 		homes = append(homes, platform.Instance{ID: fmt.Sprint(i), FailureDomain: domain})
 	}
-	is.Equal(evenPart(34, homes, homes[0]), 3)
-	is.Equal(evenPart(34, homes, homes[4]), 4)
-	is.Equal(evenPart(34, homes, platform.Instance{FailureDomain: "d"}), 0)
+	is.Equal(evenShare(34, homes, homes[0]), 3)
+	is.Equal(evenShare(34, homes, homes[4]), 4)
+	is.Equal(evenShare(34, homes, platform.Instance{FailureDomain: "d"}), 0)
 	for total := range 200 {
 		sum := 0
 		for _, i := range homes {
-			sum += evenPart(total, homes, i)
+			sum += evenShare(total, homes, i)
 		}
 		is.True(sum <= total)
 	}
@@ -76,6 +76,6 @@
 		groups[i].Group = document.Group{Name: fmt.Sprint(i), MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
 	}
 	for b.Loop() {
-		homeCounts(groups, sizeOf(live))
+		homeCounts(groups, fleetSizeOf(live))
 	}
 }
--- a/internal/instance/homeload_test.go
+++ b/internal/instance/homeload_test.go
@@ -28,8 +28,8 @@
 	homeLoadSeed      = 7
 )
 
-// homeLoad replays callers of a whole fleet against one member.
-type homeLoad struct {
+// loadModel replays callers of a whole fleet against one member.
+type loadModel struct {
 	// gates are the homes' gates, by failure domain in the order in which its instances
 	// ask them.
 	gates  [][]*admission.PerMember
@@ -37,8 +37,8 @@
 	// spread has callers come to all homes of their failure domain in place of the first.
 	spread bool
 
-	mu            sync.Mutex
-	asked, inTime int
+	mu               sync.Mutex
+	requests, inTime int
 }
 
 // fleetOf returns instances spread over failure domains.
@@ -50,13 +50,13 @@
 	return all
 }
 
-// newHomeLoad makes the homes of a group, so many in each failure domain, with the
+// newLoadModel makes the homes of a group, so many in each failure domain, with the
 // connections that they have to one member.
-func newHomeLoad(g document.Group, domains, perDomain int) *homeLoad {
-	l := &homeLoad{gates: make([][]*admission.PerMember, domains), member: make(chan struct{}, memberSlots(g))}
+func newLoadModel(g document.Group, domains, perDomain int) *loadModel {
+	l := &loadModel{gates: make([][]*admission.PerMember, domains), member: make(chan struct{}, memberSlots(g))}
 	homes := fleetOf(perDomain*domains, domains)
 	for k, home := range homes {
-		connections := evenPart(g.MemberConnections, homes, home) - controlPerMember
+		connections := evenShare(g.MemberConnections, homes, home) - controlConnsPerMember
 		gate := admission.NewPerMember(admission.Config{
 			Group: g.Name, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(homeLoadSeed, uint64(k))), Slots: connections,
 		})
@@ -66,7 +66,7 @@
 }
 
 // run has callers come for a time, so many a second, and returns the share served in time.
-func (l *homeLoad) run(perSecond float64, length time.Duration) float64 {
+func (l *loadModel) run(perSecond float64, length time.Duration) float64 {
 	random := rand.New(rand.NewPCG(homeLoadSeed, 1))
 	var all sync.WaitGroup
 	for end := time.Now().Add(length); time.Now().Before(end); {
@@ -85,11 +85,11 @@
 		all.Go(func() { l.request(gate, work, pause) })
 	}
 	all.Wait()
-	return float64(l.inTime) / float64(l.asked)
+	return float64(l.inTime) / float64(l.requests)
 }
 
 // request runs one operation through a home's gate at the member.
-func (l *homeLoad) request(gate *admission.PerMember, work, pause time.Duration) {
+func (l *loadModel) request(gate *admission.PerMember, work, pause time.Duration) {
 	began := time.Now()
 	slot, err := gate.Enter(context.Background(), admission.Request{
 		Class: "read", Priority: 2, MaxQueue: 500, Member: "m",
@@ -102,16 +102,16 @@
 		<-l.member
 		slot.Answered()
 	}
-	l.count(err == nil && time.Since(began) <= homeLoadObjective)
+	l.recordResult(err == nil && time.Since(began) <= homeLoadObjective)
 	if err == nil {
 		_ = clock.Sleep(context.Background(), clock.System{}, pause)
 	}
 }
 
-func (l *homeLoad) count(inTime bool) {
+func (l *loadModel) recordResult(inTime bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
+	l.requests++
 	if inTime {
 		l.inTime++
 	}
@@ -128,9 +128,9 @@
 		const domains = 5
 		g := document.Group{Name: "g", MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
 		perSecond := 0.8 * float64(memberSlots(g)) / homeLoadWork.Seconds()
-		count := homesPerDomain(g, sizeOf(fleetOf(295, domains)))
-		byConnections := newHomeLoad(g, domains, g.MemberConnections/usualShare/domains).run(perSecond, 20*time.Second)
-		bySlots := newHomeLoad(g, domains, count).run(perSecond, 20*time.Second)
+		count := homesPerDomain(g, fleetSizeOf(fleetOf(295, domains)))
+		byConnections := newLoadModel(g, domains, g.MemberConnections/defaultShare/domains).run(perSecond, 20*time.Second)
+		bySlots := newLoadModel(g, domains, count).run(perSecond, 20*time.Second)
 		t.Logf("in time: %.3f with homes by connections, %.3f by slots", byConnections, bySlots)
 		is.True(bySlots >= 0.95)
 		is.True(bySlots > byConnections)
@@ -141,16 +141,16 @@
 // do. With every instance a home, each has two connections beside the one that follows the
 // member, a single transaction holds one of them, and callers are refused while the member is
 // idle. With homes by the member's slots nearly all are in time.
-func TestHotGroupOfAMiddlingFleetIsServedInTime(t *testing.T) {
+func TestHotGroupOfAMediumFleetIsServedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const domains, instances = 5, 35
 		g := document.Group{Name: "g", MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
 		perSecond := 0.8 * float64(memberSlots(g)) / homeLoadWork.Seconds()
-		everyOne := newHomeLoad(g, domains, instances/domains)
-		everyOne.spread = true
-		all := everyOne.run(perSecond, 20*time.Second)
-		bySlots := newHomeLoad(g, domains, min(homesPerDomain(g, sizeOf(fleetOf(instances, domains))), instances/domains)).run(perSecond, 20*time.Second)
+		allHomes := newLoadModel(g, domains, instances/domains)
+		allHomes.spread = true
+		all := allHomes.run(perSecond, 20*time.Second)
+		bySlots := newLoadModel(g, domains, min(homesPerDomain(g, fleetSizeOf(fleetOf(instances, domains))), instances/domains)).run(perSecond, 20*time.Second)
 		t.Logf("in time: %.3f with every instance a home, %.3f by slots", all, bySlots)
 		is.True(bySlots >= 0.95)
 	})
--- a/internal/instance/instancehomes.go
+++ b/internal/instance/homelookup.go
@@ -6,13 +6,13 @@
 )
 
 // homes finds instances for the router.
-type homes struct{ members *membership.Members }
+type homeLookup struct{ members *membership.Members }
 
 // Homes implements executor.Homes.
-func (h homes) Homes(group string) []platform.Instance { return h.members.Homes(group) }
+func (h homeLookup) Homes(group string) []platform.Instance { return h.members.Homes(group) }
 
 // FindInstance implements executor.Homes.
-func (h homes) FindInstance(id string) (platform.Instance, bool) {
+func (h homeLookup) FindInstance(id string) (platform.Instance, bool) {
 	for _, p := range h.members.Peers() {
 		if p.ID == id {
 			return p, true
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -21,7 +21,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changed:
+		case <-n.reconcileRequested:
 		case <-timer.C:
 		}
 		n.reconcile(ctx)
@@ -29,10 +29,10 @@
 	}
 }
 
-// noteChange asks for a comparison soon. It never blocks.
-func (n *Instance) noteChange() {
+// requestReconcile asks for a comparison soon. It never blocks.
+func (n *Instance) requestReconcile() {
 	select {
-	case n.changed <- struct{}{}:
+	case n.reconcileRequested <- struct{}{}:
 	default:
 	}
 }
@@ -40,7 +40,7 @@
 // reconcile starts the homes that are missing and retires those that are not
 // wanted or whose members changed.
 func (n *Instance) reconcile(ctx context.Context) {
-	n.countHomes()
+	n.updateHomeCounts()
 	wanted := n.wantedGroups()
 	for name, h := range n.homesCopy() {
 		w, ok := wanted[name]
@@ -54,18 +54,18 @@
 			h = n.addHome(w)
 		}
 		if h != nil {
-			n.adjust(h, w)
+			n.updateHome(h, w)
 		}
 	}
 }
 
-// countHomes sets how many instances are homes to each group, where that follows from the
+// updateHomeCounts sets how many instances are homes to each group, where that follows from the
 // members' connections and slots.
-func (n *Instance) countHomes() {
+func (n *Instance) updateHomeCounts() {
 	if !n.protocol.MemberShares {
 		return
 	}
-	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), sizeOf(n.members.Live())))
+	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), fleetSizeOf(n.members.Live())))
 }
 
 // homeCounts returns for each group how many homes each failure domain has; groups whose
@@ -80,13 +80,13 @@
 	return counts
 }
 
-// partOf is this instance's part of a number of connections to a member of a group.
+// connectionShareOf is this instance's part of a number of connections to a member of a group.
 // Before it has learned of the others it takes the usual one: all instances that start
 // while the platform is away would else take the whole each.
-func (n *Instance) partOf(group string, total int) int {
-	part := evenPart(total, n.members.Homes(group), n.self())
+func (n *Instance) connectionShareOf(group string, total int) int {
+	part := evenShare(total, n.members.Homes(group), n.self())
 	if !n.members.Known() {
-		return min(part, usualShare)
+		return min(part, defaultShare)
 	}
 	return part
 }
@@ -95,7 +95,7 @@
 func (n *Instance) wantedGroups() map[string]GroupInForce {
 	wanted := make(map[string]GroupInForce)
 	groups := n.documents.Groups()
-	if n.registry != nil && n.firstView.awaits(n.options.Clock.Now(), len(groups), n.members.Known()) {
+	if n.registry != nil && n.listWait.pending(n.options.Clock.Now(), len(groups), n.members.Known()) {
 		return wanted
 	}
 	for _, g := range groups {
@@ -112,14 +112,14 @@
 // still ending: two of them would hold two seats' connections.
 func (n *Instance) addHome(w GroupInForce) *home {
 	n.mu.Lock()
-	ending := n.ending[w.Name]
+	ending := n.stopping[w.Name]
 	n.mu.Unlock()
 	if ending {
 		return nil
 	}
 	h := n.newHome(w.Group, w.Version)
 	n.mu.Lock()
-	n.homeOf[w.Name] = h
+	n.homesByGroup[w.Name] = h
 	n.mu.Unlock()
 	h.start()
 	n.options.Logger.Info("Home of a group was started.", "group", w.Name)
@@ -127,7 +127,7 @@
 }
 
 // adjust passes on what may change while a home runs: limits and leaving members.
-func (n *Instance) adjust(h *home, w GroupInForce) {
+func (n *Instance) updateHome(h *home, w GroupInForce) {
 	var leaving []string
 	for _, m := range w.Members {
 		if n.documents.Leaving(m.Address) {
@@ -139,7 +139,7 @@
 	}
 	h.watcher.SetLeaving(leaving)
 	h.pool.SetLeaving(leaving)
-	h.seats.SetAllocation(allocation(w.Group, w.Version))
+	h.share.SetAllocation(allocation(w.Group, w.Version))
 }
 
 // retire stops new units at once and the home itself when the units at work and
@@ -147,26 +147,26 @@
 func (n *Instance) retire(ctx context.Context, h *home) {
 	n.router.Retire(h.group.Name)
 	n.mu.Lock()
-	delete(n.homeOf, h.group.Name)
-	n.ending[h.group.Name] = true
+	delete(n.homesByGroup, h.group.Name)
+	n.stopping[h.group.Name] = true
 	n.mu.Unlock()
 	n.options.Logger.Info("Home of a group is retired.", "group", h.group.Name)
-	n.running.Go(func() { n.finishRetired(ctx, h) })
+	n.running.Go(func() { n.drainRetired(ctx, h) })
 }
 
-func (n *Instance) finishRetired(ctx context.Context, h *home) {
+func (n *Instance) drainRetired(ctx context.Context, h *home) {
 	deadline := n.options.Clock.Now().Add(retireTimeout)
 	for h.executor.Busy() && n.options.Clock.Now().Before(deadline) {
-		if clock.Sleep(ctx, n.options.Clock, retirePoll) != nil {
+		if clock.Sleep(ctx, n.options.Clock, retirePollInterval) != nil {
 			break
 		}
 	}
 	n.router.Remove(h.executor)
 	n.stopHome(ctx, h)
 	n.mu.Lock()
-	delete(n.ending, h.group.Name)
+	delete(n.stopping, h.group.Name)
 	n.mu.Unlock()
-	n.noteChange()
+	n.requestReconcile()
 }
 
 // stopHome stops a home and tries again while the platform does not take the
@@ -184,12 +184,12 @@
 			break
 		}
 	}
-	n.seats.Remove(h.group.Name)
+	n.shareDirectory.Remove(h.group.Name)
 }
 
 const (
-	// retirePoll is the time between two looks at a retired home's units.
-	retirePoll = 50 * time.Millisecond
+	// retirePollInterval is the time between two looks at a retired home's units.
+	retirePollInterval = 50 * time.Millisecond
 	// stopTimeout bounds one attempt to close a home's connections.
 	stopTimeout = 2 * time.Second
 )
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -40,28 +40,28 @@
 	members   *membership.Members
 	// registry keeps the list of instances where the platform does not; nil otherwise.
 	registry *registry.Registry
-	// firstView is used by runHomes alone.
-	firstView firstView
+	// listWait is used by runHomes alone.
+	listWait instanceListWait
 	// cutOff says that the instance reaches only minorities of most groups.
 	cutOff atomic.Bool
-	// lookedAt is when this instance last looked at once what it reaches; lookReach and
-	// lookPeers wake those who do.
-	lookedAt             atomic.Pointer[time.Time]
-	lookReach, lookPeers chan struct{}
+	// lastCheck is when this instance last looked at once what it reaches; wakeReach and
+	// wakePeerReach wake those who do.
+	reachCheckedAt           atomic.Pointer[time.Time]
+	wakeReach, wakePeerReach chan struct{}
 	// leaving says that the graceful shutdown has begun.
-	leaving atomic.Bool
-	peers   *peer.Server
-	client  *peer.Client
-	router  *executor.Router
+	draining atomic.Bool
+	peers    *peer.Server
+	client   *peer.Client
+	router   *executor.Router
 	// limits keeps the operations of workspaces within their limits.
-	limits  *quota.Guard
-	callers Callers
-	admin   *adminapi.Server
+	quotaGuard *quota.Guard
+	callers    Callers
+	admin      *adminapi.Server
 	// changed asks for a comparison of homes; it holds at most one request.
-	changed chan struct{}
+	reconcileRequested chan struct{}
 	// stop is closed when an operator asks for a drain.
-	stop     chan struct{}
-	stopOnce func()
+	drainRequested chan struct{}
+	requestDrain   func()
 	// running counts the goroutines that Run waits for; reconciling is the one
 	// among them that starts and retires homes.
 	running     sync.WaitGroup
@@ -69,30 +69,30 @@
 
 	// seats routes peers' calls to the managers of seats; holder names this
 	// process to them.
-	seats  *shares.Directory
-	holder shares.Holder
+	shareDirectory *shares.Directory
+	holder         shares.Holder
 
-	mu     sync.Mutex
-	homeOf map[string]*home
+	mu           sync.Mutex
+	homesByGroup map[string]*home
 	// ending holds the groups whose last home has not ended yet.
-	ending map[string]bool
+	stopping map[string]bool
 }
 
 // New builds an instance that does nothing before Run.
 func New(o Options) *Instance {
 	n := &Instance{
-		options: o,
-		metrics: newMetrics(o.Registry),
-		changed: make(chan struct{}, 1),
-		stop:    make(chan struct{}),
+		options:            o,
+		metrics:            newMetrics(o.Registry),
+		reconcileRequested: make(chan struct{}, 1),
+		drainRequested:     make(chan struct{}),
 
-		lookReach: make(chan struct{}, 1),
-		lookPeers: make(chan struct{}, 1),
+		wakeReach:     make(chan struct{}, 1),
+		wakePeerReach: make(chan struct{}, 1),
 
-		homeOf: make(map[string]*home),
-		ending: make(map[string]bool),
+		homesByGroup: make(map[string]*home),
+		stopping:     make(map[string]bool),
 	}
-	n.stopOnce = sync.OnceFunc(func() { close(n.stop) })
+	n.requestDrain = sync.OnceFunc(func() { close(n.drainRequested) })
 	n.build()
 	return n
 }
@@ -140,18 +140,18 @@
 	if n.documents == nil {
 		n.documents = newStoredDocuments(n.store, n.members)
 	}
-	if d, ok := n.documents.(sharer); ok {
+	if d, ok := n.documents.(sharingUser); ok {
 		d.UseSharing(sharing)
 	}
 	n.protocol = n.postgres()
 	if o.Protocol != nil {
 		n.protocol = *o.Protocol
 	}
-	n.router = executor.NewRouter(s.Instance.ID, s.Peer.Address, homes{n.members}, n.client, o.Clock, n.metrics.executor)
+	n.router = executor.NewRouter(s.Instance.ID, s.Peer.Address, homeLookup{n.members}, n.client, o.Clock, n.metrics.executor)
 	n.router.Register(n.peers)
-	n.limits = n.newLimits()
+	n.quotaGuard = n.newQuotaGuard()
 	n.callers = n.protocol.Callers(CallerParts{
-		Executor:   quota.Executor{Executor: n.router, Guard: n.limits, Clock: o.Clock},
+		Executor:   quota.Executor{Executor: n.router, Guard: n.quotaGuard, Clock: o.Clock},
 		EndUnits:   n.router.EndUnits,
 		Clock:      o.Clock,
 		Logger:     o.Logger,
@@ -160,10 +160,10 @@
 	})
 	n.serveWitness()
 	n.serveReach()
-	n.serveFar()
+	n.serveDomainProbes()
 	n.holder = n.newHolder()
-	n.seats = shares.NewDirectory(n.holder.Incarnation)
-	n.seats.Register(n.peers)
+	n.shareDirectory = shares.NewDirectory(n.holder.Incarnation)
+	n.shareDirectory.Register(n.peers)
 	n.admin = n.newAdmin()
 }
 
@@ -199,23 +199,23 @@
 	// Parts outlive ctx: the drain still needs them.
 	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	n.documents.Subscribe(n.noteChange)
-	n.members.Subscribe(n.noteChange)
-	n.members.Subscribe(n.limits.Observe)
-	n.running.Go(func() { n.follow(parts) })
+	n.documents.Subscribe(n.requestReconcile)
+	n.members.Subscribe(n.requestReconcile)
+	n.members.Subscribe(n.quotaGuard.Observe)
+	n.running.Go(func() { n.followInstances(parts) })
 	n.running.Go(func() { _ = n.documents.Run(parts) })
 	n.reconciling.Go(func() { n.runHomes(parts) })
 	n.running.Go(func() { n.serveAdmin(parts) })
-	n.running.Go(func() { n.serveReady(parts) })
+	n.running.Go(func() { n.serveReadiness(parts) })
 	n.running.Go(func() { n.serveMetrics(parts) })
 	n.running.Go(func() { n.watchReach(parts) })
-	n.running.Go(func() { n.farWatch(parts) })
-	n.running.Go(func() { n.limits.Run(parts) })
+	n.running.Go(func() { n.watchOtherDomains(parts) })
+	n.running.Go(func() { n.quotaGuard.Run(parts) })
 	n.running.Go(func() { _ = n.peers.Serve(peers) })
 	n.running.Go(func() { _ = n.callers.Serve(callers) })
 	select {
 	case <-ctx.Done():
-	case <-n.stop:
+	case <-n.drainRequested:
 	}
 	err = n.drain(callers)
 	n.shutdown(peers, stop)
@@ -223,7 +223,7 @@
 }
 
 // follow keeps the list of instances up to date.
-func (n *Instance) follow(ctx context.Context) {
+func (n *Instance) followInstances(ctx context.Context) {
 	if n.registry != nil {
 		n.registry.Run(ctx)
 		return
@@ -232,7 +232,7 @@
 }
 
 // withdraw takes the instance off the list that it keeps itself on.
-func (n *Instance) withdraw(ctx context.Context) {
+func (n *Instance) withdrawEntry(ctx context.Context) {
 	if n.registry == nil {
 		return
 	}
@@ -268,7 +268,7 @@
 // drain finishes what is at work for callers and peers.
 func (n *Instance) drain(callers net.Listener) error {
 	n.options.Logger.Info("Drain begins.")
-	n.leaving.Store(true)
+	n.draining.Store(true)
 	limits := n.options.Settings.Drain
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(limits.Timeout, defaultDrainTimeout))
 	defer cancel()
@@ -303,7 +303,7 @@
 		n.stopHome(ctx, h)
 	}
 	n.callers.Close()
-	n.withdraw(ctx)
+	n.withdrawEntry(ctx)
 	peers.Close()
 	n.peers.Close()
 	n.client.Close()
@@ -313,14 +313,14 @@
 func (n *Instance) home(group string) *home {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.homeOf[group]
+	return n.homesByGroup[group]
 }
 
 func (n *Instance) homesCopy() map[string]*home {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make(map[string]*home, len(n.homeOf))
-	for name, h := range n.homeOf {
+	all := make(map[string]*home, len(n.homesByGroup))
+	for name, h := range n.homesByGroup {
 		all[name] = h
 	}
 	return all
--- a/internal/instance/firstview_test.go
+++ b/internal/instance/instancelistwait_test.go
@@ -16,7 +16,7 @@
 // A fleet returns together. The groups are known before the list of instances, with it and
 // after it: homes start with the list. Where the list stays away they start at the end of
 // the wait.
-func TestHomesWaitForTheListOfInstances(t *testing.T) {
+func TestHomesWaitForInstanceList(t *testing.T) {
 	start := time.Unix(100, 0)
 	for _, c := range []struct {
 		name            string
@@ -26,18 +26,18 @@
 		{"groups before the list", 0, 200 * time.Millisecond, 200 * time.Millisecond},
 		{"both together", 100 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond},
 		{"groups behind the list", 500 * time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond},
-		{"no list", 100 * time.Millisecond, time.Hour, 100*time.Millisecond + firstViewWait},
+		{"no list", 100 * time.Millisecond, time.Hour, 100*time.Millisecond + instanceListTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var v firstView
+			var v instanceListWait
 			const step = 10 * time.Millisecond
 			for at := time.Duration(0); ; at += step {
 				groups := 0
 				if at >= c.groups {
 					groups = 8
 				}
-				if !v.awaits(start.Add(at), groups, at >= c.list) {
+				if !v.pending(start.Add(at), groups, at >= c.list) {
 					is.Equal(at, c.wantFirstHomeAt)
 					return
 				}
@@ -47,28 +47,28 @@
 }
 
 // unlisted is a platform that does not list instances for a while.
-type unlisted struct {
+type delayedInstanceList struct {
 	platform.API
-	until time.Time
+	listedFrom time.Time
 }
 
 // List implements platform.API.
-func (u unlisted) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
-	if kind == platform.KindInstances && time.Now().Before(u.until) {
+func (u delayedInstanceList) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+	if kind == platform.KindInstances && time.Now().Before(u.listedFrom) {
 		return nil, 0, platform.ErrUnavailable
 	}
 	return u.API.List(ctx, kind)
 }
 
 // ListStale implements platform.API.
-func (u unlisted) ListStale(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+func (u delayedInstanceList) ListStale(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
 	return u.List(ctx, kind)
 }
 
 // An instance starts that has its documents at once and learns of the other instances a
 // second later. It opens no connection to members before, and is home behind that.
 func TestInstanceIsNoHomeBeforeItKnowsTheOthers(t *testing.T) {
-	inBedOf(t, 3, func(b *bed) {
+	withClusterOf(t, 3, func(tc *testCluster) {
 		s := &settings.Settings{}
 		s.Instance = settings.Instance{ID: "late", FailureDomain: "late"}
 		s.Caller.Address = "10.8.8.1:6432"
@@ -77,18 +77,18 @@
 		s.Upstream.User = "topazrock"
 		const listedAfter = 2 * time.Second
 		n := New(Options{
-			Settings: s, Network: b.net.Host("10.8.8.1"), Clock: clock.System{}, Seed: 99, SelfRegister: true,
-			Platform: unlisted{b.views[0], time.Now().Add(listedAfter)}, Logger: bedLogger(), Registry: prometheus.NewRegistry(),
+			Settings: s, Network: tc.net.Host("10.8.8.1"), Clock: clock.System{}, Seed: 99, SelfRegister: true,
+			Platform: delayedInstanceList{tc.views[0], time.Now().Add(listedAfter)}, Logger: testLogger(), Registry: prometheus.NewRegistry(),
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- n.Run(ctx) }()
 		time.Sleep(listedAfter - 100*time.Millisecond)
-		b.is.True(len(n.documents.Groups()) > 0)
-		b.is.Equal(len(n.homesCopy()), 0)
+		tc.is.True(len(n.documents.Groups()) > 0)
+		tc.is.Equal(len(n.homesCopy()), 0)
 		time.Sleep(2 * time.Second)
-		b.is.Equal(len(n.homesCopy()), 1)
+		tc.is.Equal(len(n.homesCopy()), 1)
 		stop()
-		b.is.NoErr(<-ended)
+		tc.is.NoErr(<-ended)
 	})
 }
--- a/internal/instance/invariants_test.go
+++ b/internal/instance/invariants_test.go
@@ -9,11 +9,11 @@
 )
 
 // verdict checks what must hold at the end of a run, when faults are healed.
-func (l *load) verdict() []string {
+func (l *load) checkInvariants() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := append([]string(nil), l.faults...)
-	rows := l.bed.finalRows()
+	violations := append([]string(nil), l.violations...)
+	rows := l.cluster.finalRows()
 	payments := make(map[string]int)
 	for key := range rows {
 		if payment, _, ok := strings.Cut(key, "-try"); ok {
@@ -21,38 +21,38 @@
 		}
 		if half, ok := strings.CutSuffix(key, "a"); ok && strings.HasPrefix(key, "t-") {
 			if _, ok := rows[half+"b"]; !ok {
-				found = append(found, "half a transaction: "+half)
+				violations = append(violations, "half a transaction: "+half)
 			}
 		}
 	}
 	for payment, n := range payments {
 		if n > 1 {
-			found = append(found, fmt.Sprintf("payment %s ran %d times", payment, n))
+			violations = append(violations, fmt.Sprintf("payment %s ran %d times", payment, n))
 		}
 	}
-	for key, f := range l.fates {
+	for key, f := range l.outcomes {
 		_, there := rows[key]
-		if f == fateAcknowledged && !there {
-			found = append(found, "acknowledged and lost: "+key)
+		if f == outcomeAcknowledged && !there {
+			violations = append(violations, "acknowledged and lost: "+key)
 		}
-		if f == fateDidNotRun && there {
-			found = append(found, "told that it did not run, and ran: "+key)
+		if f == outcomeDidNotRun && there {
+			violations = append(violations, "told that it did not run, and ran: "+key)
 		}
 	}
-	if l.connections > bedConnections {
-		found = append(found, fmt.Sprintf("%d connections, total %d", l.connections, bedConnections))
+	if l.connections > testConnections {
+		violations = append(violations, fmt.Sprintf("%d connections, total %d", l.connections, testConnections))
 	}
-	return found
+	return violations
 }
 
 // finalRows returns the rows of the group's present primary: the one of the
 // highest term.
-func (b *bed) finalRows() map[string]string {
+func (tc *testCluster) finalRows() map[string]string {
 	var best *struct {
 		term uint64
 		rows map[string]string
 	}
-	for _, n := range b.nodes {
+	for _, n := range tc.nodes {
 		s := n.Status()
 		if s.Role == member.RolePrimary && (best == nil || uint64(s.Entered) > best.term) {
 			best = &struct {
@@ -72,7 +72,7 @@
 func (l *load) sampleConnections() {
 	for l.ctx.Err() == nil {
 		sum := 0
-		for _, n := range l.bed.nodes {
+		for _, n := range l.cluster.nodes {
 			c := n.Connections()
 			sum += c.Open + c.ControlOpen
 		}
--- a/internal/instance/isolation.go
+++ b/internal/instance/isolation.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// isolatedAfter is how long every other failure domain must have been silent: more than two
+// isolationThreshold is how long every other failure domain must have been silent: more than two
 // questions to each, at another instance every time.
-const isolatedAfter = 200 * time.Millisecond
+const isolationThreshold = 200 * time.Millisecond
 
 // isolation decides by the answers from other failure domains whether this one is cut off.
 //
@@ -18,40 +18,42 @@
 // every connection to members anew, and be shorter still. So an answer counts when it comes,
 // however late, and time in which this instance did not get to look is no silence. It does
 // no I/O.
-type isolation struct {
+type isolationDetector struct {
 	// heard is when an answer of each other failure domain last came.
-	heard map[string]time.Time
-	// lookedAt is when the silence was last looked at.
-	lookedAt time.Time
+	lastAnswer map[string]time.Time
+	// lastCheck is when the silence was last looked at.
+	lastCheck time.Time
 	// suspected says that the present silence was reported.
-	suspected bool
+	reported bool
 }
 
-func newIsolation() isolation { return isolation{heard: make(map[string]time.Time)} }
+func newIsolationDetector() isolationDetector {
+	return isolationDetector{lastAnswer: make(map[string]time.Time)}
+}
 
 // note takes in that an answer of a failure domain came.
-func (i *isolation) note(domain string, now time.Time) { i.heard[domain] = now }
+func (i *isolationDetector) recordAnswer(domain string, now time.Time) { i.lastAnswer[domain] = now }
 
 // begins reports whether the silence of all other failure domains has just become long
-// enough. One that has never answered says nothing. It is called each farInterval.
-func (i *isolation) begins(now time.Time) bool {
-	i.leaveOut(now)
-	silent := len(i.heard) > 0
-	for _, heard := range i.heard {
-		silent = silent && now.Sub(heard) > isolatedAfter
+// enough. One that has never answered says nothing. It is called each domainProbeInterval.
+func (i *isolationDetector) detectIsolation(now time.Time) bool {
+	i.excludeOwnDelay(now)
+	silent := len(i.lastAnswer) > 0
+	for _, heard := range i.lastAnswer {
+		silent = silent && now.Sub(heard) > isolationThreshold
 	}
-	begins := silent && !i.suspected
-	i.suspected = silent
+	begins := silent && !i.reported
+	i.reported = silent
 	return begins
 }
 
-// leaveOut leaves out of every silence by how much this look comes late.
-func (i *isolation) leaveOut(now time.Time) {
-	late := now.Sub(i.lookedAt) - farInterval
-	if !i.lookedAt.IsZero() && late > 0 {
-		for domain, heard := range i.heard {
-			i.heard[domain] = heard.Add(late)
+// excludeOwnDelay leaves out of every silence by how much this look comes late.
+func (i *isolationDetector) excludeOwnDelay(now time.Time) {
+	late := now.Sub(i.lastCheck) - domainProbeInterval
+	if !i.lastCheck.IsZero() && late > 0 {
+		for domain, heard := range i.lastAnswer {
+			i.lastAnswer[domain] = heard.Add(late)
 		}
 	}
-	i.lookedAt = now
+	i.lastCheck = now
 }
--- a/internal/instance/isolation_test.go
+++ b/internal/instance/isolation_test.go
@@ -12,7 +12,7 @@
 // is reported once, and again only behind an answer.
 func TestSilenceOfAllOtherDomainsIsReportedOnce(t *testing.T) {
 	is := is.New(t)
-	i := newIsolation()
+	i := newIsolationDetector()
 	start := time.Unix(100, 0)
 	var reports []time.Duration
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
@@ -24,23 +24,23 @@
 			"other": cut || at%(900*time.Millisecond) == 0,
 		} {
 			if !missed {
-				i.note(domain, now)
+				i.recordAnswer(domain, now)
 			}
 		}
-		if i.begins(now) {
+		if i.detectIsolation(now) {
 			reports = append(reports, at)
 		}
 	}
 	is.Equal(len(reports), 2)
-	is.True(reports[0] <= 5*time.Second+isolatedAfter+100*time.Millisecond)
+	is.True(reports[0] <= 5*time.Second+isolationThreshold+100*time.Millisecond)
 	is.True(reports[1] >= 8*time.Second)
 }
 
 // An instance that has heard of no other failure domain yet does not take itself for cut off.
-func TestNothingHeardIsNoCut(t *testing.T) {
+func TestNoAnswerYetIsNoIsolation(t *testing.T) {
 	is := is.New(t)
-	i := newIsolation()
-	is.True(!i.begins(time.Unix(100, 0)))
+	i := newIsolationDetector()
+	is.True(!i.detectIsolation(time.Unix(100, 0)))
 }
 
 // The instance does not get to run for a second, and comes to look before it comes to read
@@ -48,33 +48,33 @@
 // every member. The real cut behind it is found as soon as any other.
 func TestOwnPauseIsNoCut(t *testing.T) {
 	is := is.New(t)
-	i := newIsolation()
+	i := newIsolationDetector()
 	now := time.Unix(100, 0)
 	for range 10 {
-		i.note("other", now)
-		is.True(!i.begins(now))
-		now = now.Add(farInterval)
+		i.recordAnswer("other", now)
+		is.True(!i.detectIsolation(now))
+		now = now.Add(domainProbeInterval)
 	}
 	now = now.Add(time.Second)
-	is.True(!i.begins(now))
-	i.note("other", now)
+	is.True(!i.detectIsolation(now))
+	i.recordAnswer("other", now)
 	cut := now
-	for !i.begins(now) {
-		now = now.Add(farInterval)
+	for !i.detectIsolation(now) {
+		now = now.Add(domainProbeInterval)
 	}
-	is.True(now.Sub(cut) <= isolatedAfter+farInterval)
+	is.True(now.Sub(cut) <= isolationThreshold+domainProbeInterval)
 }
 
 // All instances are short of processor time at once, as behind a return of all: each answer
 // comes half a second behind its question. As long as answers come there is no cut.
-func TestLateAnswersAreNoCut(t *testing.T) {
+func TestLateAnswersAreNoIsolation(t *testing.T) {
 	is := is.New(t)
-	i := newIsolation()
+	i := newIsolationDetector()
 	start := time.Unix(100, 0)
-	for at := time.Duration(0); at < 3*time.Second; at += farInterval {
+	for at := time.Duration(0); at < 3*time.Second; at += domainProbeInterval {
 		if at >= 500*time.Millisecond {
-			i.note("other", start.Add(at))
+			i.recordAnswer("other", start.Add(at))
 		}
-		is.True(!i.begins(start.Add(at)))
+		is.True(!i.detectIsolation(start.Add(at)))
 	}
 }
--- a/internal/instance/separate_test.go
+++ b/internal/instance/listeners_test.go
@@ -19,7 +19,7 @@
 
 // A collector knows one port for all instances. Whatever path it asks for there, it
 // gets the metrics; an instance whose port is taken serves on without them.
-func TestMetricsOnAPortOfTheirOwn(t *testing.T) {
+func TestMetricsOnSeparateListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := memnet.New()
--- a/internal/instance/load_test.go
+++ b/internal/instance/load_test.go
@@ -14,27 +14,27 @@
 )
 
 // fate is what a caller was told of one request.
-type fate int
+type outcome int
 
 const (
-	fateUnknown fate = iota
-	fateAcknowledged
-	fateDidNotRun
+	outcomeUnknown outcome = iota
+	outcomeAcknowledged
+	outcomeDidNotRun
 )
 
 // load is a mix of callers on a bed, and what each was told.
 type load struct {
-	bed  *bed
-	ctx  context.Context
-	stop context.CancelFunc
-	wait sync.WaitGroup
+	cluster *testCluster
+	ctx     context.Context
+	stop    context.CancelFunc
+	callers sync.WaitGroup
 
 	mu sync.Mutex
 	// fates holds what was told of the write of each key.
-	fates  map[string]fate
-	faults []string
-	reads  int
-	writes int
+	outcomes   map[string]outcome
+	violations []string
+	reads      int
+	writes     int
 	// connections is the highest number open at one moment.
 	connections int
 }
@@ -43,57 +43,57 @@
 const requestTimeout = 6 * time.Second
 
 // startLoad starts two callers of each kind, each with a seed of its own.
-func startLoad(b *bed, seed uint64) *load {
-	l := &load{bed: b, fates: make(map[string]fate)}
+func startLoad(tc *testCluster, seed uint64) *load {
+	l := &load{cluster: tc, outcomes: make(map[string]outcome)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
-	l.wait.Go(l.sampleConnections)
+	l.callers.Go(l.sampleConnections)
 	kinds := []func(*caller){(*caller).writeAndRoam, (*caller).pay, (*caller).transact, (*caller).writeAndRoam}
 	for i, kind := range kinds {
-		c := &caller{load: l, name: fmt.Sprintf("c%d", i), at: i % len(bedDomains), random: rand.New(rand.NewPCG(seed, uint64(i)))}
-		l.wait.Go(func() {
+		c := &caller{load: l, name: fmt.Sprintf("c%d", i), instance: i % len(testDomains), random: rand.New(rand.NewPCG(seed, uint64(i)))}
+		l.callers.Go(func() {
 			for l.ctx.Err() == nil {
 				kind(c)
 				time.Sleep(time.Duration(5+c.random.IntN(20)) * time.Millisecond)
 			}
-			c.leave()
+			c.disconnect()
 		})
 	}
 	return l
 }
 
 // end stops the callers and waits for them.
-func (l *load) end() {
+func (l *load) stopAndWait() {
 	l.stop()
-	l.wait.Wait()
+	l.callers.Wait()
 }
 
-func (l *load) note(key string, f fate) {
+func (l *load) recordOutcome(key string, f outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fates[key] = f
-	if f == fateAcknowledged {
+	l.outcomes[key] = f
+	if f == outcomeAcknowledged {
 		l.writes++
 	}
 }
 
-func (l *load) fault(format string, arguments ...any) {
+func (l *load) addViolation(format string, arguments ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, arguments...))
+	l.violations = append(l.violations, fmt.Sprintf(format, arguments...))
 }
 
 // caller is one session that moves between instances.
 type caller struct {
-	load   *load
-	name   string
-	at     int
-	token  string
-	conn   *pgx.Conn
-	random *rand.Rand
-	count  int
+	load     *load
+	name     string
+	instance int
+	token    string
+	conn     *pgx.Conn
+	random   *rand.Rand
+	count    int
 }
 
-func (c *caller) leave() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		c.conn.Close(context.Background())
 		c.conn = nil
@@ -105,9 +105,9 @@
 	if c.conn != nil && !c.conn.IsClosed() {
 		return c.conn
 	}
-	conn, err := pgx.ConnectConfig(ctx, c.load.bed.config(c.at, c.token))
+	conn, err := pgx.ConnectConfig(ctx, c.load.cluster.config(c.instance, c.token))
 	if err != nil {
-		c.move(false)
+		c.moveToAnother(false)
 		return nil
 	}
 	c.conn = conn
@@ -115,14 +115,14 @@
 }
 
 // move takes the session to another instance, with its token or without.
-func (c *caller) move(carry bool) {
+func (c *caller) moveToAnother(carry bool) {
 	if c.conn != nil && carry {
 		c.token = token(c.conn)
 	} else {
 		c.token = ""
 	}
-	c.leave()
-	c.at = (c.at + 1 + c.random.IntN(2)) % len(bedDomains)
+	c.disconnect()
+	c.instance = (c.instance + 1 + c.random.IntN(2)) % len(testDomains)
 }
 
 func (c *caller) nextKey(prefix string) string {
@@ -131,28 +131,28 @@
 }
 
 // exec runs one write and notes what was told of it.
-func (c *caller) exec(key, sql string) fate {
+func (c *caller) exec(key, sql string) outcome {
 	ctx, cancel := context.WithTimeout(c.load.ctx, requestTimeout)
 	defer cancel()
 	conn := c.connected(ctx)
 	if conn == nil {
-		return fateDidNotRun
+		return outcomeDidNotRun
 	}
 	_, err := conn.Exec(ctx, sql)
-	f := fateOf(err)
-	c.load.note(key, f)
+	f := outcomeOf(err)
+	c.load.recordOutcome(key, f)
 	return f
 }
 
-func fateOf(err error) fate {
+func outcomeOf(err error) outcome {
 	var e *pgconn.PgError
 	switch {
 	case err == nil:
-		return fateAcknowledged
+		return outcomeAcknowledged
 	case errors.As(err, &e) && strings.HasPrefix(e.Code, "TD"):
-		return fateDidNotRun
+		return outcomeDidNotRun
 	default:
-		return fateUnknown
+		return outcomeUnknown
 	}
 }
 
@@ -160,12 +160,12 @@
 // must be seen, and every answer must be that of its own question.
 func (c *caller) writeAndRoam() {
 	key := c.nextKey("w")
-	if c.exec(key, fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s', 'v%s')", key, key)) != fateAcknowledged {
-		c.move(false)
+	if c.exec(key, fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s', 'v%s')", key, key)) != outcomeAcknowledged {
+		c.moveToAnother(false)
 		return
 	}
-	c.move(c.random.IntN(2) == 0)
-	c.load.bed.atLoad("roam.moved")
+	c.moveToAnother(c.random.IntN(2) == 0)
+	c.load.cluster.callLoadHook("roam.moved")
 	tag := []string{agedRead, freshRead}[c.random.IntN(2)]
 	ctx, cancel := context.WithTimeout(c.load.ctx, requestTimeout)
 	defer cancel()
@@ -177,9 +177,9 @@
 	err := conn.QueryRow(ctx, "SELECT k, v FROM kv WHERE k = $1"+tag, key).Scan(&k, &v)
 	switch {
 	case errors.Is(err, pgx.ErrNoRows):
-		c.load.fault("stale own read of %s at instance %d%s", key, c.at, tag)
+		c.load.addViolation("stale own read of %s at instance %d%s", key, c.instance, tag)
 	case err == nil && (k != key || v != "v"+key):
-		c.load.fault("answer of another: asked %s, got %s=%s", key, k, v)
+		c.load.addViolation("answer of another: asked %s, got %s=%s", key, k, v)
 	case err == nil:
 		c.load.mu.Lock()
 		c.load.reads++
@@ -194,10 +194,10 @@
 	for attempt := range 3 {
 		row := fmt.Sprintf("%s-try%d", key, attempt)
 		sql := fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s', 'paid') /*request='fee-payment',key='%s'*/", row, key)
-		if c.exec(row, sql) != fateUnknown {
+		if c.exec(row, sql) != outcomeUnknown {
 			return
 		}
-		c.move(false)
+		c.moveToAnother(false)
 	}
 }
 
@@ -212,19 +212,19 @@
 	key := c.nextKey("t")
 	tx, err := conn.Begin(ctx)
 	if err != nil {
-		c.move(false)
+		c.moveToAnother(false)
 		return
 	}
 	for _, half := range []string{"a", "b"} {
-		c.load.bed.atLoad("transaction.open")
+		c.load.cluster.callLoadHook("transaction.open")
 		if _, err := tx.Exec(ctx, fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s%s', '1')", key, half)); err != nil {
-			c.load.note(key+"a", fateDidNotRun)
+			c.load.recordOutcome(key+"a", outcomeDidNotRun)
 			_ = tx.Rollback(ctx)
-			c.move(false)
+			c.moveToAnother(false)
 			return
 		}
 	}
-	c.load.bed.atLoad("transaction.commit")
-	c.load.note(key+"a", fateOf(tx.Commit(ctx)))
-	c.move(false)
+	c.load.cluster.callLoadHook("transaction.commit")
+	c.load.recordOutcome(key+"a", outcomeOf(tx.Commit(ctx)))
+	c.moveToAnother(false)
 }
--- a/internal/instance/matrix_page_test.go
+++ b/internal/instance/matrix_page_test.go
@@ -16,15 +16,15 @@
 
 const (
 	matrixPage = "../../docs/FAULT-MATRIX.md"
-	// matrixMark stands in the page where the table begins; what is before it is
+	// tableMarker stands in the page where the table begins; what is before it is
 	// written by hand.
-	matrixMark = "<!-- the table below is written by the run -->\n"
+	tableMarker = "<!-- the table below is written by the run -->\n"
 )
 
 // matrixTable renders the run, faults as rows and steps as columns.
-func matrixTable(cells map[string]cell) string {
+func matrixTable(cells map[string]cellResult) string {
 	var out strings.Builder
-	out.WriteString(matrixMark + "\n| step | flow | point |\n| --- | --- | --- |\n")
+	out.WriteString(tableMarker + "\n| step | flow | point |\n| --- | --- | --- |\n")
 	for i, s := range allSteps {
 		fmt.Fprintf(&out, "| %d | %s | %s |\n", i+1, s.flow, s.name)
 	}
@@ -49,11 +49,11 @@
 }
 
 // checkMatrixPage compares the run with the page, or writes the page.
-func checkMatrixPage(t *testing.T, cells map[string]cell) {
+func checkMatrixPage(t *testing.T, cells map[string]cellResult) {
 	is := is.New(t)
 	page, err := os.ReadFile(matrixPage)
 	is.NoErr(err)
-	head, _, found := strings.Cut(string(page), matrixMark)
+	head, _, found := strings.Cut(string(page), tableMarker)
 	is.True(found)
 	table := matrixTable(cells)
 	if *matrixWrite {
--- a/internal/instance/matrix_test.go
+++ b/internal/instance/matrix_test.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// struckFor is how long a fault lasts.
-	struckFor = 2 * time.Second
+	// faultDuration is how long a fault lasts.
+	faultDuration = 2 * time.Second
 	// recovery is how long after a fault every instance must serve again.
-	recovery = 15 * time.Second
+	recoveryTimeout = 15 * time.Second
 )
 
 // cell is the outcome of one fault at one step.
-type cell struct {
-	reached bool
-	found   []string
-	reads   int
-	writes  int
+type cellResult struct {
+	reached    bool
+	violations []string
+	reads      int
+	writes     int
 }
 
-func (c cell) verdict() string {
+func (c cellResult) verdict() string {
 	switch {
-	case len(c.found) > 0:
+	case len(c.violations) > 0:
 		return "RED"
 	case !c.reached:
 		return "not run"
@@ -55,7 +55,7 @@
 // instance serves again. Each cell of the matrix is one such run.
 func TestFaultMatrix(t *testing.T) {
 	var mu sync.Mutex
-	cells := make(map[string]cell)
+	cells := make(map[string]cellResult)
 	t.Run("cells", func(t *testing.T) {
 		for _, f := range allFaults {
 			for _, s := range allSteps {
@@ -66,7 +66,7 @@
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					c := runCell(t, f, s, *matrixSeed)
-					for _, found := range c.found {
+					for _, found := range c.violations {
 						t.Errorf("%s", found)
 					}
 					t.Logf("%s: %d reads, %d writes acknowledged", c.verdict(), c.reads, c.writes)
@@ -82,63 +82,63 @@
 	}
 }
 
-func runCell(t *testing.T, f matrixFault, s matrixStep, seed uint64) cell {
-	var c cell
-	inBed(t, func(b *bed) {
-		l := startLoad(b, seed)
+func runCell(t *testing.T, f matrixFault, s matrixStep, seed uint64) cellResult {
+	var c cellResult
+	withCluster(t, func(tc *testCluster) {
+		l := startLoad(tc, seed)
 		time.Sleep(300 * time.Millisecond)
 		var reached atomic.Bool
-		s.arm(b, func() {
+		s.arm(tc, func() {
 			reached.Store(true)
-			f.strike(b)
+			f.inject(tc)
 		})
-		time.Sleep(struckFor)
-		b.disarm()
-		f.heal(b)
-		b.revive()
-		found := b.awaitService()
-		l.end()
-		c = cell{reached: reached.Load(), found: append(found, l.verdict()...), reads: l.reads, writes: l.writes}
+		time.Sleep(faultDuration)
+		tc.removeHooks()
+		f.heal(tc)
+		tc.restartStopped()
+		found := tc.waitUntilServing()
+		l.stopAndWait()
+		c = cellResult{reached: reached.Load(), violations: append(found, l.checkInvariants()...), reads: l.reads, writes: l.writes}
 	})
 	return c
 }
 
 // disarm takes every hook off.
-func (b *bed) disarm() {
-	for _, n := range b.nodes {
+func (tc *testCluster) removeHooks() {
+	for _, n := range tc.nodes {
 		n.SetHook(nil)
 	}
-	b.store.SetHook(nil)
-	b.failoverHook.Store(nil)
-	b.loadHook.Store(nil)
+	tc.store.SetHook(nil)
+	tc.failoverHook.Store(nil)
+	tc.loadHook.Store(nil)
 }
 
 // revive starts what a step has stopped: the first primary, or a drained instance.
-func (b *bed) revive() {
-	for i, n := range b.nodes {
+func (tc *testCluster) restartStopped() {
+	for i, n := range tc.nodes {
 		if !n.Running() {
-			b.restartMember(i)
+			tc.restartMember(i)
 		}
 	}
-	for i := range b.draining {
-		err := <-b.ended[i]
-		b.ended[i] <- err
-		b.replaceInstance(i)
+	for i := range tc.draining {
+		err := <-tc.runErrors[i]
+		tc.runErrors[i] <- err
+		tc.replaceInstance(i)
 	}
 }
 
-// awaitService waits until a write and a fresh read go through every instance.
-func (b *bed) awaitService() []string {
-	deadline := time.Now().Add(recovery)
+// waitUntilServing waits until a write and a fresh read go through every instance.
+func (tc *testCluster) waitUntilServing() []string {
+	deadline := time.Now().Add(recoveryTimeout)
 	var found []string
-	for i := range bedDomains {
+	for i := range testDomains {
 		for {
-			err := b.tryService(i)
+			err := tc.checkServing(i)
 			if err == nil {
 				break
 			}
 			if time.Now().After(deadline) {
-				found = append(found, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recovery, err))
+				found = append(found, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recoveryTimeout, err))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -147,10 +147,10 @@
 	return found
 }
 
-func (b *bed) tryService(i int) error {
+func (tc *testCluster) checkServing(i int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c, err := pgx.ConnectConfig(ctx, b.config(i, ""))
+	c, err := pgx.ConnectConfig(ctx, tc.config(i, ""))
 	if err != nil {
 		return err
 	}
--- a/internal/instance/limits.go
+++ b/internal/instance/quota.go
@@ -6,8 +6,8 @@
 	"github.com/topazrock/topazrock/internal/quota"
 )
 
-// newLimits returns what keeps the operations of workspaces within their limits.
-func (n *Instance) newLimits() *quota.Guard {
+// newQuotaGuard returns what keeps the operations of workspaces within their limits.
+func (n *Instance) newQuotaGuard() *quota.Guard {
 	o := n.options
 	t := o.Settings.Quota
 	g := quota.New(quota.Config{
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -12,24 +12,24 @@
 const (
 	// methodReach asks a home how many of its groups it reaches.
 	methodReach = "instance.reach"
-	// reachAskInterval is the time between two such questions, and reachAskTimeout
+	// peerReachInterval is the time between two such questions, and peerReachTimeout
 	// bounds an answer, many times a slow one inside a failure domain.
-	reachAskInterval = 500 * time.Millisecond
-	reachAskTimeout  = 200 * time.Millisecond
-	// reachAsked is how many homes are asked: two, because one may be down.
-	reachAsked = 2
-	// hintedAskInterval is the time between two questions as long as a hint counts.
-	hintedAskInterval = 50 * time.Millisecond
+	peerReachInterval = 500 * time.Millisecond
+	peerReachTimeout  = 200 * time.Millisecond
+	// maxPolledHomes is how many homes are asked: two, because one may be down.
+	maxPolledHomes = 2
+	// hintedPeerReachInterval is the time between two questions as long as a hint counts.
+	hintedPeerReachInterval = 50 * time.Millisecond
 )
 
 // reached is how many groups there are, and how many are reached by a majority.
-type reached struct {
+type reachCounts struct {
 	Groups  int `json:"groups"`
 	Reached int `json:"reached"`
 }
 
 // add counts one group.
-func (r *reached) add(isReached bool) {
+func (r *reachCounts) addGroup(isReached bool) {
 	r.Groups++
 	if isReached {
 		r.Reached++
@@ -37,15 +37,15 @@
 }
 
 // plus returns the sum of both.
-func (r reached) plus(o reached) reached {
-	return reached{Groups: r.Groups + o.Groups, Reached: r.Reached + o.Reached}
+func (r reachCounts) plus(o reachCounts) reachCounts {
+	return reachCounts{Groups: r.Groups + o.Groups, Reached: r.Reached + o.Reached}
 }
 
 // ownReach is what this instance reaches by itself.
-func (n *Instance) ownReach() reached {
-	var r reached
+func (n *Instance) ownReach() reachCounts {
+	var r reachCounts
 	for _, h := range n.homesCopy() {
-		r.add(h.watcher.Snapshot().MajorityAnswers())
+		r.addGroup(h.watcher.Snapshot().MajorityAnswers())
 	}
 	return r
 }
@@ -57,37 +57,37 @@
 	})
 }
 
-// peersReach keeps what the homes near this instance reach. An instance that is home to
+// peerReach keeps what the homes near this instance reach. An instance that is home to
 // no group sees no member, and so would never know that its failure domain is cut off:
 // it stayed ready, the balancer then sent callers to all instances of the domain, cut
 // off as they were, and all their requests were refused until the cut healed.
-type peersReach struct {
+type peerReach struct {
 	mu  sync.Mutex
-	sum reached
+	sum reachCounts
 }
 
-func (p *peersReach) set(r reached) {
+func (p *peerReach) set(r reachCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sum = r
 }
 
-func (p *peersReach) get() reached {
+func (p *peerReach) get() reachCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sum
 }
 
-// askReach asks homes near this instance what they reach, as long as it is home to less
+// pollPeerReach asks homes near this instance what they reach, as long as it is home to less
 // than half of the groups, until ctx ends.
-func (n *Instance) askReach(ctx context.Context, p *peersReach) {
+func (n *Instance) pollPeerReach(ctx context.Context, p *peerReach) {
 	var hinted time.Time
 	for {
-		interval := reachAskInterval
-		if n.options.Clock.Now().Sub(hinted) < hintCounts {
-			interval = hintedAskInterval
+		interval := peerReachInterval
+		if n.options.Clock.Now().Sub(hinted) < hintValidity {
+			interval = hintedPeerReachInterval
 		}
-		woken, err := n.sleepOr(ctx, interval, n.lookPeers)
+		woken, err := n.sleepOrWake(ctx, interval, n.wakePeerReach)
 		if err != nil {
 			return
 		}
@@ -95,17 +95,17 @@
 			hinted = n.options.Clock.Now()
 			continue
 		}
-		var sum reached
+		var sum reachCounts
 		if 2*len(n.homesCopy()) < len(n.documents.Groups()) {
-			sum = n.askHomes(ctx, n.homesToAsk())
+			sum = n.pollHomes(ctx, n.homesToPoll())
 		}
 		p.set(sum)
 	}
 }
 
-// homesToAsk returns the nearest homes of the groups that this instance is not home to,
+// homesToPoll returns the nearest homes of the groups that this instance is not home to,
 // those of its own failure domain where there are any.
-func (n *Instance) homesToAsk() []platform.Instance {
+func (n *Instance) homesToPoll() []platform.Instance {
 	var chosen []platform.Instance
 	taken := make(map[string]bool)
 	for _, g := range n.documents.Groups() {
@@ -115,29 +115,29 @@
 		}
 		taken[homes[0].ID] = true
 		chosen = append(chosen, homes[0])
-		if len(chosen) == reachAsked {
+		if len(chosen) == maxPolledHomes {
 			break
 		}
 	}
 	return chosen
 }
 
-// askHomes sums up what homes reach. One that does not answer counts as a group that is
+// pollHomes sums up what homes reach. One that does not answer counts as a group that is
 // not reached.
-func (n *Instance) askHomes(ctx context.Context, homes []platform.Instance) reached {
-	ctx, cancel := context.WithTimeout(ctx, reachAskTimeout)
+func (n *Instance) pollHomes(ctx context.Context, homes []platform.Instance) reachCounts {
+	ctx, cancel := context.WithTimeout(ctx, peerReachTimeout)
 	defer cancel()
-	answers := make(chan reached, len(homes))
+	answers := make(chan reachCounts, len(homes))
 	for _, home := range homes {
 		go func() {
-			told := reached{Groups: 1}
-			if err := n.client.Call(ctx, home.PeerAddress, methodReach, struct{}{}, &told); err != nil {
-				told = reached{Groups: 1}
+			counts := reachCounts{Groups: 1}
+			if err := n.client.Call(ctx, home.PeerAddress, methodReach, struct{}{}, &counts); err != nil {
+				counts = reachCounts{Groups: 1}
 			}
-			answers <- told
+			answers <- counts
 		}()
 	}
-	var sum reached
+	var sum reachCounts
 	for range homes {
 		sum = sum.plus(<-answers)
 	}
--- a/internal/instance/reachpeers_test.go
+++ b/internal/instance/reachpeers_test.go
@@ -10,40 +10,40 @@
 // that is not and sees no member itself. Were the second to stay ready, the balancer
 // would go on sending the domain's callers to both. It asks the home, hears that it
 // reaches a minority, and is not ready either; when the cut heals, both are.
-func TestInstanceThatIsNoHomeKnowsOfTheCut(t *testing.T) {
-	inBedOf(t, 6, func(b *bed) {
+func TestNonHomeInstanceDetectsCutOff(t *testing.T) {
+	withClusterOf(t, 6, func(tc *testCluster) {
 		var inside []int
-		for i := range b.instances {
-			if i%len(bedDomains) == 0 {
+		for i := range tc.instances {
+			if i%len(testDomains) == 0 {
 				inside = append(inside, i)
 			}
 		}
 		homes := 0
 		for _, i := range inside {
-			if b.instances[i].home(bedGroup) != nil {
+			if tc.instances[i].home(testGroup) != nil {
 				homes++
 			}
 		}
-		b.is.Equal(homes, 1)
-		b.eachAcross(inside, b.net.Cut)
+		tc.is.Equal(homes, 1)
+		tc.eachAcross(inside, tc.net.Cut)
 		time.Sleep(2 * time.Second)
 		for _, i := range inside {
-			b.is.True(b.instances[i].cutOff.Load())
+			tc.is.True(tc.instances[i].cutOff.Load())
 		}
-		b.eachAcross(inside, b.net.Heal)
+		tc.eachAcross(inside, tc.net.Heal)
 		time.Sleep(3 * time.Second)
 		for _, i := range inside {
-			b.is.True(!b.instances[i].cutOff.Load())
+			tc.is.True(!tc.instances[i].cutOff.Load())
 		}
 	})
 }
 
 // eachAcross calls f for each pair of hosts of which one is in the first failure domain,
 // with the instances given, and one is not.
-func (b *bed) eachAcross(instances []int, f func(in, out string)) {
+func (tc *testCluster) eachAcross(instances []int, f func(in, out string)) {
 	inside := []string{memberHost(0)}
 	outside := []string{memberHost(1), memberHost(2)}
-	for i := range b.instances {
+	for i := range tc.instances {
 		if slices.Contains(instances, i) {
 			inside = append(inside, instanceHost(i))
 		} else {
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// reachInterval is how often the instance looks at what it reaches, and hintedInterval
+	// reachInterval is how often the instance looks at what it reaches, and hintedReachInterval
 	// how often as long as a hint counts.
-	reachInterval  = 100 * time.Millisecond
-	hintedInterval = 20 * time.Millisecond
+	reachInterval       = 100 * time.Millisecond
+	hintedReachInterval = 20 * time.Millisecond
 )
 
 // dismisser is a side of callers that can send idle ones elsewhere.
 type dismisser interface{ Dismiss() }
 
-// sleepOr waits for a time or until it is woken, and says which; ctx ends it with an error.
-func (n *Instance) sleepOr(ctx context.Context, d time.Duration, wake <-chan struct{}) (woken bool, err error) {
+// sleepOrWake waits for a time or until it is woken, and says which; ctx ends it with an error.
+func (n *Instance) sleepOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) (woken bool, err error) {
 	t := n.options.Clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -31,12 +31,12 @@
 
 // watchReach keeps the instance's verdict on whether it is cut off, until ctx ends.
 func (n *Instance) watchReach(ctx context.Context) {
-	var r reach
-	var peers peersReach
-	n.running.Go(func() { n.askReach(ctx, &peers) })
+	var r reachDetector
+	var peers peerReach
+	n.running.Go(func() { n.pollPeerReach(ctx, &peers) })
 	interval := reachInterval
 	for {
-		hinted, err := n.sleepOr(ctx, interval, n.lookReach)
+		hinted, err := n.sleepOrWake(ctx, interval, n.wakeReach)
 		if err != nil {
 			return
 		}
@@ -45,18 +45,18 @@
 			r.hint(now)
 		}
 		interval = reachInterval
-		if r.hinted(now) {
-			interval = hintedInterval
+		if r.hintActive(now) {
+			interval = hintedReachInterval
 		}
 		sum := n.ownReach().plus(peers.get())
-		switch r.note(now, sum.Groups, sum.Reached) {
+		switch r.update(now, sum.Groups, sum.Reached) {
 		case reachLost:
 			n.cutOff.Store(true)
 			n.options.Logger.Warn("Instance is cut off from most groups.", "groups", sum.Groups, "reached", sum.Reached)
-		case reachBack:
+		case reachRestored:
 			n.cutOff.Store(false)
 			n.options.Logger.Info("Instance reaches most groups again.", "groups", sum.Groups, "reached", sum.Reached)
-		case reachDismiss:
+		case reachDismissCallers:
 			if d, ok := n.callers.(dismisser); ok {
 				d.Dismiss()
 				n.options.Logger.Info("Idle callers are sent elsewhere.")
--- a/internal/instance/once_test.go
+++ b/internal/instance/requestkeys_test.go
@@ -10,12 +10,12 @@
 // A family pays a fee and sends the same request again, through another
 // instance: the second is told that it ran before, and runs nothing.
 func TestSecondArrivalIsToldThatItRan(t *testing.T) {
-	inBed(t, func(b *bed) {
-		b.exec(b.mustConnect(0, ""), payFee)
-		c := b.mustConnect(1, "")
+	withCluster(t, func(tc *testCluster) {
+		tc.exec(tc.mustConnect(0, ""), payFee)
+		c := tc.mustConnect(1, "")
 		_, err := c.Exec(ctx, payFee)
-		b.is.Equal(state(err), "TR001")
-		b.is.Equal(b.value(c, "fee", freshRead), "paid")
+		tc.is.Equal(state(err), "TR001")
+		tc.is.Equal(tc.readValue(c, "fee", freshRead), "paid")
 	})
 }
 
@@ -23,17 +23,17 @@
 // right after the commit. The instance settles the outcome itself: the family
 // hears that it ran, or that it never will, and never that it can be repeated.
 func TestLostAnswerIsSettled(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
-		b.nodes[0].SetHook(func(point string) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
+		tc.nodes[0].SetHook(func(point string) {
 			if point == "commit.after_before_answer" {
-				b.nodes[0].SetHook(func(string) {})
-				b.net.Silence(instanceHost(0), memberHost(0))
+				tc.nodes[0].SetHook(func(string) {})
+				tc.net.Silence(instanceHost(0), memberHost(0))
 			}
 		})
 		_, err := c.Exec(ctx, payFee)
-		b.is.Equal(state(err), "TR001")
-		b.is.Equal(b.value(b.mustConnect(1, ""), "fee", freshRead), "paid")
+		tc.is.Equal(state(err), "TR001")
+		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "fee", freshRead), "paid")
 	})
 }
 
@@ -41,48 +41,48 @@
 // new primary, which proves that the payment can never run; a later arrival of
 // the same key is told the same.
 func TestPaymentThatDiedWithItsPrimaryNeverRuns(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(1, "")
-		b.nodes[0].SetHook(func(point string) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(1, "")
+		tc.nodes[0].SetHook(func(point string) {
 			if point == "commit.before" {
-				b.nodes[0].SetHook(func(string) {})
-				go b.nodes[0].Kill()
+				tc.nodes[0].SetHook(func(string) {})
+				go tc.nodes[0].Kill()
 				time.Sleep(time.Second)
 			}
 		})
 		_, err := c.Exec(ctx, payFee)
-		b.is.Equal(state(err), "TD020")
-		later := b.mustConnect(2, "")
+		tc.is.Equal(state(err), "TD020")
+		later := tc.mustConnect(2, "")
 		_, err = later.Exec(ctx, payFee)
-		b.is.Equal(state(err), "TD020")
-		b.is.Equal(b.count(later), 0)
+		tc.is.Equal(state(err), "TD020")
+		tc.is.Equal(tc.count(later), 0)
 	})
 }
 
 // A payment inside of the caller's own transaction uses its key up only if the
 // transaction commits.
 func TestKeyInTheCallersTransaction(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
 		tx, err := c.Begin(ctx)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, payFee)
-		b.is.NoErr(err)
-		b.is.NoErr(tx.Rollback(ctx))
-		b.is.Equal(b.count(c), 0)
+		tc.is.NoErr(err)
+		tc.is.NoErr(tx.Rollback(ctx))
+		tc.is.Equal(tc.count(c), 0)
 		tx, err = c.Begin(ctx)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, payFee)
-		b.is.NoErr(err)
-		b.is.NoErr(tx.Commit(ctx))
+		tc.is.NoErr(err)
+		tc.is.NoErr(tx.Commit(ctx))
 		tx, err = c.Begin(ctx)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, payFee)
-		b.is.Equal(state(err), "TR001")
+		tc.is.Equal(state(err), "TR001")
 		_, err = tx.Exec(ctx, "SELECT 1")
-		b.is.Equal(state(err), "25P02")
-		b.is.NoErr(tx.Rollback(ctx))
-		b.is.Equal(b.value(c, "fee", freshRead), "paid")
+		tc.is.Equal(state(err), "25P02")
+		tc.is.NoErr(tx.Rollback(ctx))
+		tc.is.Equal(tc.readValue(c, "fee", freshRead), "paid")
 	})
 }
 
@@ -90,11 +90,11 @@
 // within a second. Units that wait for the lost one are ended then, and do not
 // hold the home's slots until the statement timeout of five seconds: another
 // caller's write goes through in the meantime.
-func TestUnitsAtALostPrimaryGiveTheirSlotsBack(t *testing.T) {
-	inBed(t, func(b *bed) {
+func TestUnitsAtALostPrimaryReleaseTheirSlots(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
 		waiting := make(chan time.Duration, 3)
 		for range 3 {
-			c := b.mustConnect(1, "")
+			c := tc.mustConnect(1, "")
 			go func() {
 				start := time.Now()
 				_, _ = c.Exec(ctx, "SELECT pg_sleep(0.3)")
@@ -102,11 +102,11 @@
 			}()
 		}
 		time.Sleep(50 * time.Millisecond)
-		b.cutDomain()
+		tc.cutDomain()
 		time.Sleep(1500 * time.Millisecond)
-		b.exec(b.mustConnect(1, ""), "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		tc.exec(tc.mustConnect(1, ""), "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		for range 3 {
-			b.is.True(<-waiting < 2*time.Second)
+			tc.is.True(<-waiting < 2*time.Second)
 		}
 	})
 }
@@ -115,22 +115,22 @@
 // was not sent, so it waits for the new primary and runs there, once. When no
 // primary comes, because two of three members are gone, a caller is refused
 // after the time of a failover, and later ones at once.
-func TestWriteWaitsThroughAFailover(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(1, "")
-		b.killMember(0)
+func TestWriteWaitsForFailover(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(1, "")
+		tc.killMember(0)
 		time.Sleep(100 * time.Millisecond)
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		b.is.Equal(b.value(c, "a", freshRead), "1")
-		b.killMember(1)
-		b.killMember(2)
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		tc.is.Equal(tc.readValue(c, "a", freshRead), "1")
+		tc.killMember(1)
+		tc.killMember(2)
 		time.Sleep(2 * time.Second)
 		_, err := c.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('b', '1')")
-		b.is.Equal(state(err), "TD004")
+		tc.is.Equal(state(err), "TD004")
 		start := time.Now()
 		_, err = c.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('c', '1')")
-		b.is.Equal(state(err), "TD004")
-		b.is.True(time.Since(start) < 50*time.Millisecond)
+		tc.is.Equal(state(err), "TD004")
+		tc.is.True(time.Since(start) < 50*time.Millisecond)
 	})
 }
 
@@ -140,31 +140,31 @@
 func TestLostCommitOfAKeyedTransactionIsSettled(t *testing.T) {
 	for point, want := range map[string]string{"commit.after_before_answer": "TR001", "commit.before": "TD020"} {
 		t.Run(point, func(t *testing.T) {
-			inBed(t, func(b *bed) {
-				c := b.mustConnect(1, "")
+			withCluster(t, func(tc *testCluster) {
+				c := tc.mustConnect(1, "")
 				tx, err := c.Begin(ctx)
-				b.is.NoErr(err)
+				tc.is.NoErr(err)
 				_, err = tx.Exec(ctx, payFee)
-				b.is.NoErr(err)
-				b.nodes[0].SetHook(func(at string) {
+				tc.is.NoErr(err)
+				tc.nodes[0].SetHook(func(at string) {
 					if at != point {
 						return
 					}
-					b.nodes[0].SetHook(nil)
+					tc.nodes[0].SetHook(nil)
 					if point == "commit.before" {
-						b.killMember(0)
+						tc.killMember(0)
 						time.Sleep(time.Second)
 						return
 					}
-					b.net.Silence(instanceHost(1), memberHost(0))
+					tc.net.Silence(instanceHost(1), memberHost(0))
 				})
-				b.is.Equal(state(tx.Commit(ctx)), want)
-				b.is.Equal(c.PgConn().TxStatus(), byte('I'))
+				tc.is.Equal(state(tx.Commit(ctx)), want)
+				tc.is.Equal(c.PgConn().TxStatus(), byte('I'))
 				rows := 0
 				if want == "TR001" {
 					rows = 1
 				}
-				b.is.Equal(b.count(b.mustConnect(2, "")), rows)
+				tc.is.Equal(tc.count(tc.mustConnect(2, "")), rows)
 			})
 		})
 	}
@@ -174,9 +174,9 @@
 // which is in another domain and stays the only one that they know. Their units
 // end after the time of a failover and not at the statement timeout, and callers
 // that come later are refused at once.
-func TestCutOffDomainAnswersItsCallersSoon(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(1, "")
+func TestCutOffDomainRefusesItsCallersQuickly(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(1, "")
 		start := time.Now()
 		done := make(chan string)
 		go func() {
@@ -186,16 +186,16 @@
 		time.Sleep(100 * time.Millisecond)
 		for _, in := range []string{memberHost(1), instanceHost(1)} {
 			for _, i := range []int{0, 2} {
-				b.net.Cut(in, memberHost(i))
-				b.net.Cut(in, instanceHost(i))
+				tc.net.Cut(in, memberHost(i))
+				tc.net.Cut(in, instanceHost(i))
 			}
 		}
-		b.views[1].SetAway(true)
-		b.is.Equal(<-done, "TU003")
-		b.is.True(time.Since(start) < 2*time.Second)
+		tc.views[1].SetAway(true)
+		tc.is.Equal(<-done, "TU003")
+		tc.is.True(time.Since(start) < 2*time.Second)
 		start = time.Now()
-		_, err := b.mustConnect(1, "").Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		b.is.Equal(state(err), "TD004")
-		b.is.True(time.Since(start) < 200*time.Millisecond)
+		_, err := tc.mustConnect(1, "").Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		tc.is.Equal(state(err), "TD004")
+		tc.is.True(time.Since(start) < 200*time.Millisecond)
 	})
 }
--- a/internal/instance/session_test.go
+++ b/internal/instance/session_test.go
@@ -14,10 +14,10 @@
 	freshRead = " /*request='application'*/"
 )
 
-func (b *bed) value(c *pgx.Conn, key, tag string) string {
-	b.t.Helper()
+func (tc *testCluster) readValue(c *pgx.Conn, key, tag string) string {
+	tc.t.Helper()
 	var v string
-	b.is.NoErr(c.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1"+tag, key).Scan(&v))
+	tc.is.NoErr(c.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1"+tag, key).Scan(&v))
 	return v
 }
 
@@ -29,18 +29,18 @@
 func TestRoamingSessionReadsItsOwnWrite(t *testing.T) {
 	for name, carries := range map[string]bool{"with a token": true, "without a token": false} {
 		t.Run(name, func(t *testing.T) {
-			inBed(t, func(b *bed) {
-				writer := b.mustConnect(0, "")
-				b.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', 'old')")
+			withCluster(t, func(tc *testCluster) {
+				writer := tc.mustConnect(0, "")
+				tc.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', 'old')")
 				time.Sleep(time.Second)
-				b.nodes[2].SetReplicationLag(time.Second)
+				tc.nodes[2].SetReplicationLag(time.Second)
 				for i := range 6 {
-					b.exec(writer, "UPDATE kv SET v = $1 WHERE k = 'a'", fmt.Sprint(i))
+					tc.exec(writer, "UPDATE kv SET v = $1 WHERE k = 'a'", fmt.Sprint(i))
 					carried := ""
 					if carries {
 						carried = token(writer)
 					}
-					b.is.Equal(b.value(b.mustConnect(2, carried), "a", agedRead), fmt.Sprint(i))
+					tc.is.Equal(tc.readValue(tc.mustConnect(2, carried), "a", agedRead), fmt.Sprint(i))
 				}
 			})
 		})
@@ -50,36 +50,36 @@
 // After its first read a session reads through the same instance with old data
 // allowed, and gets it from a replica; its own write still comes first.
 func TestAgedReadsComeFromReplicas(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		start := time.Now()
 		for range 20 {
-			b.is.Equal(b.value(c, "a", agedRead), "1")
+			tc.is.Equal(tc.readValue(c, "a", agedRead), "1")
 		}
-		b.is.True(time.Since(start) < time.Second)
-		b.is.True(b.answered("pending-visits", "replica") >= 20)
-		b.is.Equal(b.answered("pending-visits", "primary"), 0.0)
+		tc.is.True(time.Since(start) < time.Second)
+		tc.is.True(tc.unitsAnswered("pending-visits", "replica") >= 20)
+		tc.is.Equal(tc.unitsAnswered("pending-visits", "primary"), 0.0)
 	})
 }
 
 // One replica is cut off from its primary and falls behind for ever. Reads go on
 // at the other, none waits for the lost one, and no answer is older than asked.
 func TestReplicaFarBehindTakesNoReads(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(0, "")
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'old')")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(0, "")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'old')")
 		carried := token(c)
-		b.net.Cut(memberHost(0), memberHost(2))
+		tc.net.Cut(memberHost(0), memberHost(2))
 		time.Sleep(3 * time.Second)
-		b.exec(c, "UPDATE kv SET v = 'new' WHERE k = 'a'")
+		tc.exec(c, "UPDATE kv SET v = 'new' WHERE k = 'a'")
 		time.Sleep(3 * time.Second)
 		for i := range 3 {
 			for range 10 {
-				b.is.Equal(b.value(b.mustConnect(i, ""), "a", agedRead), "new")
+				tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", agedRead), "new")
 			}
-			b.is.Equal(b.value(b.mustConnect(i, ""), "a", freshRead), "new")
-			b.is.Equal(b.value(b.mustConnect(i, carried), "a", agedRead), "new")
+			tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", freshRead), "new")
+			tc.is.Equal(tc.readValue(tc.mustConnect(i, carried), "a", agedRead), "new")
 		}
 	})
 }
@@ -87,17 +87,17 @@
 // The primary dies after a session wrote. The session's token is of the old
 // term; at the new primary it is held against the new term's start, so that the
 // session neither misses its write nor waits for a position of the old log.
-func TestTokenOutlivesItsPrimary(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(1, "")
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+func TestTokenIsValidAfterFailover(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(1, "")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		carried := token(c)
-		b.nodes[0].Kill()
+		tc.nodes[0].Kill()
 		time.Sleep(3 * time.Second)
-		reader := b.mustConnect(2, carried)
-		b.is.Equal(b.value(reader, "a", agedRead), "1")
-		b.exec(reader, "UPDATE kv SET v = '2' WHERE k = 'a'")
-		b.is.Equal(b.value(b.mustConnect(1, ""), "a", freshRead), "2")
+		reader := tc.mustConnect(2, carried)
+		tc.is.Equal(tc.readValue(reader, "a", agedRead), "1")
+		tc.exec(reader, "UPDATE kv SET v = '2' WHERE k = 'a'")
+		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "a", freshRead), "2")
 	})
 }
 
@@ -105,37 +105,37 @@
 // driver prepares a session's first read and first write before it runs them. The
 // session then waits for the lag once for each: what is prepared shows no rows
 // and changes nothing.
-func TestPreparingDoesNotWaitForTheLag(t *testing.T) {
+func TestPreparingDoesNotWaitForReplicationLag(t *testing.T) {
 	const (
 		lag     = 500 * time.Millisecond
 		writers = 10
 	)
-	inBed(t, func(b *bed) {
-		c := b.mustConnect(2, "")
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		for _, n := range b.nodes {
+	withCluster(t, func(tc *testCluster) {
+		c := tc.mustConnect(2, "")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		for _, n := range tc.nodes {
 			n.SetReplicationLag(lag)
 		}
 		var wg sync.WaitGroup
 		for i := range writers {
-			other := b.mustConnect(i%len(b.instances), "")
+			other := tc.mustConnect(i%len(tc.instances), "")
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * lag / writers)
 				for j := range 8 {
-					b.exec(other, "INSERT INTO kv (k, v) VALUES ($1, 'x')", pgx.QueryExecModeExec, fmt.Sprintf("%d/%d", i, j))
+					tc.exec(other, "INSERT INTO kv (k, v) VALUES ($1, 'x')", pgx.QueryExecModeExec, fmt.Sprintf("%d/%d", i, j))
 				}
 			})
 		}
 		time.Sleep(2 * lag)
 		start := time.Now()
-		b.is.Equal(b.value(c, "a", freshRead), "1")
+		tc.is.Equal(tc.readValue(c, "a", freshRead), "1")
 		read := time.Since(start)
 		start = time.Now()
-		b.exec(c, "INSERT INTO kv (k, v) VALUES ($1, 'y')", "b")
+		tc.exec(c, "INSERT INTO kv (k, v) VALUES ($1, 'y')", "b")
 		write := time.Since(start)
 		wg.Wait()
 		t.Logf("at a lag of %v the first read took %v, the first write %v", lag, read, write)
-		b.is.True(read < lag+lag/2)
-		b.is.True(write < lag+lag/2)
+		tc.is.True(read < lag+lag/2)
+		tc.is.True(write < lag+lag/2)
 	})
 }
--- a/internal/instance/share.go
+++ b/internal/instance/share.go
@@ -7,7 +7,7 @@
 )
 
 // share is what keeps a home's connections and slots within its part.
-type share interface {
+type connectionShare interface {
 	// Run holds the share until ctx ends; Close gives it back behind it.
 	Run(ctx context.Context)
 	Close(ctx context.Context) error
--- a/internal/instance/wake_test.go
+++ b/internal/instance/shutdown_test.go
@@ -11,10 +11,10 @@
 )
 
 // hijack opens a caller's connection at instance i and takes it from its driver.
-func (b *bed) hijack(i int) net.Conn {
-	b.t.Helper()
-	h, err := b.mustConnect(i, "").PgConn().Hijack()
-	b.is.NoErr(err)
+func (tc *testCluster) hijack(i int) net.Conn {
+	tc.t.Helper()
+	h, err := tc.mustConnect(i, "").PgConn().Hijack()
+	tc.is.NoErr(err)
 	return h.Conn
 }
 
@@ -50,17 +50,17 @@
 // read.
 func TestMessageHalfReadAtAStopIsServed(t *testing.T) {
 	for _, message := range [][]byte{encodedQuery("SELECT count(*) FROM kv"), encodedBatch("SELECT count(*) FROM kv")} {
-		serveInPieces(t, message)
+		checkSplitMessage(t, message)
 	}
 }
 
-// serveInPieces cuts a message behind each of its bytes, and stops the instance between the
+// checkSplitMessage cuts a message behind each of its bytes, and stops the instance between the
 // pieces.
-func serveInPieces(t *testing.T, message []byte) {
-	inBed(t, func(b *bed) {
+func checkSplitMessage(t *testing.T, message []byte) {
+	withCluster(t, func(tc *testCluster) {
 		var all []net.Conn
 		for first := 1; first < len(message); first++ {
-			conn := b.hijack(0)
+			conn := tc.hijack(0)
 			all = append(all, conn)
 			go func() {
 				_, _ = conn.Write(message[:first])
@@ -69,7 +69,7 @@
 			}()
 		}
 		time.Sleep(100 * time.Millisecond)
-		b.stop[0]()
+		tc.stop[0]()
 		for i, conn := range all {
 			if code, err := answerTo(conn); code != "" || err != nil {
 				t.Errorf("cut behind %d bytes: code %q, error %v", i+1, code, err)
@@ -82,25 +82,25 @@
 // Guards against a caller that is told it broke the protocol because its instance stops while
 // it starts.
 func TestStartHalfReadAtAStopIsTaken(t *testing.T) {
-	inBed(t, func(b *bed) {
-		c := b.config(0, "")
+	withCluster(t, func(tc *testCluster) {
+		c := tc.config(0, "")
 		dial := c.DialFunc
 		c.DialFunc = func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dial(ctx, network, address)
-			return slowStart{conn}, err
+			return splitWriter{conn}, err
 		}
-		time.AfterFunc(100*time.Millisecond, b.stop[0])
+		time.AfterFunc(100*time.Millisecond, tc.stop[0])
 		conn, err := pgx.ConnectConfig(ctx, c)
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		conn.Close(context.Background())
 	})
 }
 
-// slowStart writes each message in two pieces.
-type slowStart struct{ net.Conn }
+// splitWriter writes each message in two pieces.
+type splitWriter struct{ net.Conn }
 
 // Write implements net.Conn.
-func (s slowStart) Write(p []byte) (int, error) {
+func (s splitWriter) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p[:len(p)/2])
 	if err != nil {
 		return n, err
@@ -113,32 +113,32 @@
 // Guards against a caller that sees a broken connection in place of the end it was told, because
 // its next request was on its way.
 func TestEndOfASessionIsReadWhenARequestCrossesIt(t *testing.T) {
-	inBed(t, func(b *bed) {
+	withCluster(t, func(tc *testCluster) {
 		const delay = 2 * time.Millisecond
-		b.net.SetLatency(callerHost, instanceHost(0), delay)
-		conn := b.hijack(0)
-		time.AfterFunc(delay/2, b.stop[0])
+		tc.net.SetLatency(callerHost, instanceHost(0), delay)
+		conn := tc.hijack(0)
+		time.AfterFunc(delay/2, tc.stop[0])
 		_, err := conn.Write(encodedQuery("SELECT count(*) FROM kv"))
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		code, err := answerTo(conn)
-		b.is.Equal(code, "57P01") // admin_shutdown
-		b.is.True(err != nil)
+		tc.is.Equal(code, "57P01") // admin_shutdown
+		tc.is.True(err != nil)
 	})
 }
 
 // Guards against a caller in a transaction whose connection is closed without a word when the
 // instance may wait no longer.
 func TestTransactionIsToldOfTheCutOff(t *testing.T) {
-	inBed(t, func(b *bed) {
-		conn := b.hijack(0)
+	withCluster(t, func(tc *testCluster) {
+		conn := tc.hijack(0)
 		_, err := conn.Write(encodedQuery("BEGIN"))
-		b.is.NoErr(err)
+		tc.is.NoErr(err)
 		code, err := answerTo(conn)
-		b.is.NoErr(err)
-		b.is.Equal(code, "")
-		b.stop[0]()
+		tc.is.NoErr(err)
+		tc.is.Equal(code, "")
+		tc.stop[0]()
 		code, err = answerTo(conn)
-		b.is.Equal(code, "57P01") // admin_shutdown
-		b.is.True(err != nil)
+		tc.is.Equal(code, "57P01") // admin_shutdown
+		tc.is.True(err != nil)
 	})
 }
--- a/internal/instance/workspace_test.go
+++ b/internal/instance/workspace_test.go
@@ -13,11 +13,11 @@
 // workspaceDocument is the bed's document with two more accounts, each of a workspace of its
 // own; one has a limit and connections of its own.
 func workspaceDocument(t *testing.T) string {
-	verifier, err := document.NewVerifier(bedPassword)
+	verifier, err := document.NewVerifier(testPassword)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return bedDocument() + `
+	return testDocument() + `
 [user north]
 workspace = north
 verifier  = ` + verifier + `
@@ -36,24 +36,24 @@
 }
 
 // connectAs opens a session of an account.
-func (b *bed) connectAs(i int, user string) *pgx.Conn {
-	b.t.Helper()
-	c := b.config(i, "")
+func (tc *testCluster) connectAs(i int, user string) *pgx.Conn {
+	tc.t.Helper()
+	c := tc.config(i, "")
 	c.User = user
 	conn, err := pgx.ConnectConfig(ctx, c)
-	b.is.NoErr(err)
-	b.callers = append(b.callers, conn)
+	tc.is.NoErr(err)
+	tc.callerConns = append(tc.callerConns, conn)
 	return conn
 }
 
 // Guards against PostgreSQL callers who pass their workspace's limit, and against others who
 // are refused for it.
-func TestAccountsAreHeldToTheirWorkspacesLimit(t *testing.T) {
-	inBed(t, func(b *bed) {
-		b.apply(workspaceDocument(t), 1)
+func TestWorkspaceLimitAppliesToItsAccounts(t *testing.T) {
+	withCluster(t, func(tc *testCluster) {
+		tc.apply(workspaceDocument(t), 1)
 		time.Sleep(5 * time.Second)
 		served, refused := 0, 0
-		north, south := b.connectAs(0, "north"), b.connectAs(0, "south")
+		north, south := tc.connectAs(0, "north"), tc.connectAs(0, "south")
 		for range 100 {
 			_, err := north.Exec(ctx, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
 			switch state(err) {
@@ -64,19 +64,19 @@
 			default:
 				t.Fatal(err)
 			}
-			b.exec(south, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
+			tc.exec(south, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
 			time.Sleep(20 * time.Millisecond)
 		}
-		b.is.True(served >= 20 && served <= 40)
-		b.is.Equal(served+refused, 100)
-		use := b.instances[0].limits.UseOf("base/north")
-		b.is.Equal(use.Refused, uint64(refused))
+		tc.is.True(served >= 20 && served <= 40)
+		tc.is.Equal(served+refused, 100)
+		use := tc.instances[0].quotaGuard.UseOf("base/north")
+		tc.is.Equal(use.Refused, uint64(refused))
 	})
 }
 
 // Guards against a user of a workspace that the document does not have, and limits that let
 // nothing begin.
-func TestFaultyWorkspacesAreRefused(t *testing.T) {
+func TestInvalidWorkspacesAreRejected(t *testing.T) {
 	good := workspaceDocument(t)
 	for text, want := range map[string]string{
 		strings.Replace(good, "workspace = south", "workspace = west", 1): "no section [workspace west]",
