--- a/internal/instance/administration.go
+++ b/internal/instance/administration.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// newAdmin builds the administration API over the instance's parts.
+// newAdmin builds the administration API on top of the instance's components.
 func (n *Instance) newAdmin() *adminapi.Server {
 	s := n.options.Settings
 	identity := adminapi.Identity{
@@ -36,9 +36,9 @@
 	return adminapi.New(c, parts, n.options.Network, n.options.Clock, n.options.Logger)
 }
 
-// adminInventory lists instances for the administration API. While the platform
-// does not answer, it is the last list that did: an operator who asks what is
-// in force during an outage asks about these.
+// adminInventory lists instances for the administration API. While the platform does not
+// answer it returns the last known list, so that an operator can still ask these instances
+// what is in force.
 type adminInventory struct{ instance *Instance }
 
 // Inventory implements adminapi.Inventory.
@@ -50,7 +50,7 @@
 	return list, nil
 }
 
-// adminDocuments shows the store of documents to the administration API.
+// adminDocuments gives the administration API access to the document store.
 type adminDocuments struct{ store *config.Store }
 
 // List implements adminapi.Documents.
@@ -190,9 +190,9 @@
 	return len(reasons) == 0, reasons
 }
 
-// asked reports whether a term of the group is known, or every member was tried
-// once. Waiting for a term would let one team's group with no member left keep
-// every instance that starts meanwhile from serving all the others.
+// membersProbed reports whether a term of the group is known, or every member was probed
+// once. Waiting for a term would be wrong: while one group has no member left, no instance
+// that starts could serve the other groups.
 func membersProbed(s *group.Snapshot) bool {
 	if s.Term > 0 {
 		return true
--- a/internal/instance/cancel.go
+++ b/internal/instance/cancel.go
@@ -7,11 +7,11 @@
 	"github.com/topazrock/topazrock/internal/frontend"
 )
 
-// methodCancelCaller passes on a cancel request that reached another instance
-// than the caller's session.
+// methodCancelCaller forwards a cancel request that arrived at a different instance than
+// the one with the caller's session.
 const methodCancelCaller = "caller.cancel"
 
-// cancelParams names a caller's session.
+// cancelParams identifies a caller's session.
 type cancelParams struct {
 	ProcessID uint32 `json:"process_id"`
 	Secret    uint32 `json:"secret"`
@@ -28,8 +28,8 @@
 	})
 }
 
-// forwardCancel sends a cancel request to the instances whose process IDs look
-// like this one: the balancer may hand a cancel to any instance.
+// forwardCancel sends a cancel request to the instances with the same process ID prefix:
+// the balancer may send a cancel request to any instance.
 func (n *Instance) forwardCancel(processID, secret uint32) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 		}
 		err := n.client.Call(ctx, p.PeerAddress, methodCancelCaller, cancelParams{ProcessID: processID, Secret: secret}, nil)
 		if err != nil {
-			n.options.Logger.Debug("Cancel request was not passed on.", "instance", p.ID, "error", err)
+			n.options.Logger.Debug("Cancel request was not forwarded.", "instance", p.ID, "error", err)
 		}
 	}
 }
--- a/internal/instance/documents.go
+++ b/internal/instance/documents.go
@@ -11,17 +11,17 @@
 	"github.com/topazrock/topazrock/internal/workspace"
 )
 
-// Documents are the services in force.
+// Documents provides the service documents in force.
 type Documents interface {
-	// FindService returns the service that names the group.
+	// FindService returns the service that the group belongs to.
 	FindService(group string) (*document.Service, bool)
-	// Ready reports whether the services have been learned.
+	// Ready reports whether the services are known.
 	Ready() bool
-	// Groups returns every group of every service.
+	// Groups returns the groups of all services.
 	Groups() []GroupInForce
-	// Workspaces returns those in force; nil where callers belong to none.
+	// Workspaces returns the workspaces in force, or nil if callers belong to none.
 	Workspaces() *workspace.Table
-	// Leaving reports whether a member is to get no new work.
+	// Leaving reports whether a member must not get new work.
 	Leaving(address string) bool
 	// Subscribe calls f after each change. f must not block.
 	Subscribe(f func())
@@ -29,23 +29,23 @@
 	Run(ctx context.Context) error
 }
 
-// sharer is a source of documents that shares its calls to the platform with other
+// sharingUser is implemented by Documents that share their platform calls with other
 // instances.
 type sharingUser interface {
 	UseSharing(s *objectwatch.Sharing)
 }
 
-// GroupInForce is a group and the version of the document that names it.
+// GroupInForce is a group and the version of the document that defines it.
 type GroupInForce struct {
 	document.Group
 	Version int64
 }
 
-// storedDocuments are the service documents of the product's own store.
+// storedDocuments implements Documents with the documents in the product's own store.
 type storedDocuments struct {
 	store   *config.Store
 	members *membership.Members
-	// workspaces are those of all documents in force.
+	// workspaces holds the workspaces of all documents in force.
 	workspaces atomic.Pointer[workspace.Table]
 }
 
@@ -55,8 +55,8 @@
 	return d
 }
 
-// rebuildWorkspaces finds the workspaces of all documents. Those of two services never have the
-// same name.
+// rebuildWorkspaces collects the workspaces of all documents. The names of workspaces of
+// two services always differ.
 func (d *storedDocuments) rebuildWorkspaces() {
 	var entries []workspace.Entry
 	for _, a := range d.store.All() {
--- a/internal/instance/domainwatch.go
+++ b/internal/instance/domainwatch.go
@@ -10,26 +10,29 @@
 )
 
 const (
-	// methodProbeDomain asks an instance of another failure domain whether it is there, and
-	// methodCheckReach an instance of the own one to look at once what it reaches.
+	// methodProbeDomain checks that an instance in another failure domain answers.
+	// methodCheckReach makes an instance of the same failure domain check at once which
+	// members it reaches.
 	methodProbeDomain = "instance.far"
 	methodCheckReach  = "instance.look"
-	// domainProbeDuty is the key by which the instances are picked that ask other failure domains,
-	// and probersPerDomain how many of each do: two, because one of them may be dead and listed.
+	// domainProbeDuty is the key for picking the instances that probe other failure
+	// domains. probersPerDomain is how many each failure domain has: two, because one of
+	// them may have failed and still be listed.
 	domainProbeDuty  = "instance.far"
 	probersPerDomain = 2
-	// domainProbeInterval is the time between two questions to a failure domain, and domainProbeTimeout
-	// bounds an answer: many times that of an instance that is short of processor time.
+	// domainProbeInterval is the time between two probes of a failure domain.
+	// domainProbeTimeout bounds an answer; it is many times the response time of an
+	// instance that is short of CPU time.
 	domainProbeInterval = 80 * time.Millisecond
 	domainProbeTimeout  = time.Second
-	// checkReachTimeout bounds the call that asks an instance to look.
+	// checkReachTimeout bounds the call that requests a reachability check.
 	checkReachTimeout = 200 * time.Millisecond
-	// minReachCheckInterval is the least time between two such looks. Each costs a question to every
-	// member of the groups that an instance is home to.
+	// minReachCheckInterval is the minimum time between two requested checks. Each check
+	// probes every member of the groups that an instance is home to.
 	minReachCheckInterval = time.Second
 )
 
-// serveDomainProbes answers the questions of watchOtherDomains.
+// serveDomainProbes registers the handlers for watchOtherDomains of other instances.
 func (n *Instance) serveDomainProbes() {
 	n.peers.Handle(methodProbeDomain, func(context.Context, string, json.RawMessage) (any, error) { return struct{}{}, nil })
 	n.peers.Handle(methodCheckReach, func(context.Context, string, json.RawMessage) (any, error) {
@@ -38,8 +41,9 @@
 	})
 }
 
-// watchOtherDomains asks other failure domains whether they are there, as long as this instance has
-// the duty, and has all instances of its own look when all others are silent, until ctx ends.
+// watchOtherDomains probes the other failure domains while this instance has that duty.
+// When none of them answers, it requests a reachability check from all instances of its own
+// failure domain. It returns when ctx ends.
 func (n *Instance) watchOtherDomains(ctx context.Context) {
 	detector := newIsolationDetector()
 	answers := make(chan string)
@@ -67,14 +71,14 @@
 	}
 }
 
-// isDomainProber reports whether this instance has the duty.
+// isDomainProber reports whether this instance has the duty to probe other failure domains.
 func (n *Instance) isDomainProber() bool {
 	_, self := objectwatch.OnDuty(n.members, domainProbeDuty, probersPerDomain)
 	return self
 }
 
-// probeOtherDomains asks one instance of each other failure domain, another one each round, and passes
-// on the failure domains that answer.
+// probeOtherDomains probes one instance of each other failure domain, a different one each
+// round, and sends the failure domains that answer to answers.
 func (n *Instance) probeOtherDomains(ctx context.Context, round int, answers chan<- string) {
 	byDomain := make(map[string][]platform.Instance)
 	for _, i := range n.members.Pick(domainProbeDuty, probersPerDomain) {
@@ -97,8 +101,9 @@
 	}
 }
 
-// requestReachChecks has all instances of the own failure domain look what they reach. Each decides by
-// what it sees itself, so that one that is cut off alone takes nobody along.
+// requestReachChecks makes all instances of this failure domain check which members they
+// reach. Each decides by its own check, so that an instance that is cut off alone does not
+// affect the others.
 func (n *Instance) requestReachChecks(ctx context.Context) {
 	n.checkReachNow()
 	for _, i := range n.members.Peers() {
@@ -109,14 +114,14 @@
 			bounded, cancel := context.WithTimeout(ctx, checkReachTimeout)
 			defer cancel()
 			if err := n.client.Call(bounded, i.PeerAddress, methodCheckReach, struct{}{}, nil); err != nil {
-				n.options.Logger.Debug("Instance was not told to look what it reaches.", "instance", i.ID, "error", err)
+				n.options.Logger.Debug("Requesting a reachability check failed.", "instance", i.ID, "error", err)
 			}
 		})
 	}
 }
 
-// checkReachNow has all members asked at once that this instance follows, and then the homes
-// that it asks what they reach.
+// checkReachNow probes all members that this instance follows, then wakes the reachability
+// check and the polling of other homes.
 func (n *Instance) checkReachNow() {
 	now := n.options.Clock.Now()
 	last := n.reachCheckedAt.Load()
@@ -125,7 +130,8 @@
 	}
 	for _, h := range n.homesCopy() {
 		for _, m := range h.watcher.Snapshot().Members {
-			// An open connection that is silent proves nothing; a new one that is does.
+			// Silence on an open connection proves nothing, silence on a new one does:
+			// ReportFailure makes the watcher open new connections.
 			h.watcher.ReportFailure(m.Address)
 		}
 	}
--- a/internal/instance/failover.go
+++ b/internal/instance/failover.go
@@ -7,7 +7,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// newClaimer builds the claimer of a group that this instance is home to.
+// newClaimer builds the component that claims terms of a group and fails it over.
 func (n *Instance) newClaimer(g document.Group, w *group.Watcher) *failover.Claimer {
 	instances := func() []platform.Instance { return n.members.Homes(g.Name) }
 	return failover.New(failover.Config{
@@ -29,7 +29,8 @@
 	})
 }
 
-// serveWitness answers peers that ask what this instance sees of a primary.
+// serveWitness registers the handler for peers that ask whether this instance sees a
+// primary.
 func (n *Instance) serveWitness() {
 	detect := failover.DefaultSettings().Detect
 	failover.ServeWitness(n.peers, n.options.Clock, detect, func(name string) (failover.View, bool) {
--- a/internal/instance/home.go
+++ b/internal/instance/home.go
@@ -16,30 +16,30 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// home is what the instance runs for one group that it is home to. It asks for
-// a seat of the group's connections first; only with a seat does it connect to
-// members and take units.
+// home is what the instance runs for one group that it is home to. It acquires a share of
+// the group's connections first, and connects to members and accepts units only while it
+// holds one.
 type home struct {
 	group   document.Group
 	watcher *group.Watcher
 	claimer *failover.Claimer
 	pool    *pool.Limited
 	gate    *admission.Controller
-	// queues are the gate where members have slots of their own; nil otherwise.
+	// queues is the admission gate if each member has its own slots, and nil otherwise.
 	queues   *admission.PerMember
 	executor *executor.Group
 	router   *executor.Router
 	share    connectionShare
 
-	// cancelShare ends the manager of seats; seeking counts it.
+	// cancelShare stops share.Run, which shareRunning tracks.
 	cancelShare  context.CancelFunc
 	shareRunning sync.WaitGroup
-	// cancelComponents ends what needs the seat; parts counts it.
+	// cancelComponents stops the components that need the share; components tracks them.
 	cancelComponents context.CancelFunc
 	components       sync.WaitGroup
 }
 
-// newHome builds the parts of a home without starting them.
+// newHome builds a home without starting it.
 func (n *Instance) newHome(g document.Group, version int64) *home {
 	h := &home{group: g, router: n.router}
 	h.watcher = group.NewWatcher(group.Config{
@@ -117,7 +117,7 @@
 	})
 }
 
-// admissionGate returns the gate that units go through.
+// admissionGate returns the gate that admits units.
 func (h *home) admissionGate() admission.Gate {
 	if h.queues != nil {
 		return h.queues
@@ -125,7 +125,7 @@
 	return h.gate
 }
 
-// setMemberLimit bounds what the home uses of each member.
+// setMemberLimit limits the connections and slots that the home uses at each member.
 func (h *home) setMemberLimit(connections int) {
 	h.pool.SetMemberLimit(connections)
 	h.queues.SetSlots(connections)
@@ -139,8 +139,8 @@
 	return n.options.WrapTracker(w)
 }
 
-// newShare returns what bounds the home: a seat in the group's ledger, or an even
-// part where members bound their connections themselves.
+// newShare returns the home's share of the group's connections. It is allocated in the
+// group's ledger on the platform, or divided evenly if members limit their own connections.
 func (n *Instance) newShare(g document.Group, version int64, h *home) connectionShare {
 	if n.protocol.MemberShares {
 		e := &shares.Even{
@@ -160,7 +160,7 @@
 	return m
 }
 
-// controlConnsPerMember is how many connections to each member a home keeps for
+// controlConnsPerMember is the number of connections to each member that a home uses for
 // following it.
 const controlConnsPerMember = 1
 
@@ -181,8 +181,8 @@
 	}, allocation(g, version))
 }
 
-// allocation returns what a document says about a group's limits. Failure
-// domains are those of its members: each has entry instances of its own.
+// allocation returns the limits of a group according to its document. The failure domains
+// are those of the group's members: each of them has its own entry instances.
 func allocation(g document.Group, version int64) shares.Allocation {
 	a := shares.Allocation{
 		Document:  version,
@@ -196,14 +196,15 @@
 	return a
 }
 
-// start asks for a seat and keeps it until stop.
+// start acquires a share and holds it until stop.
 func (h *home) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancelShare = cancel
 	h.shareRunning.Go(func() { h.share.Run(ctx) })
 }
 
-// shareChanged starts what needs the seat, or ends it before the seat goes.
+// shareChanged starts the components that need the share, or stops them before the share is
+// released.
 func (h *home) shareChanged(seated bool) {
 	if !seated {
 		h.router.Retire(h.group.Name)
@@ -218,7 +219,8 @@
 	h.components.Go(func() { h.executor.Run(ctx) })
 }
 
-// stopComponents closes the control connections and returns when they are closed.
+// stopComponents stops the components that need the share and returns when their
+// connections are closed.
 func (h *home) stopComponents() {
 	if h.cancelComponents == nil {
 		return
@@ -227,9 +229,9 @@
 	h.components.Wait()
 }
 
-// stop gives the seat back and closes every connection to members. An error
-// says that the platform could not be told; the seat is then found again by
-// proof once another process answers at this instance's address.
+// stop releases the share and closes every connection to members. It returns an error if
+// the release could not be recorded on the platform. The share can then be taken over once
+// another process answers at this instance's address, which proves that this one has ended.
 func (h *home) stop(ctx context.Context) error {
 	h.cancelShare()
 	h.shareRunning.Wait()
--- a/internal/instance/homecount.go
+++ b/internal/instance/homecount.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// minShare is the least part of a member's connections with which an instance
-	// is home to a group: one to follow the member, and two for statements, so that
-	// one long statement does not hold up all others.
+	// minShare is the minimum number of connections to a member with which an instance is
+	// home to a group: one to follow the member, and two for statements, so that one long
+	// statement does not block all others.
 	minShare = 3
-	// defaultShare is the part that a home gets where not every instance can be one.
+	// defaultShare is the number of connections to a member that a home gets where not
+	// every instance can be a home.
 	defaultShare = 4
-	// minHomesPerDomain is how many homes a failure domain has at least where its part of the
-	// connections allows it: the loss of one leaves its callers another one near.
+	// minHomesPerDomain is the minimum number of homes in a failure domain if its part of
+	// the connections allows it: when one fails, its callers still have another one
+	// nearby.
 	minHomesPerDomain = 2
-	// maxHomesPerSlot is how many homes there may be for each slot of a member while every
-	// instance is one.
+	// maxHomesPerSlot is the maximum number of homes for each slot of a member while every
+	// instance is a home.
 	maxHomesPerSlot = 2
 	// allInstances makes every instance of a failure domain a home.
 	allInstances = 1 << 20
 )
 
-// fleetSize is how many instances there are, and in how many failure domains.
+// fleetSize is the number of instances and of their failure domains.
 type fleetSize struct{ instances, domains int }
 
-// fleetSizeOf counts instances and their failure domains. It is counted once for all groups:
-// counted for each, a comparison of homes would take groups times instances.
+// fleetSizeOf counts instances and their failure domains. It is called once for all groups:
+// counting for each group would make a reconciliation of homes cost groups times instances.
 func fleetSizeOf(instances []platform.Instance) fleetSize {
 	domains := make(map[string]bool)
 	for _, i := range instances {
@@ -36,17 +38,18 @@
 }
 
 // homesPerDomain returns how many instances of each failure domain are homes to a group
-// whose members limit their connections themselves; zero where they do not. While every
-// instance can have the least share and they are not many more than a member has slots, every
-// one is a home: no statement then takes a hop, and the loss of an instance is felt by its
-// own callers alone.
+// whose members limit their own connections, and zero for other groups. Every instance is a
+// home as long as each can have minShare connections and there are at most maxHomesPerSlot
+// instances for each slot of a member: no statement then needs a hop, and the loss of an
+// instance affects its own callers only.
 //
-// Past that, all homes of a group together have about as many requests at work at a member
-// as it has slots, at one a home. Each home has a queue of its own and sends at least one
-// request, so that more homes put a queue before the member that nobody orders. Their
-// connections are divided among them as well: with thirty homes before five slots, the one
-// that its whole failure domain sends to had three connections, and refused what the member
-// had room for. Each home also polls every member of the group, whether it has callers or not.
+// Beyond that, the number of homes of a group is about the number of slots of a member, so
+// that one request from each home fills the member. Each home has its own queue and sends
+// at least one request, so that more homes would build up a queue at the member that no
+// admission control orders. They would also divide the connections among more homes: with
+// thirty homes for five slots, the home that received all requests of its failure domain
+// had three connections, and refused requests that the member could have served. Each home
+// also polls every member of the group, whether it has callers or not.
 func homesPerDomain(g document.Group, fleet fleetSize) int {
 	if g.MemberConnections <= 0 || fleet.domains == 0 {
 		return 0
@@ -59,20 +62,21 @@
 	return min(byConnections, bySlots)
 }
 
-// crowds reports whether all instances as homes would be many more than a member has slots.
-// Slots that are not known bound nothing.
+// exceedsSlots reports whether there are more than maxHomesPerSlot instances for each slot
+// of a member. It returns false if the number of slots is unknown.
 func exceedsSlots(fleet fleetSize, g document.Group) bool {
 	slots := memberSlots(g)
 	return slots > 0 && fleet.instances > maxHomesPerSlot*slots
 }
 
-// memberSlots is how many statements one member of a group runs at once.
+// memberSlots returns how many statements one member of a group runs concurrently.
 func memberSlots(g document.Group) int { return g.Slots / max(len(g.Members), 1) }
 
-// evenShare is the part of a member's connections that one home may use. Half of them
-// are divided evenly among the homes, and half among the failure domains first:
-// callers come to the instances of their own domain, so that where a domain has fewer
-// instances each has more to do. The parts of all homes sum to no more than the whole.
+// evenShare returns how many of a member's connections one home may use. Half of them are
+// divided evenly among the homes. The other half is divided evenly among the failure
+// domains and then among the homes of each: callers connect to instances of their own
+// failure domain, so that each instance has more to do where a failure domain has fewer of
+// them. The shares of all homes sum to at most total.
 func evenShare(total int, homes []platform.Instance, self platform.Instance) int {
 	domains := make(map[string]int)
 	for _, i := range homes {
--- a/internal/instance/homelookup.go
+++ b/internal/instance/homelookup.go
@@ -5,7 +5,7 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// homes finds instances for the router.
+// homeLookup implements executor.Homes on the list of instances.
 type homeLookup struct{ members *membership.Members }
 
 // Homes implements executor.Homes.
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -9,11 +9,11 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// reconcileInterval is how often homes are compared with what they should be,
-// besides every change of documents and instances.
+// reconcileInterval is the maximum time between two reconciliations. Each change of
+// documents or instances triggers one as well.
 const reconcileInterval = time.Second
 
-// runHomes keeps the set of homes in step with documents and instances.
+// runHomes reconciles the set of homes with the documents and instances until ctx ends.
 func (n *Instance) runHomes(ctx context.Context) {
 	timer := n.options.Clock.NewTimer(0)
 	defer timer.Stop()
@@ -29,7 +29,7 @@
 	}
 }
 
-// requestReconcile asks for a comparison soon. It never blocks.
+// requestReconcile triggers a reconciliation without blocking.
 func (n *Instance) requestReconcile() {
 	select {
 	case n.reconcileRequested <- struct{}{}:
@@ -37,8 +37,8 @@
 	}
 }
 
-// reconcile starts the homes that are missing and retires those that are not
-// wanted or whose members changed.
+// reconcile starts the homes that are missing, and retires those that are no longer wanted
+// or whose members changed.
 func (n *Instance) reconcile(ctx context.Context) {
 	n.updateHomeCounts()
 	wanted := n.wantedGroups()
@@ -59,8 +59,8 @@
 	}
 }
 
-// updateHomeCounts sets how many instances are homes to each group, where that follows from the
-// members' connections and slots.
+// updateHomeCounts sets how many instances are homes to each group, if members limit their
+// own connections.
 func (n *Instance) updateHomeCounts() {
 	if !n.protocol.MemberShares {
 		return
@@ -68,7 +68,7 @@
 	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), fleetSizeOf(n.members.Live())))
 }
 
-// homeCounts returns for each group how many homes each failure domain has; groups whose
+// homeCounts returns the number of homes per failure domain for each group. Groups whose
 // members do not limit their connections are left out.
 func homeCounts(groups []GroupInForce, fleet fleetSize) map[string]int {
 	counts := make(map[string]int)
@@ -80,9 +80,9 @@
 	return counts
 }
 
-// connectionShareOf is this instance's part of a number of connections to a member of a group.
-// Before it has learned of the others it takes the usual one: all instances that start
-// while the platform is away would else take the whole each.
+// connectionShareOf returns this instance's share of the connections to a member of a
+// group. Until the other instances are known it is at most defaultShare: otherwise each
+// instance that starts during an outage of the platform would use all connections.
 func (n *Instance) connectionShareOf(group string, total int) int {
 	part := evenShare(total, n.members.Homes(group), n.self())
 	if !n.members.Known() {
@@ -108,8 +108,8 @@
 
 func sameMembers(a, b document.Group) bool { return slices.Equal(a.Members, b.Members) }
 
-// addHome starts a home. It returns nil while an earlier home of the group is
-// still ending: two of them would hold two seats' connections.
+// addHome starts a home. It returns nil while an earlier home of the group is still
+// stopping, because the two would use the connections of two shares.
 func (n *Instance) addHome(w GroupInForce) *home {
 	n.mu.Lock()
 	ending := n.stopping[w.Name]
@@ -126,7 +126,8 @@
 	return h
 }
 
-// adjust passes on what may change while a home runs: limits and leaving members.
+// updateHome applies what may change while a home runs: the group's limits and members, and
+// which members are leaving.
 func (n *Instance) updateHome(h *home, w GroupInForce) {
 	var leaving []string
 	for _, m := range w.Members {
@@ -142,8 +143,8 @@
 	h.share.SetAllocation(allocation(w.Group, w.Version))
 }
 
-// retire stops new units at once and the home itself when the units at work and
-// the open transactions have ended.
+// retire rejects new units at once. The home stops when its running units and open
+// transactions have ended.
 func (n *Instance) retire(ctx context.Context, h *home) {
 	n.router.Retire(h.group.Name)
 	n.mu.Lock()
@@ -169,8 +170,8 @@
 	n.requestReconcile()
 }
 
-// stopHome stops a home and tries again while the platform does not take the
-// seat back, until ctx ends.
+// stopHome stops a home, and retries while its share cannot be released on the platform,
+// until ctx ends.
 func (n *Instance) stopHome(ctx context.Context, h *home) {
 	for {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -179,7 +180,7 @@
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		n.options.Logger.Warn("Seat was not given back yet.", "group", h.group.Name, "error", err)
+		n.options.Logger.Warn("Releasing the share of a group failed, retrying.", "group", h.group.Name, "error", err)
 		if clock.Sleep(ctx, n.options.Clock, stopTimeout) != nil {
 			break
 		}
@@ -188,8 +189,9 @@
 }
 
 const (
-	// retirePollInterval is the time between two looks at a retired home's units.
+	// retirePollInterval is the time between two checks whether a retired home still runs
+	// units.
 	retirePollInterval = 50 * time.Millisecond
-	// stopTimeout bounds one attempt to close a home's connections.
+	// stopTimeout bounds one attempt to stop a home.
 	stopTimeout = 2 * time.Second
 )
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,8 +1,9 @@
-// Package instance wires one entry instance together and runs it: the callers'
-// side, the peers' side, the administration API, and a home for each group that
-// the instance holds connections to.
+// Package instance assembles and runs one entry instance: the servers for callers and
+// peers, the administration API, and a home for each group that the instance holds
+// connections to.
 //
-// Lock order: Instance.mu alone, held for map look-ups only.
+// Lock order: Instance.mu is never held together with another lock, and for map look-ups
+// only.
 package instance
 
 import (
@@ -38,47 +39,49 @@
 	store     *config.Store
 	documents Documents
 	members   *membership.Members
-	// registry keeps the list of instances where the platform does not; nil otherwise.
+	// registry maintains the list of instances if the platform does not; it is nil
+	// otherwise.
 	registry *registry.Registry
-	// listWait is used by runHomes alone.
+	// listWait is used by runHomes only.
 	listWait instanceListWait
-	// cutOff says that the instance reaches only minorities of most groups.
+	// cutOff is set while the instance does not reach a majority of the members of most
+	// groups.
 	cutOff atomic.Bool
-	// lastCheck is when this instance last looked at once what it reaches; wakeReach and
-	// wakePeerReach wake those who do.
+	// reachCheckedAt is when checkReachNow last ran. wakeReach and wakePeerReach wake
+	// watchReach and pollPeerReach.
 	reachCheckedAt           atomic.Pointer[time.Time]
 	wakeReach, wakePeerReach chan struct{}
-	// leaving says that the graceful shutdown has begun.
+	// draining is set when the graceful shutdown begins.
 	draining atomic.Bool
 	peers    *peer.Server
 	client   *peer.Client
 	router   *executor.Router
-	// limits keeps the operations of workspaces within their limits.
+	// quotaGuard enforces the limits of workspaces.
 	quotaGuard *quota.Guard
 	callers    Callers
 	admin      *adminapi.Server
-	// changed asks for a comparison of homes; it holds at most one request.
+	// reconcileRequested triggers a reconciliation of homes; it holds at most one request.
 	reconcileRequested chan struct{}
-	// stop is closed when an operator asks for a drain.
+	// drainRequested is closed when an operator requests a drain.
 	drainRequested chan struct{}
 	requestDrain   func()
-	// running counts the goroutines that Run waits for; reconciling is the one
-	// among them that starts and retires homes.
+	// running tracks the goroutines that Run waits for, except the one that starts and
+	// retires homes, which reconciling tracks.
 	running     sync.WaitGroup
 	reconciling sync.WaitGroup
 
-	// seats routes peers' calls to the managers of seats; holder names this
-	// process to them.
+	// shareDirectory dispatches calls of peers to the managers of shares. holder
+	// identifies this process to them.
 	shareDirectory *shares.Directory
 	holder         shares.Holder
 
 	mu           sync.Mutex
 	homesByGroup map[string]*home
-	// ending holds the groups whose last home has not ended yet.
+	// stopping holds the groups whose previous home has not stopped yet.
 	stopping map[string]bool
 }
 
-// New builds an instance that does nothing before Run.
+// New builds an instance. It does nothing until Run is called.
 func New(o Options) *Instance {
 	n := &Instance{
 		options:            o,
@@ -177,8 +180,8 @@
 	}
 }
 
-// newHolder names this process. The incarnation differs for every process, also
-// of one instance, as long as the seed does.
+// newHolder returns the identity of this process. The incarnation differs between
+// processes, including those of the same instance, as long as their seeds differ.
 func (n *Instance) newHolder() shares.Holder {
 	s := n.options.Settings
 	return shares.Holder{
@@ -189,14 +192,14 @@
 	}
 }
 
-// Run serves until ctx ends, then shuts down gracefully. It returns an error
-// when the instance could not start.
+// Run serves until ctx ends or a drain is requested, then shuts down gracefully. It returns
+// an error if the instance could not start or the drain was incomplete.
 func (n *Instance) Run(ctx context.Context) error {
 	callers, peers, err := n.listen()
 	if err != nil {
 		return err
 	}
-	// Parts outlive ctx: the drain still needs them.
+	// The components outlive ctx: the drain still needs them.
 	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	n.documents.Subscribe(n.requestReconcile)
@@ -222,7 +225,7 @@
 	return err
 }
 
-// follow keeps the list of instances up to date.
+// followInstances keeps the list of instances up to date.
 func (n *Instance) followInstances(ctx context.Context) {
 	if n.registry != nil {
 		n.registry.Run(ctx)
@@ -231,7 +234,8 @@
 	_ = n.members.Run(ctx)
 }
 
-// withdraw takes the instance off the list that it keeps itself on.
+// withdrawEntry removes the instance's own entry from the list, if the instance maintains
+// it.
 func (n *Instance) withdrawEntry(ctx context.Context) {
 	if n.registry == nil {
 		return
@@ -241,8 +245,8 @@
 	}
 }
 
-// serveAdmin runs the administration API. Without it the instance still serves
-// callers, so a failure is logged and ends nothing else.
+// serveAdmin runs the administration API. The instance can serve callers without it, so an
+// error is only logged.
 func (n *Instance) serveAdmin(ctx context.Context) {
 	if n.options.Settings.Admin.Address == "" {
 		return
@@ -265,38 +269,40 @@
 	return callers, peers, nil
 }
 
-// drain finishes what is at work for callers and peers.
+// drain waits until the running requests of callers and peers have ended.
 func (n *Instance) drain(callers net.Listener) error {
 	n.options.Logger.Info("Drain begins.")
 	n.draining.Store(true)
 	limits := n.options.Settings.Drain
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(limits.Timeout, defaultDrainTimeout))
 	defer cancel()
-	// Callers still come, and peers still send units here, until the balancer has
-	// seen that the instance is not ready.
+	// Callers still connect, and peers still send units, until the balancer has noticed
+	// that the instance is not ready.
 	_ = clock.Sleep(ctx, n.options.Clock, limits.Linger)
 	if !n.protocol.MemberShares {
 		n.members.SetDraining()
 	}
-	// Callers that connect now are told to go elsewhere; the listener closes last.
+	// From now on callers that connect are redirected to other instances; the listener is
+	// closed last.
 	err := n.callers.Drain(ctx)
-	// Where every instance is a home, those that are left go on at this one: sent
-	// elsewhere, they would open connections there for their last statements.
+	// Where every instance is a home, the remaining callers are served by this instance
+	// until here: redirecting their last statements would open connections at other
+	// instances.
 	n.members.SetDraining()
 	err = errors.Join(err, n.router.Drain(ctx))
 	callers.Close()
-	// Peers that still send units here are told to go elsewhere; closing at once
-	// would cut the units that are on their way.
+	// Peers that still send units are redirected to other instances; closing the
+	// connections at once would lose the units in flight.
 	_ = clock.Sleep(ctx, n.options.Clock, peerLinger)
 	n.options.Logger.Info("Drain has ended.", "error", err)
 	return err
 }
 
-// shutdown gives everything back.
+// shutdown stops all homes and servers and releases the shares.
 func (n *Instance) shutdown(peers net.Listener, stop context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	// A home is stopped by one hand only: here, or where it was retired.
+	// Only one goroutine may stop a home: this one, or the one that retired it.
 	stop()
 	n.reconciling.Wait()
 	for _, h := range n.homesCopy() {
@@ -326,8 +332,8 @@
 	return all
 }
 
-// service returns the document in force for a group; one without bounds when
-// the document was withdrawn while units were at work.
+// service returns the document in force for a group. If the document was withdrawn while
+// units were running, it returns an empty one, which has no limits.
 func (n *Instance) service(group string) *document.Service {
 	s, ok := n.documents.FindService(group)
 	if !ok {
--- a/internal/instance/instancelistwait.go
+++ b/internal/instance/instancelistwait.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// instanceListTimeout is how long an instance that knows the groups and not yet the other instances
-// is home to none: a few slow answers of the platform.
+// instanceListTimeout bounds the wait for the list of instances. It allows for a few slow
+// answers of the platform.
 const instanceListTimeout = 3 * time.Second
 
-// listWait decides whether an instance may choose its homes by the instances it knows.
+// instanceListWait delays the start of homes until the list of instances is known.
 //
-// The load pattern is a return of a whole fleet. Documents and members' entries arrive
-// before the list of instances, and an instance that takes itself for the only one is home
-// to every group: all instances open connections to all members, which refuse what is past
-// their bound while they still count the connections from before, and all but a few homes
-// are retired a moment later. It does no I/O.
+// It matters when a whole fleet restarts. Documents and members' entries arrive before the
+// list of instances, and an instance that knows of no other is home to every group. All
+// instances would then open connections to all members. The members refuse the connections
+// beyond their limit, because they still count those from before the restart, and a moment
+// later all but a few homes would be retired. It does no I/O.
 type instanceListWait struct {
-	// groupsKnownSince is when the first groups were known.
+	// groupsKnownSince is when groups were first known.
 	groupsKnownSince time.Time
 }
 
-// awaits reports whether to go on without homes. It gives the list of instances up after its
-// time: the platform may be away for long, and the homes' least shares serve until then.
+// pending reports whether to start no homes yet. It ends after instanceListTimeout even
+// without the list: an outage of the platform may be long, and until it ends each home
+// serves with a small share.
 func (v *instanceListWait) pending(now time.Time, groups int, listKnown bool) bool {
 	if groups == 0 {
 		return true
--- a/internal/instance/isolation.go
+++ b/internal/instance/isolation.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// isolationThreshold is how long every other failure domain must have been silent: more than two
-// questions to each, at another instance every time.
+// isolationThreshold is how long no other failure domain may answer: more than two probes
+// of each, every time at another instance.
 const isolationThreshold = 200 * time.Millisecond
 
-// isolation decides by the answers from other failure domains whether this one is cut off.
+// isolationDetector detects that this failure domain is cut off, from the probe answers of
+// the others.
 //
-// The load pattern is a failure domain that is cut off while its instances ask members only
-// every other second: the balancer goes on sending it callers, and all are refused. One
-// silent machine, member or failure domain is an everyday loss; all other failure domains
-// silent in the same instant are not.
+// It matters because instances probe members only every other second: when a failure domain
+// is cut off, the balancer keeps sending it callers, and all of them are refused. A single
+// instance, member or failure domain that does not answer is an ordinary failure; all other
+// failure domains at the same time are not.
 //
-// Instances that are short of processor time, as all are behind a return or a large manifest,
-// hear nothing for as long, and answer late. Taken for a cut, that would have all of them open
-// every connection to members anew, and be shorter still. So an answer counts when it comes,
-// however late, and time in which this instance did not get to look is no silence. It does
-// no I/O.
+// Instances that are short of CPU time, as all are after a restart of the fleet or a large
+// manifest, also get no answers for as long, or get them late. If they took this for a cut,
+// they would all reopen every connection to members and be even shorter of CPU time.
+// Therefore an answer counts when it arrives, however late, and time in which this instance
+// did not run its checks does not count as silence. It does no I/O.
 type isolationDetector struct {
-	// heard is when an answer of each other failure domain last came.
+	// lastAnswer is when each other failure domain last answered.
 	lastAnswer map[string]time.Time
-	// lastCheck is when the silence was last looked at.
+	// lastCheck is when detectIsolation was last called.
 	lastCheck time.Time
-	// suspected says that the present silence was reported.
+	// reported is set once the current silence has been reported.
 	reported bool
 }
 
@@ -31,11 +32,12 @@
 	return isolationDetector{lastAnswer: make(map[string]time.Time)}
 }
 
-// note takes in that an answer of a failure domain came.
+// recordAnswer records that a failure domain answered.
 func (i *isolationDetector) recordAnswer(domain string, now time.Time) { i.lastAnswer[domain] = now }
 
-// begins reports whether the silence of all other failure domains has just become long
-// enough. One that has never answered says nothing. It is called each domainProbeInterval.
+// detectIsolation reports whether all other failure domains have just become silent for
+// longer than isolationThreshold. It returns true once per silence. A failure domain that
+// has never answered is not considered. It must be called every domainProbeInterval.
 func (i *isolationDetector) detectIsolation(now time.Time) bool {
 	i.excludeOwnDelay(now)
 	silent := len(i.lastAnswer) > 0
@@ -47,7 +49,8 @@
 	return begins
 }
 
-// excludeOwnDelay leaves out of every silence by how much this look comes late.
+// excludeOwnDelay subtracts the delay of this check from the silence of each failure
+// domain.
 func (i *isolationDetector) excludeOwnDelay(now time.Time) {
 	late := now.Sub(i.lastCheck) - domainProbeInterval
 	if !i.lastCheck.IsZero() && late > 0 {
--- a/internal/instance/listeners.go
+++ b/internal/instance/listeners.go
@@ -8,30 +8,29 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// listenerTimeout bounds the reading of one probe and the writing of its answer.
+// listenerTimeout bounds reading a request and writing its response.
 const listenerTimeout = 5 * time.Second
 
-// serveReadiness answers the balancer's probe on a listener of its own, whatever path
-// it asks for, until ctx ends.
+// serveReadiness answers the balancer's readiness probe on a separate listener, at any
+// path, until ctx ends.
 func (n *Instance) serveReadiness(ctx context.Context) {
 	n.serveHTTP(ctx, n.options.Settings.Ready.Address, http.HandlerFunc(n.handleReadiness))
 }
 
-// serveMetrics serves the metrics on a listener of their own, whatever path is asked
-// for, until ctx ends.
+// serveMetrics serves the metrics on a separate listener, at any path, until ctx ends.
 func (n *Instance) serveMetrics(ctx context.Context) {
 	n.serveHTTP(ctx, n.options.Settings.Metrics.Address, promhttp.HandlerFor(n.options.Registry, promhttp.HandlerOpts{}))
 }
 
-// serveHTTP serves one handler at an address, if there is one. The instance goes on
-// without it if the address is taken.
+// serveHTTP serves one handler at an address, if one is configured. If the address is in
+// use the instance runs without it.
 func (n *Instance) serveHTTP(ctx context.Context, address string, h http.Handler) {
 	if address == "" {
 		return
 	}
 	listener, err := n.options.Network.Listen(address)
 	if err != nil {
-		n.options.Logger.Error("Listener was not opened.", "address", address, "error", err)
+		n.options.Logger.Error("Opening a listener failed.", "address", address, "error", err)
 		return
 	}
 	server := &http.Server{Handler: h, ReadTimeout: listenerTimeout, WriteTimeout: listenerTimeout}
--- a/internal/instance/metrics.go
+++ b/internal/instance/metrics.go
@@ -15,7 +15,7 @@
 	"github.com/topazrock/topazrock/internal/shares"
 )
 
-// metrics holds every part's metrics, registered once for the instance.
+// metrics holds the metrics of every component, registered once per instance.
 type metrics struct {
 	admission  *admission.Metrics
 	config     *config.Metrics
--- a/internal/instance/postgres.go
+++ b/internal/instance/postgres.go
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// postgres is the Protocol of PostgreSQL callers and members.
+// postgres returns the Protocol for PostgreSQL callers and members.
 func (n *Instance) postgres() Protocol {
 	s := n.options.Settings
 	control := pgcontrol.NewDialer(n.options.Network, pgcontrol.Options{User: s.Upstream.User, Password: s.Upstream.Password})
@@ -34,8 +34,8 @@
 	return o.Open(ctx, address)
 }
 
-// applicationName is what members see of a connection: the product's name, and the workspace
-// whose statements alone run on it, if any.
+// applicationName returns the application name that members see for a connection: the
+// product's name, and the workspace if the connection is reserved for one.
 func applicationName(product, workspace string) string {
 	if workspace == "" {
 		return product
--- a/internal/instance/protocol.go
+++ b/internal/instance/protocol.go
@@ -16,40 +16,42 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// Protocol is what callers and members speak, and how groups are followed over it.
+// Protocol defines how the instance communicates with callers and members, and how it
+// follows groups.
 type Protocol struct {
 	Wire wire.Features
-	// Open opens a connection for statements of a workspace to a member of a group.
+	// Open opens a connection to a member of a group for statements of a workspace.
 	Open func(ctx context.Context, group, address, workspace string) (wire.Conn, error)
-	// Control opens the control side of members of a group.
+	// Control opens control connections to members of a group.
 	Control func(group string) member.Dialer
-	// Callers makes the side that serves callers.
+	// Callers builds the server for callers.
 	Callers func(CallerParts) Callers
-	// Intervals and Failover are the times of following groups and of failover;
-	// zero values are the packages' defaults.
+	// Intervals and Failover configure how groups are followed and failed over; zero
+	// values select the packages' defaults.
 	Intervals group.Intervals
 	Failover  failover.Settings
-	// MembersNumberTerms and ConfirmationAge are passed to failover and execution.
+	// MembersNumberTerms and ConfirmationAge are passed to packages failover and
+	// execution.
 	MembersNumberTerms bool
 	ConfirmationAge    time.Duration
-	// TrimInterval is how often pools close idle connections that were not needed;
-	// zero keeps them.
+	// TrimInterval is how often pools close idle connections that were not needed; zero
+	// disables this.
 	TrimInterval time.Duration
-	// MembersChange says that members come and go while the group is served, by their
-	// own entries, and not by a new document.
+	// MembersChange is set if members join and leave a running group through their own
+	// entries, without a new document.
 	MembersChange bool
-	// MemberShares says that each member limits its own connections, from whomever
-	// they come, and refuses more without harm: then an even share of a member's
-	// connections needs no ledger on the platform.
+	// MemberShares is set if each member limits the total number of its connections and
+	// refuses further ones without harm. An even share of a member's connections then
+	// needs no ledger on the platform.
 	MemberShares bool
-	// Linger is how long members count a connection whose other end has vanished.
+	// Linger is how long members still count a connection whose peer has vanished.
 	Linger time.Duration
 }
 
-// CallerParts is what the side that serves callers gets from the instance.
+// CallerParts holds what the instance provides to the server for callers.
 type CallerParts struct {
 	Executor execution.Executor
-	// EndUnits ends the units that members work on; their outcome is then unknown.
+	// EndUnits aborts the units that members are running; their outcome is then unknown.
 	EndUnits   func()
 	Clock      clock.Clock
 	Logger     hclog.Logger
@@ -57,14 +59,15 @@
 	MaxCallers int
 }
 
-// Callers serves callers.
+// Callers is the server for callers.
 type Callers interface {
 	// Serve accepts callers until the listener is closed.
 	Serve(net.Listener) error
-	// Drain ends sessions as they become idle, and cuts them off when ctx ends.
+	// Drain ends sessions as they become idle, and closes the remaining ones when ctx
+	// ends.
 	Drain(ctx context.Context) error
 	// Draining reports whether Drain has begun.
 	Draining() bool
-	// Close ends what serves sessions, behind Drain.
+	// Close stops what serves sessions. It is called after Drain.
 	Close()
 }
--- a/internal/instance/quota.go
+++ b/internal/instance/quota.go
@@ -6,7 +6,7 @@
 	"github.com/topazrock/topazrock/internal/quota"
 )
 
-// newQuotaGuard returns what keeps the operations of workspaces within their limits.
+// newQuotaGuard returns the guard that enforces the limits of workspaces.
 func (n *Instance) newQuotaGuard() *quota.Guard {
 	o := n.options
 	t := o.Settings.Quota
--- a/internal/instance/random.go
+++ b/internal/instance/random.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// random returns a source of its own for one part, so that parts need no common
-// lock and a seed makes every part repeatable.
+// random returns a separate random source for a component, so that components share no lock
+// and one seed makes each of them reproducible.
 func (n *Instance) random(part string) *rand.Rand {
 	name := n.options.Settings.Instance.ID + "/" + part
 	return rand.New(rand.NewPCG(n.options.Seed, xxhash.Sum64String(name)))
--- a/internal/instance/reach.go
+++ b/internal/instance/reach.go
@@ -3,66 +3,68 @@
 import "time"
 
 const (
-	// cutOffAfter is how long an instance must have reached only minorities before it
-	// takes itself for cut off: long against the loss of one member, whose probes
-	// fail one by one.
+	// cutOffAfter is how long an instance must reach only minorities before it considers
+	// itself cut off. It is long compared with the loss of one member, whose probes fail
+	// one after another.
 	cutOffAfter = 300 * time.Millisecond
-	// restoreAfter is how long it must reach majorities again before callers are asked
-	// to come: a link that flaps would else bring them back too soon.
+	// restoreAfter is how long the instance must reach majorities again before callers are
+	// accepted: a flapping link would otherwise bring them back too early.
 	restoreAfter = 300 * time.Millisecond
-	// dismissAfter is when idle callers are sent elsewhere, counted from when the
-	// instance is not ready: the balancer needs two probes a second apart, and one
-	// that reconnects before would come back here.
+	// dismissAfter is when idle callers are disconnected, counted from when the instance
+	// became not ready. The balancer needs two probes one second apart to notice; a caller
+	// that reconnects earlier would be sent back here.
 	dismissAfter = 2200 * time.Millisecond
-	// hintValidity is how long a hint that all links fell silent at once spares cutOffAfter:
-	// the time in which members that are asked at once have answered or are silent, by slow
-	// answers of late.
+	// hintValidity is how long a hint that all links became silent at once makes
+	// cutOffAfter unnecessary. In this time, members that are probed at once have answered
+	// or timed out, even if recent answers were slow.
 	hintValidity = 1500 * time.Millisecond
 )
 
-// reach decides whether an instance is cut off from the groups: it reaches less than a
-// majority of the members of most of them. It can then confirm nothing, whatever the
-// others do, and its callers are better served elsewhere. One group that is down says
-// nothing of the instance. It does no I/O.
+// reachDetector decides whether an instance is cut off from the groups: for most of them it
+// reaches less than a majority of the members. It can then confirm nothing, whatever the
+// other instances do, and its callers are better served elsewhere. A single group that is
+// down does not mean that the instance is cut off. It does no I/O.
 type reachDetector struct {
-	// changed is when what is reached last changed between minorities and majorities;
-	// minority is what it changed to.
+	// changedAt is when reachability last changed between minorities and majorities, and
+	// minority is the current value.
 	changedAt time.Time
 	minority  bool
-	// cutOff is the present verdict, since when, and whether idle callers were sent
-	// elsewhere since then.
+	// cutOff is set while the instance is cut off, cutOffSince is when that began, and
+	// dismissed is set if idle callers have been disconnected since then.
 	cutOff      bool
 	cutOffSince time.Time
 	dismissed   bool
-	// hintedAt is when all links were last found to have fallen silent at once.
+	// hintedAt is when all links were last found to have become silent at once.
 	hintedAt time.Time
 }
 
-// hint notes that all links fell silent at once.
+// hint records that all links became silent at once.
 func (r *reachDetector) hint(now time.Time) { r.hintedAt = now }
 
-// hinted reports whether a hint counts.
+// hintActive reports whether the last hint is still valid.
 func (r *reachDetector) hintActive(now time.Time) bool { return now.Sub(r.hintedAt) < hintValidity }
 
-// reachEvent is what follows from a look at the groups.
+// reachEvent is the result of a reachability check.
 type reachEvent int
 
-// Events.
+// Results of a reachability check.
 const (
 	reachUnchanged reachEvent = iota
 	reachLost
 	reachRestored
-	// reachDismissCallers asks that idle callers be sent elsewhere.
+	// reachDismissCallers means that idle callers must be disconnected, so that they
+	// reconnect to other instances.
 	reachDismissCallers
 )
 
-// note takes in how many of the groups are reached by a majority.
+// update evaluates a check that reached a majority of the members in reached of the given
+// number of groups.
 func (r *reachDetector) update(now time.Time, groups, reached int) reachEvent {
 	minority := groups > 0 && 2*reached < groups
 	if groups == 0 && r.cutOff {
-		// Nobody can tell any more, which is no sign that the cut is over. A single instance
-		// that took callers again would bring its whole failure domain back into the
-		// balancer, which uses all instances where few are ready.
+		// No information does not mean that the cut is over. A single instance that
+		// accepted callers again would bring its whole failure domain back into the
+		// balancer, which uses all instances of a failure domain where few are ready.
 		minority = true
 	}
 	if minority != r.minority {
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -12,23 +12,24 @@
 const (
 	// methodReach asks a home how many of its groups it reaches.
 	methodReach = "instance.reach"
-	// peerReachInterval is the time between two such questions, and peerReachTimeout
-	// bounds an answer, many times a slow one inside a failure domain.
+	// peerReachInterval is the time between two polls of other homes. peerReachTimeout
+	// bounds an answer; it is many times the time of a slow one inside a failure domain.
 	peerReachInterval = 500 * time.Millisecond
 	peerReachTimeout  = 200 * time.Millisecond
-	// maxPolledHomes is how many homes are asked: two, because one may be down.
+	// maxPolledHomes is how many homes are polled: two, because one may be down.
 	maxPolledHomes = 2
-	// hintedPeerReachInterval is the time between two questions as long as a hint counts.
+	// hintedPeerReachInterval is the time between two polls while a hint is valid.
 	hintedPeerReachInterval = 50 * time.Millisecond
 )
 
-// reached is how many groups there are, and how many are reached by a majority.
+// reachCounts holds the number of groups and how many of them are reached, that is, by a
+// majority of their members.
 type reachCounts struct {
 	Groups  int `json:"groups"`
 	Reached int `json:"reached"`
 }
 
-// add counts one group.
+// addGroup counts one group.
 func (r *reachCounts) addGroup(isReached bool) {
 	r.Groups++
 	if isReached {
@@ -36,12 +37,12 @@
 	}
 }
 
-// plus returns the sum of both.
+// plus returns the sum of both counts.
 func (r reachCounts) plus(o reachCounts) reachCounts {
 	return reachCounts{Groups: r.Groups + o.Groups, Reached: r.Reached + o.Reached}
 }
 
-// ownReach is what this instance reaches by itself.
+// ownReach counts the groups that this instance is home to and those it reaches.
 func (n *Instance) ownReach() reachCounts {
 	var r reachCounts
 	for _, h := range n.homesCopy() {
@@ -50,17 +51,17 @@
 	return r
 }
 
-// serveReach answers instances that are home to few groups.
+// serveReach registers the handler for instances that are home to few groups.
 func (n *Instance) serveReach() {
 	n.peers.Handle(methodReach, func(context.Context, string, json.RawMessage) (any, error) {
 		return n.ownReach(), nil
 	})
 }
 
-// peerReach keeps what the homes near this instance reach. An instance that is home to
-// no group sees no member, and so would never know that its failure domain is cut off:
-// it stayed ready, the balancer then sent callers to all instances of the domain, cut
-// off as they were, and all their requests were refused until the cut healed.
+// peerReach holds what nearby homes reach. An instance that is home to no group probes no
+// member, and could not detect that its failure domain is cut off. It would stay ready, the
+// balancer would then send callers to all instances of the failure domain even though they
+// are cut off, and all requests would be refused until the cut heals.
 type peerReach struct {
 	mu  sync.Mutex
 	sum reachCounts
@@ -78,8 +79,8 @@
 	return p.sum
 }
 
-// pollPeerReach asks homes near this instance what they reach, as long as it is home to less
-// than half of the groups, until ctx ends.
+// pollPeerReach asks nearby homes what they reach while this instance is home to less than
+// half of the groups, until ctx ends.
 func (n *Instance) pollPeerReach(ctx context.Context, p *peerReach) {
 	var hinted time.Time
 	for {
@@ -103,8 +104,8 @@
 	}
 }
 
-// homesToPoll returns the nearest homes of the groups that this instance is not home to,
-// those of its own failure domain where there are any.
+// homesToPoll returns the nearest homes of the groups that this instance is not home to.
+// Homes in its own failure domain are the nearest.
 func (n *Instance) homesToPoll() []platform.Instance {
 	var chosen []platform.Instance
 	taken := make(map[string]bool)
@@ -122,8 +123,8 @@
 	return chosen
 }
 
-// pollHomes sums up what homes reach. One that does not answer counts as a group that is
-// not reached.
+// pollHomes returns the sum of what the homes reach. A home that does not answer counts as
+// one group that is not reached.
 func (n *Instance) pollHomes(ctx context.Context, homes []platform.Instance) reachCounts {
 	ctx, cancel := context.WithTimeout(ctx, peerReachTimeout)
 	defer cancel()
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// reachInterval is how often the instance looks at what it reaches, and hintedReachInterval
-	// how often as long as a hint counts.
+	// reachInterval is the time between two reachability checks, and hintedReachInterval
+	// the time between them while a hint is valid.
 	reachInterval       = 100 * time.Millisecond
 	hintedReachInterval = 20 * time.Millisecond
 )
 
-// dismisser is a side of callers that can send idle ones elsewhere.
+// dismisser is implemented by Callers that can disconnect idle callers, so that they
+// reconnect to other instances.
 type dismisser interface{ Dismiss() }
 
-// sleepOrWake waits for a time or until it is woken, and says which; ctx ends it with an error.
+// sleepOrWake waits for d or until it is woken, and reports whether it was woken. It
+// returns an error when ctx ends.
 func (n *Instance) sleepOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) (woken bool, err error) {
 	t := n.options.Clock.NewTimer(d)
 	defer t.Stop()
@@ -29,7 +31,7 @@
 	}
 }
 
-// watchReach keeps the instance's verdict on whether it is cut off, until ctx ends.
+// watchReach checks reachability and maintains cutOff until ctx ends.
 func (n *Instance) watchReach(ctx context.Context) {
 	var r reachDetector
 	var peers peerReach
--- a/internal/instance/share.go
+++ b/internal/instance/share.go
@@ -6,12 +6,12 @@
 	"github.com/topazrock/topazrock/internal/shares"
 )
 
-// share is what keeps a home's connections and slots within its part.
+// connectionShare limits a home's connections and slots to its share of the group's.
 type connectionShare interface {
-	// Run holds the share until ctx ends; Close gives it back behind it.
+	// Run holds the share until ctx ends; Close releases it afterwards.
 	Run(ctx context.Context)
 	Close(ctx context.Context) error
-	// SetAllocation takes a newer version of the group's limits.
+	// SetAllocation applies a newer version of the group's limits.
 	SetAllocation(shares.Allocation)
 	Limit() shares.Amount
 	Seated() bool
