--- a/internal/instance/callers_test.go
+++ b/internal/instance/callers_test.go
@@ -17,10 +17,10 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// The ways of carrying a token in docs/CALLERS.md, as the page gives them. A
-// session that is given another's token reads that session's write with a class
-// that accepts old data; a token that is not taken would be refused, so a wrong
-// one shows that each way reaches the instance.
+// The test runs the ways to pass a token as docs/CALLERS.md shows them. A session with
+// another session's token reads that session's write even in a class that accepts stale
+// data. An invalid token is refused, which shows that each way passes the token to the
+// instance.
 func TestTokenExamplesInCallersGuide(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		writer := tc.mustConnect(0, "")
@@ -79,9 +79,9 @@
 	return v, err
 }
 
-// A family's payment is sent again by a service that follows the guide, under the
-// number of the payment. Both calls end well and one row is there, also when the
-// number holds signs that a tag must encode.
+// A service that follows the guide sends a payment twice under the same payment number.
+// Both calls succeed and one row is written, also when the number contains characters that
+// a tag must encode.
 func TestPaymentRetryLoopInCallersGuide(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		for _, number := range []string{"2026-0017", "it's, 100%/x"} {
@@ -93,7 +93,7 @@
 	})
 }
 
-// pay is the loop of docs/CALLERS.md, on the bed's table.
+// pay is the loop of docs/CALLERS.md on the test cluster's table.
 func pay(ctx context.Context, conn *pgx.Conn, number string) error {
 	sql := fmt.Sprintf("INSERT INTO kv (k, v) VALUES ($1, 'paid') /*request='fee-payment',key='%s'*/",
 		url.PathEscape(number))
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -29,15 +29,15 @@
 
 const (
 	testGroup = "base-1"
-	// testConnections is the group's total.
+	// testConnections is the group's limit.
 	testConnections    = 35
 	testReplicationLag = 5 * time.Millisecond
 	testPassword       = "tagua"
 	callerHost         = "10.0.9.1"
 )
 
-// bed is a whole system in memory: one group of three members in three failure
-// domains, one instance in each, and the platform.
+// testCluster is a complete system in memory: one group of three members in three failure
+// domains, one instance in each of them or more, and the platform.
 type testCluster struct {
 	t           *testing.T
 	is          *is.I
@@ -48,19 +48,19 @@
 	stop        []context.CancelFunc
 	runErrors   []chan error
 	callerConns []*pgx.Conn
-	// views are the platform as each instance reaches it.
+	// views holds the platform as seen by each instance.
 	views []*standin.View
-	// size is the number of instances.
+	// instanceCount is the number of instances.
 	instanceCount int
-	// draining says which instances were told to stop.
+	// draining holds the instances that were asked to stop.
 	draining map[int]bool
-	// dead holds the ends of processes that were replaced.
+	// replacedRunErrors holds the results of Run of processes that were replaced.
 	replacedRunErrors []chan error
-	// started counts processes, which gives each a seed of its own.
+	// processCount counts the processes started; each gets its own seed.
 	processCount uint64
 	// failoverHook is called at the steps of every instance's claims.
 	failoverHook atomic.Pointer[func(failover.Step)]
-	// loadHook is called at named points of the callers' own work.
+	// loadHook is called at named points of the load's requests.
 	loadHook atomic.Pointer[func(point string)]
 }
 
@@ -70,20 +70,19 @@
 func memberAddress(i int) string   { return memberHost(i) + ":5432" }
 func instanceAddress(i int) string { return instanceHost(i) + ":6432" }
 
-// instanceHost returns the host of an instance. The first three are in the three
-// failure domains, the next three again.
+// instanceHost returns the host of an instance. Instances are assigned to the three failure
+// domains in turn.
 func instanceHost(i int) string {
 	return fmt.Sprintf("10.0.%d.%d", i%len(testDomains)+1, 2+i/len(testDomains))
 }
 
 func domainOf(i int) string { return testDomains[i%len(testDomains)] }
 
-// withCluster runs f in a bubble of virtual time with a bed of three instances that
-// has started.
+// withCluster runs f in a synctest bubble with a running cluster of three instances.
 func withCluster(t *testing.T, f func(tc *testCluster)) { withClusterOf(t, len(testDomains), f) }
 
-// withClusterOf is withCluster with another number of instances. From the fourth on, some
-// are not home to the group.
+// withClusterOf is withCluster with the given number of instances. If there are more than
+// three, some are not home to the group.
 func withClusterOf(t *testing.T, instances int, f func(tc *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		tc := &testCluster{t: t, is: is.New(t), net: memnet.New(), store: standin.NewStore(), draining: make(map[int]bool), instanceCount: instances}
@@ -127,7 +126,7 @@
 	tc.nodes = nodes
 }
 
-// inventory is the right list of instances.
+// inventory returns the correct list of instances.
 func (tc *testCluster) inventory() platform.Inventory {
 	var list platform.Inventory
 	for i := range tc.instanceCount {
@@ -150,7 +149,7 @@
 	}
 }
 
-// startInstanceAt starts a process in place of instance i.
+// startInstanceAt starts a process as instance i.
 func (tc *testCluster) startInstanceAt(i int) {
 	s := &settings.Settings{}
 	s.Instance = settings.Instance{ID: fmt.Sprintf("i%d", i), FailureDomain: domainOf(i)}
@@ -178,7 +177,7 @@
 	tc.runErrors[i] = ended
 }
 
-// testLogger shows the instances' logs where TOPAZROCK_BED_LOG is set.
+// testLogger logs to standard error if TOPAZROCK_BED_LOG is set.
 func testLogger() hclog.Logger {
 	if os.Getenv("TOPAZROCK_BED_LOG") == "" {
 		return hclog.NewNullLogger()
@@ -200,8 +199,8 @@
 	}
 }
 
-// reapplyDocument applies the document in force once more, through instance 1, and
-// returns the version if it was accepted.
+// reapplyDocument applies the current document again through instance 1, and returns the
+// new version, or 0 if it was not accepted.
 func (tc *testCluster) reapplyDocument() int64 {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -216,7 +215,7 @@
 	return o.Version
 }
 
-// testDocument is the service document of the bed's one service.
+// testDocument returns the document of the cluster's only service.
 func testDocument() string {
 	verifier, err := document.NewVerifier(testPassword)
 	if err != nil {
--- a/internal/instance/clustercallers_test.go
+++ b/internal/instance/clustercallers_test.go
@@ -10,7 +10,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// config returns a caller's settings for instance i, with a token if not empty.
+// config returns the connection settings of a caller of instance i, with a token unless it
+// is empty.
 func (tc *testCluster) config(i int, token string) *pgx.ConnConfig {
 	c, err := pgx.ParseConfig(fmt.Sprintf("postgres://clerk:%s@%s/%s?sslmode=disable", testPassword, instanceAddress(i), testGroup))
 	tc.is.NoErr(err)
@@ -24,7 +25,7 @@
 	return c
 }
 
-// mustConnect opens a caller's connection that is closed with the bed.
+// mustConnect opens a caller's connection that is closed with the cluster.
 func (tc *testCluster) mustConnect(i int, token string) *pgx.Conn {
 	tc.t.Helper()
 	c, err := pgx.ConnectConfig(context.Background(), tc.config(i, token))
@@ -41,7 +42,7 @@
 	tc.is.NoErr(err)
 }
 
-// count returns the rows that the group holds, as the primary sees it.
+// count returns the number of rows in the group according to the primary.
 func (tc *testCluster) count(c *pgx.Conn) int {
 	tc.t.Helper()
 	var n int
@@ -67,7 +68,7 @@
 	return bytes
 }
 
-// testDialer lets lib/pq reach the bed.
+// testDialer connects lib/pq to the cluster.
 type testDialer struct{ tc *testCluster }
 
 func (d testDialer) Dial(_, address string) (net.Conn, error) {
@@ -78,8 +79,8 @@
 	return d.Dial("", address)
 }
 
-// answered returns how many units of a class were answered by a kind of member,
-// over all instances.
+// unitsAnswered returns how many units of a class were answered by members of the given
+// kind, summed over all instances.
 func (tc *testCluster) unitsAnswered(class, kind string) float64 {
 	sum := 0.0
 	for _, n := range tc.instances {
--- a/internal/instance/endtoend_test.go
+++ b/internal/instance/endtoend_test.go
@@ -18,9 +18,8 @@
 
 var ctx = context.Background()
 
-// A clerk writes through one instance and reads through another. The second
-// session carries no token, so the read takes a barrier; a replica that has the
-// write answers it.
+// A caller writes through one instance and reads through another. The second session has no
+// token, so the read needs a barrier, and a replica that has the write answers it.
 func TestWriteThroughOneReadThroughAnother(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		writer := tc.mustConnect(0, "")
@@ -34,9 +33,9 @@
 	})
 }
 
-// Two sessions prepare the same statement under one name with other texts, and
-// units of both go over the same few connections. Each session gets the answer
-// of its own text, because the names on a connection are made of the texts.
+// Two sessions prepare different texts under the same statement name, and units of both
+// share a few connections. Each session gets the answer to its own text, because statement
+// names on a member's connection are derived from the text.
 func TestPreparedStatementsUnderTransactionPooling(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		one, two := tc.mustConnect(0, ""), tc.mustConnect(0, "")
@@ -57,8 +56,8 @@
 	})
 }
 
-// A transaction's statements see each other, a failed one rolls back, and the
-// connection goes to the next caller clean.
+// The statements of a transaction see each other, a failed transaction rolls back, and the
+// next caller gets the connection without any state of it.
 func TestTransactions(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -81,8 +80,8 @@
 	})
 }
 
-// lib/pq sends unnamed statements whose Parse and Bind come in different units,
-// which may reach different connections. The Bind still finds its statement.
+// lib/pq uses unnamed statements whose Parse and Bind arrive in different units, which may
+// run on different connections. The Bind must still find its statement.
 func TestLibPQ(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		connector, err := pq.NewConnector(fmt.Sprintf("postgres://clerk:%s@%s/%s?sslmode=disable", testPassword, instanceAddress(0), testGroup))
@@ -108,7 +107,7 @@
 	})
 }
 
-// An answer many times the size of the buffer arrives whole and in order.
+// An answer that is many times larger than the buffer arrives complete and in order.
 func TestLargeAnswerIsWhole(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -123,8 +122,8 @@
 	})
 }
 
-// A caller asks for a large answer and reads nothing of it. The instance cuts
-// the caller off at the write timeout, and the member's connection serves others.
+// A caller requests a large answer and never reads it. The instance closes the caller's
+// connection at the write timeout, and the member's connection can be used again.
 func TestCallerThatReadsNothing(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -139,8 +138,9 @@
 	})
 }
 
-// A caller cancels a statement that runs for a minute. It ends at once with the
-// member's own error, though the cancel reached another instance.
+// A caller cancels a statement that runs for four seconds. The statement ends within a
+// second with the member's own error, even though the cancel request arrived at another
+// instance.
 func TestCancelThroughAnotherInstance(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -158,8 +158,8 @@
 	})
 }
 
-// Wrong passwords and unknown users get the same answer; an unknown group and a
-// token of another group get their own.
+// A wrong password and an unknown user get the same error. An unknown group and an invalid
+// token or one of another group get errors of their own.
 func TestStartupRefusals(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		wrong := func(change func(*pgx.ConnConfig)) string {
@@ -176,8 +176,8 @@
 	})
 }
 
-// A token past the end of the log is refused in a bounded time; a session must
-// never wait for a position that no log reaches.
+// A token beyond the end of the log is refused in bounded time: a session must never wait
+// for a position that no log reaches.
 func TestForgedToken(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		for _, forged := range []string{testGroup + ":1:99999999", testGroup + ":99:1"} {
@@ -190,8 +190,8 @@
 	})
 }
 
-// Garbage instead of a start-up packet, half a packet, and a message of a wrong
-// length each cost only their own connection.
+// Invalid bytes in place of a start-up packet, an incomplete packet, and a message with a
+// wrong length affect only their own connection.
 func TestGarbageBytes(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		for _, bytes := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00", "\xff\xff\xff\xff\xff\xff\xff\xff"} {
@@ -212,8 +212,8 @@
 	})
 }
 
-// Tags that name no class, lack a key, or hold one that is too long are refused
-// before anything is sent.
+// Tags that name no class, lack a key, or have an overlong key are refused before anything
+// is sent to a member.
 func TestTagRefusals(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -11,8 +11,8 @@
 // matrixFault is one row of the fault matrix.
 type matrixFault struct {
 	name string
-	// strike begins the fault and heal ends it. The members and instances that
-	// are hit are those of the failure domain poa-a, where the first primary is.
+	// inject begins the fault and heal ends it. The affected members and instances are
+	// those of the failure domain poa-a, where the first primary is.
 	inject, heal func(tc *testCluster)
 }
 
@@ -47,8 +47,8 @@
 	tc.is.NoErr(tc.nodes[i].Start())
 }
 
-// killInstance takes the instance's process off the network and the platform.
-// What is left of it in this process can reach nothing.
+// killInstance disconnects the instance from the network and the platform. Its goroutines
+// keep running in the test process but can reach nothing.
 func (tc *testCluster) killInstance(i int) {
 	tc.net.Kill(instanceHost(i))
 	tc.views[i].SetAway(true)
@@ -71,7 +71,7 @@
 	tc.views[i].Thaw()
 }
 
-// domainHosts returns the hosts in the failure domain poa-a, and the others.
+// domainHosts returns the hosts in the failure domain poa-a, and those outside it.
 func (tc *testCluster) domainHosts() (inside, outside []string) {
 	for i := range testDomains {
 		hosts := []string{memberHost(i), instanceHost(i)}
@@ -93,8 +93,8 @@
 	}
 }
 
-// cutDomain cuts poa-a off from the other domains and from the platform. Its
-// callers still reach it.
+// cutDomain disconnects poa-a from the other failure domains and from the platform. Callers
+// can still reach it.
 func (tc *testCluster) cutDomain() {
 	tc.eachPair(tc.net.Cut)
 	tc.views[0].SetAway(true)
@@ -105,7 +105,7 @@
 	tc.views[0].SetAway(false)
 }
 
-// cutOneWay loses what a host sends to the other domains.
+// cutOneWay drops everything that a host sends to the other failure domains.
 func (tc *testCluster) cutOneWay(host string) {
 	_, outside := tc.domainHosts()
 	for _, out := range outside {
@@ -127,8 +127,8 @@
 
 func (tc *testCluster) healPlatform() { tc.store.SetFaults(standin.Faults{}) }
 
-// raceOperators lets two operators edit the same version through two instances.
-// Whatever they are told must agree with what is in force.
+// raceOperators makes two operators change the same version through two instances. The
+// responses they get must agree with the document in force.
 func (tc *testCluster) raceOperators() {
 	for _, i := range []int{1, 2} {
 		go func() {
@@ -142,14 +142,15 @@
 	}
 }
 
-// silence makes every open connection of poa-a silent for good; new ones work.
+// silenceConnections makes every open connection of poa-a silent permanently; new ones
+// work.
 func (tc *testCluster) silenceConnections() {
 	tc.eachPair(tc.net.Silence)
 	tc.net.Silence(instanceHost(0), memberHost(0))
 }
 
-// showWrongList shows a list without the instance of poa-a, which lives on, and
-// with one that does not exist.
+// showWrongList publishes a list that lacks the instance of poa-a, which still runs, and
+// contains an instance that does not exist.
 func (tc *testCluster) showWrongList() {
 	list := tc.inventory()
 	list.Instances[0] = platform.Instance{ID: "ghost", FailureDomain: testDomains[0], PeerAddress: "10.0.8.8:7432"}
--- a/internal/instance/faultsteps_test.go
+++ b/internal/instance/faultsteps_test.go
@@ -7,12 +7,12 @@
 	"github.com/topazrock/topazrock/internal/failover"
 )
 
-// matrixStep is one column of the fault matrix: a named point of a flow at
-// which the fault strikes.
+// matrixStep is one column of the fault matrix: a named point in a flow at which the fault
+// is injected.
 type matrixStep struct {
 	flow, name string
-	// arm makes strike run once when the point is reached, and starts whatever
-	// leads to it.
+	// arm arranges for inject to run once when the point is reached, and starts the flow
+	// if the load does not run it.
 	arm func(tc *testCluster, inject func())
 }
 
@@ -42,9 +42,9 @@
 	{"lend", "seat changed, not answered", whileMovingHome(atPlatform("shares.put.after_before_answer"))},
 }
 
-// once returns a hook that strikes the first time its point is reached. The
-// fault strikes beside the hook's caller, which then goes on a moment later. A
-// sync.Once would not do: those who wait for it hold virtual time.
+// injectOnce returns a hook that injects the fault when its point is reached for the first
+// time. The fault runs in its own goroutine, and the hook returns a millisecond later. A
+// sync.Once would not work here: goroutines blocked in it stop virtual time.
 func injectOnce(point string, inject func()) func(string) {
 	var injected atomic.Bool
 	return func(at string) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// afterKill arms the point and kills the primary, so that a failover begins.
+// afterKill arms the point and kills the primary to cause a failover.
 func afterKill(arm func(*testCluster, func())) func(*testCluster, func()) {
 	return func(tc *testCluster, inject func()) {
 		arm(tc, inject)
@@ -102,8 +102,8 @@
 	}
 }
 
-// whileMovingHome arms the point and moves a home: the instance of fln-c leaves
-// the list and comes back, so that it gives its seat up and takes one.
+// whileMovingHome arms the point and moves a home: the instance of fln-c is listed as
+// leaving and then as staying again, so that it releases its share and acquires one.
 func whileMovingHome(arm func(*testCluster, func())) func(*testCluster, func()) {
 	return func(tc *testCluster, inject func()) {
 		arm(tc, inject)
@@ -115,7 +115,7 @@
 	}
 }
 
-// atDrain starts the graceful stop of an instance and strikes beside it.
+// atDrain starts the graceful shutdown of an instance and injects the fault concurrently.
 func atDrain(tc *testCluster, inject func()) {
 	tc.draining[1] = true
 	tc.stop[1]()
--- a/internal/instance/flush_test.go
+++ b/internal/instance/flush_test.go
@@ -6,8 +6,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// ask sends messages over c's connection and returns the answers up to the
-// first that is of the kind of last.
+// exchange sends messages on a caller's connection and returns the kinds of the answers, up
+// to the first that equals last.
 func (tc *testCluster) exchange(f *pgproto3.Frontend, last string, messages ...pgproto3.FrontendMessage) []string {
 	tc.t.Helper()
 	for _, m := range messages {
@@ -53,9 +53,10 @@
 	return "other"
 }
 
-// Some drivers describe a statement with Flush and run it later with Sync. They
-// wait for the description before they send more: without an answer to Flush
-// both sides would wait. An error is answered once, and Sync then only says ready.
+// Some drivers describe a statement with Flush and run it later with Sync. They send
+// nothing more until they have the description: without an answer to Flush both sides would
+// wait for each other. An error is reported once, and the following Sync is only answered
+// with ReadyForQuery.
 func TestFlushReturnsDescription(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
--- a/internal/instance/forward_test.go
+++ b/internal/instance/forward_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// entry returns an instance of the bed that is not home to the group.
+// nonHome returns an instance of the cluster that is not home to the group.
 func (tc *testCluster) nonHome() int {
 	for i, n := range tc.instances {
 		if n.home(testGroup) == nil {
@@ -16,13 +16,13 @@
 	return 0
 }
 
-// homeInDomainOf returns the home in the failure domain of an instance.
+// homeInDomainOf returns the home in the same failure domain as instance i.
 func (tc *testCluster) homeInDomainOf(i int) int {
 	return (i + len(testDomains)) % tc.instanceCount
 }
 
-// An instance that is not home to the group serves its callers through one that
-// is: writes, reads of their own, transactions, keys, large answers and cancels.
+// An instance that is not home to the group forwards everything to one that is: writes,
+// reads of a session's own writes, transactions, keys, large answers and cancel requests.
 func TestEntryInstanceForwardsEverything(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		c := tc.mustConnect(tc.nonHome(), "")
@@ -54,9 +54,9 @@
 	})
 }
 
-// The connection between entry and home goes silent while a unit is under way.
-// The caller hears that the outcome is unknown when its class's time is over, and
-// the next unit goes over a new connection.
+// The connections between an instance and the homes become silent while a unit is running.
+// The caller is told that the outcome is unknown when its class's timeout expires, and the
+// next unit uses a new connection.
 func TestSilentPeerConnection(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		at := tc.nonHome()
@@ -76,8 +76,8 @@
 	})
 }
 
-// The near home is killed. Units that it had are of unknown outcome or, inside a
-// transaction, lost with it; the next ones go to another home.
+// The nearest home is killed. The outcome of its running units is unknown or, inside a
+// transaction, they are lost with it. Later units go to another home.
 func TestHomeKilledWhileServingOtherInstances(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		at := tc.nonHome()
@@ -100,8 +100,8 @@
 	})
 }
 
-// The near home drains while its entries' callers write through it. No request
-// fails: what it has begun it ends, and new units go to another home.
+// The nearest home drains while callers of another instance write through it. No request
+// fails: the home completes the running units, and new units go to another home.
 func TestHomeDrainsUnderItsEntries(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		at := tc.nonHome()
@@ -132,9 +132,9 @@
 	})
 }
 
-// A caller opens a transaction and loses it before anything was proved of its
-// past, and then reads data of an accepted age at a domain whose replica is
-// behind. The read must still take the barrier of a first read.
+// A session begins a transaction and loses it before any statement succeeded, and then
+// reads with a class that accepts stale data, in a failure domain whose replica lags. This
+// read is still the session's first and must take the barrier.
 func TestBeginAloneDoesNotSkipFirstReadBarrier(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		writer := tc.mustConnect(0, "")
--- a/internal/instance/history_test.go
+++ b/internal/instance/history_test.go
@@ -20,28 +20,28 @@
 
 const (
 	historyCallers = 8
-	// historyReaders is how many of the callers only read and do not roam.
+	// historyReaders is how many of the callers only read and stay at their instance.
 	historyReaders = 2
 	historyKeys    = 3
-	// historyBeforeFault and historyAfterFault are how long callers work before a fault
-	// and after its end.
+	// historyBeforeFault and historyAfterFault are how long callers run before a fault is
+	// injected and after it is healed.
 	historyBeforeFault = 500 * time.Millisecond
 	historyAfterFault  = 1500 * time.Millisecond
-	// historyCheckTimeout bounds the search for an order, in real time. The
-	// searches take milliseconds.
+	// historyCheckTimeout bounds the linearizability check, in real time. A check takes
+	// milliseconds.
 	historyCheckTimeout = 2 * time.Minute
-	// neverReturned is the end of an operation whose outcome is unknown: it may
-	// take effect at any time after its call, or never.
+	// neverReturned is the return time of an operation with unknown outcome: it may take
+	// effect at any time after its call, or never.
 	neverReturned = math.MaxInt64
 )
 
-// registerInput is an operation on one key. A write has a value of its own.
+// registerInput is an operation on one key. Every write has a unique value.
 type registerInput struct {
 	key, value string
 	write      bool
 }
 
-// registerModel is a register for each key: a read returns what was written last.
+// registerModel is one register per key: a read returns the value last written.
 var registerModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
@@ -74,14 +74,14 @@
 	return parts
 }
 
-// history records what callers asked for and were told.
+// history records the callers' operations and their results.
 type history struct {
 	mu         sync.Mutex
 	ticks      int64
 	operations []porcupine.Operation
 }
 
-// tick counts calls and returns, which orders even those of one virtual instant.
+// tick returns a logical time that orders calls and returns even at the same virtual time.
 func (h *history) tick() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,8 +97,7 @@
 	})
 }
 
-// counts returns how many reads, acknowledged writes and writes of unknown
-// outcome the history holds.
+// counts returns the number of reads, acknowledged writes, and writes of unknown outcome.
 func (h *history) counts() (reads, writes, unknown int) {
 	for _, o := range h.operations {
 		switch {
@@ -113,19 +112,19 @@
 	return reads, writes, unknown
 }
 
-// check searches an order for each key. It runs outside of the bubble, because
-// the search is bounded in real time.
+// check tests whether the history of each key is linearizable. It must run outside the
+// synctest bubble, because it is bounded in real time.
 func (h *history) check() porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(registerModel, h.operations, historyCheckTimeout)
 }
 
-// historyCaller is a session that reads and writes registers and roams.
+// historyCaller is a session that reads and writes registers and moves between instances.
 type historyCaller struct {
 	caller
 	client  int
 	history *history
 	tag     string
-	// onlyReads says that the session never writes and stays where it is.
+	// onlyReads is set if the session never writes and stays at its instance.
 	onlyReads bool
 }
 
@@ -149,15 +148,15 @@
 	in := registerInput{key: key, value: c.nextKey("v"), write: true}
 	sql := fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s', '%s') ON CONFLICT (k) DO UPDATE SET v = EXCLUDED.v", in.key, in.value)
 	call := c.history.tick()
-	f := c.exec(in.value, sql)
-	switch f {
+	o := c.exec(in.value, sql)
+	switch o {
 	case outcomeAcknowledged:
 		c.history.add(c.client, call, c.history.tick(), in, "")
 	case outcomeUnknown:
 		c.history.add(c.client, call, neverReturned, in, "")
 		c.moveToAnother(false)
 	case outcomeDidNotRun:
-		// The write is left out: a read that finds its value has no order.
+		// The write is not recorded: no order explains a read that returns its value.
 		c.moveToAnother(false)
 	}
 }
@@ -179,7 +178,7 @@
 	c.history.add(c.client, call, c.history.tick(), registerInput{key: key}, v)
 }
 
-// recordHistory lets callers work on a bed while a fault strikes.
+// recordHistory runs callers on a cluster while a fault is injected and healed.
 func recordHistory(tc *testCluster, f matrixFault, seed uint64, tag string) *history {
 	h := &history{}
 	l := &load{cluster: tc, outcomes: make(map[string]outcome)}
@@ -208,11 +207,11 @@
 	panic("no fault " + name)
 }
 
-// Eight sessions read three keys, and six of them write and roam, while the group
-// loses its primary or a domain and promotes another member. A caller could then
-// see an older value than another caller saw before, or miss an acknowledged
-// write. Instead, one order of a key's operations must explain all answers; a
-// write of unknown outcome may take effect late or never, but only once.
+// Eight sessions read three keys, and six of them also write and move between instances,
+// while the group loses its primary or a failure domain and promotes another member. The
+// test guards against a caller that sees an older value than another caller saw before, or
+// misses an acknowledged write: the operations on each key must be linearizable. A write of
+// unknown outcome may take effect late or never, but only once.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for _, name := range []string{"kill primary", "cut domain", "freeze primary", "cut primary one way", "replica far behind"} {
 		for seed := uint64(1); seed <= *historySeeds; seed++ {
@@ -231,10 +230,10 @@
 	}
 }
 
-// The same sessions use a read class that accepts data of two seconds while one
-// replica is 300 ms behind the other. A caller is then shown a value older than
-// one that was acknowledged to another caller, which the class allows and a
-// linearizable history does not: the check of the test above must find it.
+// The same sessions use a read class that accepts data up to two seconds old while one
+// replica lags by 300 ms more than the other. A caller then sees an older value than one
+// already acknowledged to another caller, which the class allows and linearizability does
+// not. The check of the test above must detect it.
 func TestHistoryCheckDetectsStaleReads(t *testing.T) {
 	is := is.New(t)
 	var h *history
--- a/internal/instance/home.go
+++ b/internal/instance/home.go
@@ -205,8 +205,8 @@
 
 // shareChanged starts the components that need the share, or stops them before the share is
 // released.
-func (h *home) shareChanged(seated bool) {
-	if !seated {
+func (h *home) shareChanged(held bool) {
+	if !held {
 		h.router.Retire(h.group.Name)
 		h.stopComponents()
 		return
--- a/internal/instance/homecount.go
+++ b/internal/instance/homecount.go
@@ -82,9 +82,9 @@
 	for _, i := range homes {
 		domains[i.FailureDomain]++
 	}
-	mine := domains[self.FailureDomain]
-	if mine == 0 {
+	inOwnDomain := domains[self.FailureDomain]
+	if inOwnDomain == 0 {
 		return 0
 	}
-	return (total*len(homes) + total*len(domains)*mine) / (2 * len(domains) * mine * len(homes))
+	return (total*len(homes) + total*len(domains)*inOwnDomain) / (2 * len(domains) * inOwnDomain * len(homes))
 }
--- a/internal/instance/homecount_test.go
+++ b/internal/instance/homecount_test.go
@@ -10,17 +10,18 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Fleets of several sizes share what members take. The connections of all homes
-// together stay within that, small fleets have no hop, and past them no more homes stand
-// before a member than it has slots, but for the two that each failure domain keeps.
+// Fleets of several sizes share the connections that members accept. All homes together
+// stay within that number, every instance of a small fleet is a home, and in larger fleets
+// there are at most as many homes as a member has slots, except for the minimum of two
+// homes per failure domain.
 func TestHomesFitTheMembersConnectionsAndSlots(t *testing.T) {
 	for _, c := range []struct{ connections, slots, instances, domains, want int }{
 		{34, 5, 8, 3, allInstances},
-		{34, 5, 9, 3, allInstances}, // one that was replaced is still listed
+		{34, 5, 9, 3, allInstances}, // an instance that was replaced is still listed
 		{55, 5, 7, 3, allInstances},
-		{125, 5, 35, 5, 2}, // connections for all, and seven before each slot
+		{125, 5, 35, 5, 2}, // enough connections for all, but seven instances per slot
 		{125, 5, 10, 5, allInstances},
-		{34, 0, 8, 3, allInstances}, // the members' slots are not known yet
+		{34, 0, 8, 3, allInstances}, // the members' slots are unknown
 		{36, 3, 77, 4, 2},
 		{48, 6, 59, 3, 2},
 		{176, 6, 74, 4, 2},
@@ -47,8 +48,8 @@
 	}
 }
 
-// Three failure domains have four, two and two instances and as many callers each. The
-// parts follow the callers and never sum to more than the member takes.
+// Three failure domains have four, two and two instances and the same number of callers
+// each. The shares follow the callers and never exceed the member's connections in total.
 func TestEvenSharesStayWithinTheTotal(t *testing.T) {
 	is := is.New(t)
 	var homes []platform.Instance
@@ -67,8 +68,8 @@
 	}
 }
 
-// BenchmarkHomeCounts is what one comparison of homes spends on their number where each of
-// 295 instances knows twice as many groups.
+// BenchmarkHomeCounts measures the home counts of one reconciliation where each of 295
+// instances has twice as many groups.
 func BenchmarkHomeCounts(b *testing.B) {
 	live := fleetOf(295, 5)
 	groups := make([]GroupInForce, 2*len(live))
--- a/internal/instance/homeload_test.go
+++ b/internal/instance/homeload_test.go
@@ -18,30 +18,32 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// The load of one member of a group: statements of a third of its slots' usual time, one
-// operation in six a transaction that pauses with its connection held.
+// The load on one member of a group. Statements take a third of the usual time that a slot
+// is in use. One operation in six is a transaction that pauses while it holds its
+// connection.
 const (
-	homeLoadWork      = 33 * time.Millisecond
-	homeLoadObjective = 400 * time.Millisecond
-	homeLoadTimeout   = time.Second
-	homeLoadPause     = 600 * time.Millisecond
-	homeLoadSeed      = 7
+	loadModelStatementTime = 33 * time.Millisecond
+	loadModelObjective     = 400 * time.Millisecond
+	loadModelTimeout       = time.Second
+	loadModelPause         = 600 * time.Millisecond
+	loadModelSeed          = 7
 )
 
-// loadModel replays callers of a whole fleet against one member.
+// loadModel simulates the callers of a whole fleet at one member.
 type loadModel struct {
-	// gates are the homes' gates, by failure domain in the order in which its instances
-	// ask them.
+	// gates holds the homes' gates by failure domain, in the order in which the instances
+	// of the domain try them.
 	gates  [][]*admission.PerMember
 	member chan struct{}
-	// spread has callers come to all homes of their failure domain in place of the first.
+	// spread distributes callers over all homes of their failure domain instead of the
+	// first.
 	spread bool
 
-	mu               sync.Mutex
-	requests, inTime int
+	mu                     sync.Mutex
+	requests, servedInTime int
 }
 
-// fleetOf returns instances spread over failure domains.
+// fleetOf returns instances spread evenly over failure domains.
 func fleetOf(instances, domains int) []platform.Instance {
 	var all []platform.Instance
 	for i := range instances {
@@ -50,33 +52,34 @@
 	return all
 }
 
-// newLoadModel makes the homes of a group, so many in each failure domain, with the
-// connections that they have to one member.
+// newLoadModel builds the given number of homes in each failure domain, each with its share
+// of the connections to one member.
 func newLoadModel(g document.Group, domains, perDomain int) *loadModel {
 	l := &loadModel{gates: make([][]*admission.PerMember, domains), member: make(chan struct{}, memberSlots(g))}
 	homes := fleetOf(perDomain*domains, domains)
 	for k, home := range homes {
 		connections := evenShare(g.MemberConnections, homes, home) - controlConnsPerMember
 		gate := admission.NewPerMember(admission.Config{
-			Group: g.Name, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(homeLoadSeed, uint64(k))), Slots: connections,
+			Group: g.Name, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(loadModelSeed, uint64(k))), Slots: connections,
 		})
 		l.gates[k%domains] = append(l.gates[k%domains], gate)
 	}
 	return l
 }
 
-// run has callers come for a time, so many a second, and returns the share served in time.
+// run generates callers at a rate for a time, and returns the fraction of requests served
+// in time.
 func (l *loadModel) run(perSecond float64, length time.Duration) float64 {
-	random := rand.New(rand.NewPCG(homeLoadSeed, 1))
+	random := rand.New(rand.NewPCG(loadModelSeed, 1))
 	var all sync.WaitGroup
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		gap := time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		_ = clock.Sleep(context.Background(), clock.System{}, gap)
 		domain := random.IntN(len(l.gates))
-		work := time.Duration(math.Exp(0.7*random.NormFloat64()-0.245) * float64(homeLoadWork))
+		work := time.Duration(math.Exp(0.7*random.NormFloat64()-0.245) * float64(loadModelStatementTime))
 		var pause time.Duration
 		if random.IntN(6) == 0 {
-			pause = homeLoadPause
+			pause = loadModelPause
 		}
 		gate := l.gates[domain][0]
 		if l.spread {
@@ -85,15 +88,15 @@
 		all.Go(func() { l.request(gate, work, pause) })
 	}
 	all.Wait()
-	return float64(l.inTime) / float64(l.requests)
+	return float64(l.servedInTime) / float64(l.requests)
 }
 
-// request runs one operation through a home's gate at the member.
+// request runs one operation at the member through a home's gate.
 func (l *loadModel) request(gate *admission.PerMember, work, pause time.Duration) {
 	began := time.Now()
 	slot, err := gate.Enter(context.Background(), admission.Request{
 		Class: "read", Priority: 2, MaxQueue: 500, Member: "m",
-		WantedBy: began.Add(homeLoadObjective), Deadline: began.Add(homeLoadTimeout),
+		WantedBy: began.Add(loadModelObjective), Deadline: began.Add(loadModelTimeout),
 	})
 	if err == nil {
 		defer slot.Release()
@@ -102,7 +105,7 @@
 		<-l.member
 		slot.Answered()
 	}
-	l.recordResult(err == nil && time.Since(began) <= homeLoadObjective)
+	l.recordResult(err == nil && time.Since(began) <= loadModelObjective)
 	if err == nil {
 		_ = clock.Sleep(context.Background(), clock.System{}, pause)
 	}
@@ -113,21 +116,21 @@
 	defer l.mu.Unlock()
 	l.requests++
 	if inTime {
-		l.inTime++
+		l.servedInTime++
 	}
 }
 
-// A fleet of 295 instances in five failure domains asks a hot group for four fifths of
-// what a member can do. Each failure domain sends to its first home. With as many homes as
-// the connections allow that home has three, transactions hold them through their pauses,
-// and callers are refused while the member is idle. With homes by the member's slots
-// nearly all are in time.
+// A fleet of 295 instances in five failure domains loads a group to four fifths of a
+// member's capacity. All callers of a failure domain use its first home. With as many homes
+// as the connections allow, that home has three connections, transactions hold them during
+// their pauses, and callers are refused while the member is idle. With the number of homes
+// limited by the member's slots, nearly all requests are served in time.
 func TestHotGroupOfALargeFleetIsServedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const domains = 5
 		g := document.Group{Name: "g", MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
-		perSecond := 0.8 * float64(memberSlots(g)) / homeLoadWork.Seconds()
+		perSecond := 0.8 * float64(memberSlots(g)) / loadModelStatementTime.Seconds()
 		count := homesPerDomain(g, fleetSizeOf(fleetOf(295, domains)))
 		byConnections := newLoadModel(g, domains, g.MemberConnections/defaultShare/domains).run(perSecond, 20*time.Second)
 		bySlots := newLoadModel(g, domains, count).run(perSecond, 20*time.Second)
@@ -137,16 +140,17 @@
 	})
 }
 
-// The same group and load, and thirty-five instances, for whose homes the connections would
-// do. With every instance a home, each has two connections beside the one that follows the
-// member, a single transaction holds one of them, and callers are refused while the member is
-// idle. With homes by the member's slots nearly all are in time.
+// The same group and load with 35 instances, for which there are enough connections to make
+// every instance a home. Each home then has two connections besides the control connection,
+// a single transaction holds one of them, and callers are refused while the member is idle.
+// With the number of homes limited by the member's slots, nearly all requests are served in
+// time.
 func TestHotGroupOfAMediumFleetIsServedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const domains, instances = 5, 35
 		g := document.Group{Name: "g", MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
-		perSecond := 0.8 * float64(memberSlots(g)) / homeLoadWork.Seconds()
+		perSecond := 0.8 * float64(memberSlots(g)) / loadModelStatementTime.Seconds()
 		allHomes := newLoadModel(g, domains, instances/domains)
 		allHomes.spread = true
 		all := allHomes.run(perSecond, 20*time.Second)
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -112,9 +112,9 @@
 // stopping, because the two would use the connections of two shares.
 func (n *Instance) addHome(w GroupInForce) *home {
 	n.mu.Lock()
-	ending := n.stopping[w.Name]
+	stopping := n.stopping[w.Name]
 	n.mu.Unlock()
-	if ending {
+	if stopping {
 		return nil
 	}
 	h := n.newHome(w.Group, w.Version)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -2,8 +2,7 @@
 // peers, the administration API, and a home for each group that the instance holds
 // connections to.
 //
-// Lock order: Instance.mu is never held together with another lock, and for map look-ups
-// only.
+// Lock order: Instance.mu is held for map look-ups only, and never with another lock.
 package instance
 
 import (
@@ -199,21 +198,21 @@
 	if err != nil {
 		return err
 	}
-	// The components outlive ctx: the drain still needs them.
-	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The background context outlives ctx: the drain still needs what runs under it.
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	n.documents.Subscribe(n.requestReconcile)
 	n.members.Subscribe(n.requestReconcile)
 	n.members.Subscribe(n.quotaGuard.Observe)
-	n.running.Go(func() { n.followInstances(parts) })
-	n.running.Go(func() { _ = n.documents.Run(parts) })
-	n.reconciling.Go(func() { n.runHomes(parts) })
-	n.running.Go(func() { n.serveAdmin(parts) })
-	n.running.Go(func() { n.serveReadiness(parts) })
-	n.running.Go(func() { n.serveMetrics(parts) })
-	n.running.Go(func() { n.watchReach(parts) })
-	n.running.Go(func() { n.watchOtherDomains(parts) })
-	n.running.Go(func() { n.quotaGuard.Run(parts) })
+	n.running.Go(func() { n.followInstances(background) })
+	n.running.Go(func() { _ = n.documents.Run(background) })
+	n.reconciling.Go(func() { n.runHomes(background) })
+	n.running.Go(func() { n.serveAdmin(background) })
+	n.running.Go(func() { n.serveReadiness(background) })
+	n.running.Go(func() { n.serveMetrics(background) })
+	n.running.Go(func() { n.watchReach(background) })
+	n.running.Go(func() { n.watchOtherDomains(background) })
+	n.running.Go(func() { n.quotaGuard.Run(background) })
 	n.running.Go(func() { _ = n.peers.Serve(peers) })
 	n.running.Go(func() { _ = n.callers.Serve(callers) })
 	select {
--- a/internal/instance/instancelistwait.go
+++ b/internal/instance/instancelistwait.go
@@ -21,12 +21,12 @@
 // pending reports whether to start no homes yet. It ends after instanceListTimeout even
 // without the list: an outage of the platform may be long, and until it ends each home
 // serves with a small share.
-func (v *instanceListWait) pending(now time.Time, groups int, listKnown bool) bool {
+func (w *instanceListWait) pending(now time.Time, groups int, listKnown bool) bool {
 	if groups == 0 {
 		return true
 	}
-	if v.groupsKnownSince.IsZero() {
-		v.groupsKnownSince = now
+	if w.groupsKnownSince.IsZero() {
+		w.groupsKnownSince = now
 	}
-	return !listKnown && now.Sub(v.groupsKnownSince) < instanceListTimeout
+	return !listKnown && now.Sub(w.groupsKnownSince) < instanceListTimeout
 }
--- a/internal/instance/instancelistwait_test.go
+++ b/internal/instance/instancelistwait_test.go
@@ -13,9 +13,8 @@
 	"github.com/topazrock/topazrock/internal/settings"
 )
 
-// A fleet returns together. The groups are known before the list of instances, with it and
-// after it: homes start with the list. Where the list stays away they start at the end of
-// the wait.
+// A whole fleet restarts. The groups are known before, with or after the list of instances:
+// homes start once both are known. Without the list they start after instanceListTimeout.
 func TestHomesWaitForInstanceList(t *testing.T) {
 	start := time.Unix(100, 0)
 	for _, c := range []struct {
@@ -30,14 +29,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var v instanceListWait
+			var w instanceListWait
 			const step = 10 * time.Millisecond
 			for at := time.Duration(0); ; at += step {
 				groups := 0
 				if at >= c.groups {
 					groups = 8
 				}
-				if !v.pending(start.Add(at), groups, at >= c.list) {
+				if !w.pending(start.Add(at), groups, at >= c.list) {
 					is.Equal(at, c.wantFirstHomeAt)
 					return
 				}
@@ -46,27 +45,27 @@
 	}
 }
 
-// unlisted is a platform that does not list instances for a while.
+// delayedInstanceList is a platform that fails to list instances until listedFrom.
 type delayedInstanceList struct {
 	platform.API
 	listedFrom time.Time
 }
 
 // List implements platform.API.
-func (u delayedInstanceList) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
-	if kind == platform.KindInstances && time.Now().Before(u.listedFrom) {
+func (d delayedInstanceList) List(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+	if kind == platform.KindInstances && time.Now().Before(d.listedFrom) {
 		return nil, 0, platform.ErrUnavailable
 	}
-	return u.API.List(ctx, kind)
+	return d.API.List(ctx, kind)
 }
 
 // ListStale implements platform.API.
-func (u delayedInstanceList) ListStale(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
-	return u.List(ctx, kind)
+func (d delayedInstanceList) ListStale(ctx context.Context, kind platform.Kind) ([]platform.Object, int64, error) {
+	return d.List(ctx, kind)
 }
 
-// An instance starts that has its documents at once and learns of the other instances a
-// second later. It opens no connection to members before, and is home behind that.
+// An instance starts that has its documents at once and learns of the other instances two
+// seconds later. Until then it is home to no group and opens no connection to members.
 func TestInstanceIsNoHomeBeforeItKnowsTheOthers(t *testing.T) {
 	withClusterOf(t, 3, func(tc *testCluster) {
 		s := &settings.Settings{}
--- a/internal/instance/invariants_test.go
+++ b/internal/instance/invariants_test.go
@@ -8,7 +8,7 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// verdict checks what must hold at the end of a run, when faults are healed.
+// checkInvariants returns the violations at the end of a run, when faults are healed.
 func (l *load) checkInvariants() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,7 +21,7 @@
 		}
 		if half, ok := strings.CutSuffix(key, "a"); ok && strings.HasPrefix(key, "t-") {
 			if _, ok := rows[half+"b"]; !ok {
-				violations = append(violations, "half a transaction: "+half)
+				violations = append(violations, "partial transaction: "+half)
 			}
 		}
 	}
@@ -30,13 +30,13 @@
 			violations = append(violations, fmt.Sprintf("payment %s ran %d times", payment, n))
 		}
 	}
-	for key, f := range l.outcomes {
+	for key, o := range l.outcomes {
 		_, there := rows[key]
-		if f == outcomeAcknowledged && !there {
-			violations = append(violations, "acknowledged and lost: "+key)
+		if o == outcomeAcknowledged && !there {
+			violations = append(violations, "acknowledged but lost: "+key)
 		}
-		if f == outcomeDidNotRun && there {
-			violations = append(violations, "told that it did not run, and ran: "+key)
+		if o == outcomeDidNotRun && there {
+			violations = append(violations, "reported as not run, but ran: "+key)
 		}
 	}
 	if l.connections > testConnections {
@@ -45,8 +45,7 @@
 	return violations
 }
 
-// finalRows returns the rows of the group's present primary: the one of the
-// highest term.
+// finalRows returns the rows of the group's current primary: the one with the highest term.
 func (tc *testCluster) finalRows() map[string]string {
 	var best *struct {
 		term uint64
@@ -67,8 +66,8 @@
 	return best.rows
 }
 
-// sampleConnections keeps the highest number of connections that the members
-// had open at one moment, those for control included.
+// sampleConnections records the maximum number of connections that members had open at one
+// time, including control connections.
 func (l *load) sampleConnections() {
 	for l.ctx.Err() == nil {
 		sum := 0
--- a/internal/instance/isolation.go
+++ b/internal/instance/isolation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// isolationThreshold is how long no other failure domain may answer: more than two probes
-// of each, every time at another instance.
+// isolationThreshold is how long all other failure domains must have been silent: more than
+// two probes of each, every time at another instance.
 const isolationThreshold = 200 * time.Millisecond
 
 // isolationDetector detects that this failure domain is cut off, from the probe answers of
@@ -15,7 +15,7 @@
 // failure domains at the same time are not.
 //
 // Instances that are short of CPU time, as all are after a restart of the fleet or a large
-// manifest, also get no answers for as long, or get them late. If they took this for a cut,
+// manifest, also get no answers for as long, or get them late. If they mistook this for isolation,
 // they would all reopen every connection to members and be even shorter of CPU time.
 // Therefore an answer counts when it arrives, however late, and time in which this instance
 // did not run its checks does not count as silence. It does no I/O.
@@ -33,30 +33,30 @@
 }
 
 // recordAnswer records that a failure domain answered.
-func (i *isolationDetector) recordAnswer(domain string, now time.Time) { i.lastAnswer[domain] = now }
+func (d *isolationDetector) recordAnswer(domain string, now time.Time) { d.lastAnswer[domain] = now }
 
 // detectIsolation reports whether all other failure domains have just become silent for
 // longer than isolationThreshold. It returns true once per silence. A failure domain that
 // has never answered is not considered. It must be called every domainProbeInterval.
-func (i *isolationDetector) detectIsolation(now time.Time) bool {
-	i.excludeOwnDelay(now)
-	silent := len(i.lastAnswer) > 0
-	for _, heard := range i.lastAnswer {
-		silent = silent && now.Sub(heard) > isolationThreshold
+func (d *isolationDetector) detectIsolation(now time.Time) bool {
+	d.excludeOwnDelay(now)
+	silent := len(d.lastAnswer) > 0
+	for _, last := range d.lastAnswer {
+		silent = silent && now.Sub(last) > isolationThreshold
 	}
-	begins := silent && !i.reported
-	i.reported = silent
-	return begins
+	startsNow := silent && !d.reported
+	d.reported = silent
+	return startsNow
 }
 
 // excludeOwnDelay subtracts the delay of this check from the silence of each failure
 // domain.
-func (i *isolationDetector) excludeOwnDelay(now time.Time) {
-	late := now.Sub(i.lastCheck) - domainProbeInterval
-	if !i.lastCheck.IsZero() && late > 0 {
-		for domain, heard := range i.lastAnswer {
-			i.lastAnswer[domain] = heard.Add(late)
+func (d *isolationDetector) excludeOwnDelay(now time.Time) {
+	late := now.Sub(d.lastCheck) - domainProbeInterval
+	if !d.lastCheck.IsZero() && late > 0 {
+		for domain, last := range d.lastAnswer {
+			d.lastAnswer[domain] = last.Add(late)
 		}
 	}
-	i.lastCheck = now
+	d.lastCheck = now
 }
--- a/internal/instance/isolation_test.go
+++ b/internal/instance/isolation_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// Three other failure domains are asked ten times a second. One is lost for good, and the
-// others miss a question each, at different times. That is no cut. Then all fall silent: it
-// is reported once, and again only behind an answer.
+// Three other failure domains are probed ten times a second. One is lost permanently, and
+// the others miss single probes at different times, which must not be reported. Then all
+// become silent: this is reported once, and again only after an answer.
 func TestSilenceOfAllOtherDomainsIsReportedOnce(t *testing.T) {
 	is := is.New(t)
-	i := newIsolationDetector()
+	d := newIsolationDetector()
 	start := time.Unix(100, 0)
 	var reports []time.Duration
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
@@ -24,10 +24,10 @@
 			"other": cut || at%(900*time.Millisecond) == 0,
 		} {
 			if !missed {
-				i.recordAnswer(domain, now)
+				d.recordAnswer(domain, now)
 			}
 		}
-		if i.detectIsolation(now) {
+		if d.detectIsolation(now) {
 			reports = append(reports, at)
 		}
 	}
@@ -36,45 +36,47 @@
 	is.True(reports[1] >= 8*time.Second)
 }
 
-// An instance that has heard of no other failure domain yet does not take itself for cut off.
+// An instance that has not yet had an answer from another failure domain does not consider
+// itself cut off.
 func TestNoAnswerYetIsNoIsolation(t *testing.T) {
 	is := is.New(t)
-	i := newIsolationDetector()
-	is.True(!i.detectIsolation(time.Unix(100, 0)))
+	d := newIsolationDetector()
+	is.True(!d.detectIsolation(time.Unix(100, 0)))
 }
 
-// The instance does not get to run for a second, and comes to look before it comes to read
-// the answers that wait for it. Its own pause is no cut, and would cost a new connection to
-// every member. The real cut behind it is found as soon as any other.
+// The instance does not run for a second, and checks for silence before it reads the
+// answers that have arrived. Its own pause must not count as a cut, which would cost a new
+// connection to every member. A real cut right after it is detected as fast as any other.
 func TestOwnPauseIsNoCut(t *testing.T) {
 	is := is.New(t)
-	i := newIsolationDetector()
+	d := newIsolationDetector()
 	now := time.Unix(100, 0)
 	for range 10 {
-		i.recordAnswer("other", now)
-		is.True(!i.detectIsolation(now))
+		d.recordAnswer("other", now)
+		is.True(!d.detectIsolation(now))
 		now = now.Add(domainProbeInterval)
 	}
 	now = now.Add(time.Second)
-	is.True(!i.detectIsolation(now))
-	i.recordAnswer("other", now)
+	is.True(!d.detectIsolation(now))
+	d.recordAnswer("other", now)
 	cut := now
-	for !i.detectIsolation(now) {
+	for !d.detectIsolation(now) {
 		now = now.Add(domainProbeInterval)
 	}
 	is.True(now.Sub(cut) <= isolationThreshold+domainProbeInterval)
 }
 
-// All instances are short of processor time at once, as behind a return of all: each answer
-// comes half a second behind its question. As long as answers come there is no cut.
+// All instances are short of CPU time at once, as after a restart of the whole fleet, so
+// that each answer arrives half a second after its probe. As long as answers arrive there
+// is no cut.
 func TestLateAnswersAreNoIsolation(t *testing.T) {
 	is := is.New(t)
-	i := newIsolationDetector()
+	d := newIsolationDetector()
 	start := time.Unix(100, 0)
 	for at := time.Duration(0); at < 3*time.Second; at += domainProbeInterval {
 		if at >= 500*time.Millisecond {
-			i.recordAnswer("other", start.Add(at))
+			d.recordAnswer("other", start.Add(at))
 		}
-		is.True(!i.detectIsolation(start.Add(at)))
+		is.True(!d.detectIsolation(start.Add(at)))
 	}
 }
--- a/internal/instance/leaving_test.go
+++ b/internal/instance/leaving_test.go
@@ -8,9 +8,9 @@
 	"github.com/topazrock/topazrock/internal/standin/member"
 )
 
-// The platform lists a replica as leaving while callers read. Two seconds later
-// no read reaches it any more and no caller's connection to it is left, and
-// reads go on elsewhere without an error.
+// The platform lists a replica as leaving while callers read. Two seconds later no read
+// reaches it, no caller's connection to it is open, and reads continue at other members
+// without an error.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(2, "")
@@ -34,8 +34,8 @@
 	})
 }
 
-// The platform lists the primary as leaving. A replica takes over within the
-// next seconds, the callers' writes go there, and the old primary gets none.
+// The platform lists the primary as leaving. A replica takes over within the next seconds,
+// callers' writes go there, and the old primary gets none.
 func TestLeavingPrimaryHandsOver(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
--- a/internal/instance/listeners_test.go
+++ b/internal/instance/listeners_test.go
@@ -17,8 +17,8 @@
 	"github.com/topazrock/topazrock/internal/standin/memnet"
 )
 
-// A collector knows one port for all instances. Whatever path it asks for there, it
-// gets the metrics; an instance whose port is taken serves on without them.
+// A metrics collector uses the same port for all instances and gets the metrics at any
+// path. An instance whose port is in use runs without them.
 func TestMetricsOnSeparateListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,7 +45,7 @@
 		is.NoErr(err)
 		is.NoErr(answer.Body.Close())
 		is.True(strings.Contains(string(text), "topazrock_test_total 0"))
-		n.serveMetrics(ctx) // the port is taken: it returns at once
+		n.serveMetrics(ctx) // the port is in use: it returns immediately
 		cancel()
 		<-ended
 	})
--- a/internal/instance/load_test.go
+++ b/internal/instance/load_test.go
@@ -13,7 +13,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// fate is what a caller was told of one request.
+// outcome is what a caller was told about the outcome of a request.
 type outcome int
 
 const (
@@ -22,7 +22,7 @@
 	outcomeDidNotRun
 )
 
-// load is a mix of callers on a bed, and what each was told.
+// load runs several kinds of callers on a cluster, and records what each was told.
 type load struct {
 	cluster *testCluster
 	ctx     context.Context
@@ -30,19 +30,19 @@
 	callers sync.WaitGroup
 
 	mu sync.Mutex
-	// fates holds what was told of the write of each key.
+	// outcomes holds the reported outcome of the write of each key.
 	outcomes   map[string]outcome
 	violations []string
 	reads      int
 	writes     int
-	// connections is the highest number open at one moment.
+	// connections is the maximum number open at one time.
 	connections int
 }
 
 // requestTimeout bounds each request of the load.
 const requestTimeout = 6 * time.Second
 
-// startLoad starts two callers of each kind, each with a seed of its own.
+// startLoad starts four callers of three kinds, each with its own seed.
 func startLoad(tc *testCluster, seed uint64) *load {
 	l := &load{cluster: tc, outcomes: make(map[string]outcome)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
@@ -61,17 +61,17 @@
 	return l
 }
 
-// end stops the callers and waits for them.
+// stopAndWait stops the callers and waits for them.
 func (l *load) stopAndWait() {
 	l.stop()
 	l.callers.Wait()
 }
 
-func (l *load) recordOutcome(key string, f outcome) {
+func (l *load) recordOutcome(key string, o outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outcomes[key] = f
-	if f == outcomeAcknowledged {
+	l.outcomes[key] = o
+	if o == outcomeAcknowledged {
 		l.writes++
 	}
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// connected returns a connection to the caller's present instance, or nil.
+// connected returns a connection to the caller's current instance, or nil.
 func (c *caller) connected(ctx context.Context) *pgx.Conn {
 	if c.conn != nil && !c.conn.IsClosed() {
 		return c.conn
@@ -114,9 +114,9 @@
 	return conn
 }
 
-// move takes the session to another instance, with its token or without.
-func (c *caller) moveToAnother(carry bool) {
-	if c.conn != nil && carry {
+// moveToAnother moves the session to another instance, with or without its token.
+func (c *caller) moveToAnother(keepToken bool) {
+	if c.conn != nil && keepToken {
 		c.token = token(c.conn)
 	} else {
 		c.token = ""
@@ -130,7 +130,7 @@
 	return fmt.Sprintf("%s-%s-%d", prefix, c.name, c.count)
 }
 
-// exec runs one write and notes what was told of it.
+// exec runs one write and records the reported outcome.
 func (c *caller) exec(key, sql string) outcome {
 	ctx, cancel := context.WithTimeout(c.load.ctx, requestTimeout)
 	defer cancel()
@@ -139,9 +139,9 @@
 		return outcomeDidNotRun
 	}
 	_, err := conn.Exec(ctx, sql)
-	f := outcomeOf(err)
-	c.load.recordOutcome(key, f)
-	return f
+	o := outcomeOf(err)
+	c.load.recordOutcome(key, o)
+	return o
 }
 
 func outcomeOf(err error) outcome {
@@ -156,8 +156,8 @@
 	}
 }
 
-// writeAndRoam writes a row, moves, and reads it back: an acknowledged write
-// must be seen, and every answer must be that of its own question.
+// writeAndRoam writes a row, moves to another instance, and reads the row back. An
+// acknowledged write must be visible, and the answer must belong to the query.
 func (c *caller) writeAndRoam() {
 	key := c.nextKey("w")
 	if c.exec(key, fmt.Sprintf("INSERT INTO kv (k, v) VALUES ('%s', 'v%s')", key, key)) != outcomeAcknowledged {
@@ -177,9 +177,9 @@
 	err := conn.QueryRow(ctx, "SELECT k, v FROM kv WHERE k = $1"+tag, key).Scan(&k, &v)
 	switch {
 	case errors.Is(err, pgx.ErrNoRows):
-		c.load.addViolation("stale own read of %s at instance %d%s", key, c.instance, tag)
+		c.load.addViolation("own write of %s not visible at instance %d%s", key, c.instance, tag)
 	case err == nil && (k != key || v != "v"+key):
-		c.load.addViolation("answer of another: asked %s, got %s=%s", key, k, v)
+		c.load.addViolation("answer to another query: asked for %s, got %s=%s", key, k, v)
 	case err == nil:
 		c.load.mu.Lock()
 		c.load.reads++
@@ -187,8 +187,8 @@
 	}
 }
 
-// pay sends a request that must not be repeated, again and again under one key
-// while its outcome is unknown. Each arrival would leave a row of its own.
+// pay sends a request that must not run twice, and repeats it under the same key while its
+// outcome is unknown. Each execution would leave its own row.
 func (c *caller) pay() {
 	key := c.nextKey("p")
 	for attempt := range 3 {
@@ -201,7 +201,7 @@
 	}
 }
 
-// transact writes two rows in one transaction: both or none.
+// transact writes two rows in one transaction: both or none must be stored.
 func (c *caller) transact() {
 	ctx, cancel := context.WithTimeout(c.load.ctx, requestTimeout)
 	defer cancel()
--- a/internal/instance/matrix_page_test.go
+++ b/internal/instance/matrix_page_test.go
@@ -16,12 +16,12 @@
 
 const (
 	matrixPage = "../../docs/FAULT-MATRIX.md"
-	// tableMarker stands in the page where the table begins; what is before it is
-	// written by hand.
+	// tableMarker is the line in the page where the generated table begins; the text
+	// before it is written by hand.
 	tableMarker = "<!-- the table below is written by the run -->\n"
 )
 
-// matrixTable renders the run, faults as rows and steps as columns.
+// matrixTable renders the results with faults as rows and steps as columns.
 func matrixTable(cells map[string]cellResult) string {
 	var out strings.Builder
 	out.WriteString(tableMarker + "\n| step | flow | point |\n| --- | --- | --- |\n")
@@ -48,7 +48,7 @@
 	return out.String()
 }
 
-// checkMatrixPage compares the run with the page, or writes the page.
+// checkMatrixPage compares the results with the page, or updates the page.
 func checkMatrixPage(t *testing.T, cells map[string]cellResult) {
 	is := is.New(t)
 	page, err := os.ReadFile(matrixPage)
@@ -65,8 +65,8 @@
 	}
 }
 
-// The page names the test that fails when a promise's mechanism is taken out.
-// Each name must be that of a test in the repository.
+// The page names, for each guarantee, the test that fails when its mechanism is removed.
+// Every test it names must exist in the repository.
 func TestPageNamesTestsThatExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(matrixPage)
--- a/internal/instance/matrix_test.go
+++ b/internal/instance/matrix_test.go
@@ -21,11 +21,11 @@
 const (
 	// faultDuration is how long a fault lasts.
 	faultDuration = 2 * time.Second
-	// recovery is how long after a fault every instance must serve again.
+	// recoveryTimeout bounds the time until every instance must serve again after a fault.
 	recoveryTimeout = 15 * time.Second
 )
 
-// cell is the outcome of one fault at one step.
+// cellResult is the result of one fault at one step.
 type cellResult struct {
 	reached    bool
 	violations []string
@@ -48,11 +48,11 @@
 	return strings.ReplaceAll(fmt.Sprintf("%s/%s/%s", f.name, s.flow, s.name), " ", "_")
 }
 
-// Callers write, pay, transact and roam through three instances while one fault
-// strikes at one named step of one flow, lasts two seconds and is healed. What
-// the callers were told must agree with the rows that are left, no session may
-// miss its own write, the connections stay within their total, and every
-// instance serves again. Each cell of the matrix is one such run.
+// Callers write, pay, run transactions and move between three instances while one fault is
+// injected at one named step of one flow, lasts two seconds and is healed. What callers
+// were told must agree with the remaining rows, every session must see its own writes,
+// connections must stay within their limit, and every instance must serve again. Each cell
+// of the matrix is one such run.
 func TestFaultMatrix(t *testing.T) {
 	var mu sync.Mutex
 	cells := make(map[string]cellResult)
@@ -66,8 +66,8 @@
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					c := runCell(t, f, s, *matrixSeed)
-					for _, found := range c.violations {
-						t.Errorf("%s", found)
+					for _, violation := range c.violations {
+						t.Errorf("%s", violation)
 					}
 					t.Logf("%s: %d reads, %d writes acknowledged", c.verdict(), c.reads, c.writes)
 					mu.Lock()
@@ -96,14 +96,14 @@
 		tc.removeHooks()
 		f.heal(tc)
 		tc.restartStopped()
-		found := tc.waitUntilServing()
+		violations := tc.waitUntilServing()
 		l.stopAndWait()
-		c = cellResult{reached: reached.Load(), violations: append(found, l.checkInvariants()...), reads: l.reads, writes: l.writes}
+		c = cellResult{reached: reached.Load(), violations: append(violations, l.checkInvariants()...), reads: l.reads, writes: l.writes}
 	})
 	return c
 }
 
-// disarm takes every hook off.
+// removeHooks removes all hooks.
 func (tc *testCluster) removeHooks() {
 	for _, n := range tc.nodes {
 		n.SetHook(nil)
@@ -113,7 +113,8 @@
 	tc.loadHook.Store(nil)
 }
 
-// revive starts what a step has stopped: the first primary, or a drained instance.
+// restartStopped restarts what a step has stopped: the first primary, or a drained
+// instance.
 func (tc *testCluster) restartStopped() {
 	for i, n := range tc.nodes {
 		if !n.Running() {
@@ -127,10 +128,10 @@
 	}
 }
 
-// waitUntilServing waits until a write and a fresh read go through every instance.
+// waitUntilServing waits until every instance serves a write and a fresh read.
 func (tc *testCluster) waitUntilServing() []string {
 	deadline := time.Now().Add(recoveryTimeout)
-	var found []string
+	var violations []string
 	for i := range testDomains {
 		for {
 			err := tc.checkServing(i)
@@ -138,13 +139,13 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				found = append(found, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recoveryTimeout, err))
+				violations = append(violations, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recoveryTimeout, err))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return found
+	return violations
 }
 
 func (tc *testCluster) checkServing(i int) error {
--- a/internal/instance/metricspage_test.go
+++ b/internal/instance/metricspage_test.go
@@ -24,7 +24,7 @@
 	seriesSuffix    = regexp.MustCompile(`_(bucket|sum|count)$`)
 )
 
-// registeredNames returns the names of the metrics of every part, sorted.
+// registeredNames returns the sorted names of the metrics of all components.
 func registeredNames() []string {
 	r := prometheus.NewRegistry()
 	newMetrics(r)
@@ -57,7 +57,7 @@
 	is.Equal(strings.Join(listed, "\n"), strings.Join(registeredNames(), "\n"))
 }
 
-// A panel over a metric that was renamed stays empty, and looks like calm.
+// A panel for a metric that was renamed stays empty, which looks as if nothing happened.
 func TestDashboardAndAlertsNameMetricsThatExist(t *testing.T) {
 	is := is.New(t)
 	names := registeredNames()
--- a/internal/instance/reach.go
+++ b/internal/instance/reach.go
@@ -39,10 +39,10 @@
 }
 
 // hint records that all links became silent at once.
-func (r *reachDetector) hint(now time.Time) { r.hintedAt = now }
+func (d *reachDetector) hint(now time.Time) { d.hintedAt = now }
 
 // hintActive reports whether the last hint is still valid.
-func (r *reachDetector) hintActive(now time.Time) bool { return now.Sub(r.hintedAt) < hintValidity }
+func (d *reachDetector) hintActive(now time.Time) bool { return now.Sub(d.hintedAt) < hintValidity }
 
 // reachEvent is the result of a reachability check.
 type reachEvent int
@@ -59,27 +59,27 @@
 
 // update evaluates a check that reached a majority of the members in reached of the given
 // number of groups.
-func (r *reachDetector) update(now time.Time, groups, reached int) reachEvent {
+func (d *reachDetector) update(now time.Time, groups, reached int) reachEvent {
 	minority := groups > 0 && 2*reached < groups
-	if groups == 0 && r.cutOff {
+	if groups == 0 && d.cutOff {
 		// No information does not mean that the cut is over. A single instance that
 		// accepted callers again would bring its whole failure domain back into the
 		// balancer, which uses all instances of a failure domain where few are ready.
 		minority = true
 	}
-	if minority != r.minority {
-		r.minority, r.changedAt = minority, now
+	if minority != d.minority {
+		d.minority, d.changedAt = minority, now
 	}
-	held := now.Sub(r.changedAt)
+	elapsed := now.Sub(d.changedAt)
 	switch {
-	case minority && !r.cutOff && (held >= cutOffAfter || r.hintActive(now)):
-		r.cutOff, r.cutOffSince, r.dismissed = true, now, false
+	case minority && !d.cutOff && (elapsed >= cutOffAfter || d.hintActive(now)):
+		d.cutOff, d.cutOffSince, d.dismissed = true, now, false
 		return reachLost
-	case !minority && r.cutOff && held >= restoreAfter:
-		r.cutOff = false
+	case !minority && d.cutOff && elapsed >= restoreAfter:
+		d.cutOff = false
 		return reachRestored
-	case r.cutOff && !r.dismissed && now.Sub(r.cutOffSince) >= dismissAfter:
-		r.dismissed = true
+	case d.cutOff && !d.dismissed && now.Sub(d.cutOffSince) >= dismissAfter:
+		d.dismissed = true
 		return reachDismissCallers
 	}
 	return reachUnchanged
--- a/internal/instance/reach_test.go
+++ b/internal/instance/reach_test.go
@@ -8,13 +8,13 @@
 )
 
 // A failure domain is cut off for six seconds, and its link flaps once at the end. The
-// instance says so soon, sends idle callers elsewhere once the balancer has seen it,
-// and takes callers again only when the link holds.
+// instance reports the cut after cutOffAfter, disconnects idle callers once the balancer
+// has noticed, and accepts callers again only when the link stays up.
 func TestCutOffInstanceDismissesIdleCallers(t *testing.T) {
 	is := is.New(t)
-	var r reachDetector
+	var detector reachDetector
 	start := time.Now()
-	at := func(d time.Duration, reached int) reachEvent { return r.update(start.Add(d), 3, reached) }
+	at := func(d time.Duration, reached int) reachEvent { return detector.update(start.Add(d), 3, reached) }
 	is.Equal(at(0, 3), reachUnchanged)
 	is.Equal(at(time.Second, 1), reachUnchanged)
 	is.Equal(at(1200*time.Millisecond, 0), reachUnchanged)
@@ -28,24 +28,27 @@
 	is.Equal(at(6500*time.Millisecond, 3), reachRestored)
 }
 
-// One group of three has lost its members. The instance serves the other two, and
-// stays.
+// One group of three has lost its members. The instance serves the other two and must not
+// consider itself cut off.
 func TestOneLostGroupIsNoCut(t *testing.T) {
 	is := is.New(t)
-	var r reachDetector
+	var detector reachDetector
 	for k := range 20 {
-		is.Equal(r.update(time.Unix(int64(k), 0), 3, 2), reachUnchanged)
+		is.Equal(detector.update(time.Unix(int64(k), 0), 3, 2), reachUnchanged)
 	}
-	is.Equal(r.update(time.Unix(30, 0), 0, 0), reachUnchanged)
+	is.Equal(detector.update(time.Unix(30, 0), 0, 0), reachUnchanged)
 }
 
-// A cut-off instance is home to no group any more and nobody tells it what is reached. That
-// is no sign that the cut is over: it takes callers again only when a majority is reached.
+// An instance that is cut off is no longer home to any group and gets no counts from other
+// homes. This does not mean that the cut is over: it accepts callers again only when it
+// reaches a majority.
 func TestCutOffInstanceThatHearsNothingStaysCutOff(t *testing.T) {
 	is := is.New(t)
-	var r reachDetector
+	var detector reachDetector
 	start := time.Now()
-	at := func(d time.Duration, groups, reached int) reachEvent { return r.update(start.Add(d), groups, reached) }
+	at := func(d time.Duration, groups, reached int) reachEvent {
+		return detector.update(start.Add(d), groups, reached)
+	}
 	is.Equal(at(0, 3, 0), reachUnchanged)
 	is.Equal(at(time.Second, 3, 0), reachLost)
 	is.Equal(at(2*time.Second, 0, 0), reachUnchanged)
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -108,13 +108,13 @@
 // Homes in its own failure domain are the nearest.
 func (n *Instance) homesToPoll() []platform.Instance {
 	var chosen []platform.Instance
-	taken := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, g := range n.documents.Groups() {
 		homes := n.members.Homes(g.Name)
-		if len(homes) == 0 || homes[0].ID == n.self().ID || taken[homes[0].ID] {
+		if len(homes) == 0 || homes[0].ID == n.self().ID || seen[homes[0].ID] {
 			continue
 		}
-		taken[homes[0].ID] = true
+		seen[homes[0].ID] = true
 		chosen = append(chosen, homes[0])
 		if len(chosen) == maxPolledHomes {
 			break
--- a/internal/instance/reachpeers_test.go
+++ b/internal/instance/reachpeers_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A failure domain is cut off. It has one instance that is home to the group, and one
-// that is not and sees no member itself. Were the second to stay ready, the balancer
-// would go on sending the domain's callers to both. It asks the home, hears that it
-// reaches a minority, and is not ready either; when the cut heals, both are.
+// A failure domain is cut off that has one instance that is home to the group and one that
+// is not and probes no member itself. If the second one stayed ready, the balancer would
+// keep sending the failure domain's callers to both. It must learn from the home that a
+// minority is reached, and become not ready as well. When the cut heals, both become ready.
 func TestNonHomeInstanceDetectsCutOff(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		var inside []int
@@ -38,8 +38,8 @@
 	})
 }
 
-// eachAcross calls f for each pair of hosts of which one is in the first failure domain,
-// with the instances given, and one is not.
+// eachAcross calls f for each pair of a host in the first failure domain, with the given
+// instances, and a host outside it.
 func (tc *testCluster) eachAcross(instances []int, f func(in, out string)) {
 	inside := []string{memberHost(0)}
 	outside := []string{memberHost(1), memberHost(2)}
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -33,7 +33,7 @@
 
 // watchReach checks reachability and maintains cutOff until ctx ends.
 func (n *Instance) watchReach(ctx context.Context) {
-	var r reachDetector
+	var detector reachDetector
 	var peers peerReach
 	n.running.Go(func() { n.pollPeerReach(ctx, &peers) })
 	interval := reachInterval
@@ -44,14 +44,14 @@
 		}
 		now := n.options.Clock.Now()
 		if hinted {
-			r.hint(now)
+			detector.hint(now)
 		}
 		interval = reachInterval
-		if r.hintActive(now) {
+		if detector.hintActive(now) {
 			interval = hintedReachInterval
 		}
 		sum := n.ownReach().plus(peers.get())
-		switch r.update(now, sum.Groups, sum.Reached) {
+		switch detector.update(now, sum.Groups, sum.Reached) {
 		case reachLost:
 			n.cutOff.Store(true)
 			n.options.Logger.Warn("Instance is cut off from most groups.", "groups", sum.Groups, "reached", sum.Reached)
--- a/internal/instance/requestkeys_test.go
+++ b/internal/instance/requestkeys_test.go
@@ -7,8 +7,8 @@
 
 const payFee = "INSERT INTO kv (k, v) VALUES ('fee', 'paid') /*request='fee-payment',key='42'*/"
 
-// A family pays a fee and sends the same request again, through another
-// instance: the second is told that it ran before, and runs nothing.
+// A caller pays a fee and sends the same request again through another instance. The second
+// request is told that it ran already, and runs nothing.
 func TestSecondArrivalIsToldThatItRan(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		tc.exec(tc.mustConnect(0, ""), payFee)
@@ -19,9 +19,9 @@
 	})
 }
 
-// The answer to a payment is lost because the path to the primary goes silent
-// right after the commit. The instance settles the outcome itself: the family
-// hears that it ran, or that it never will, and never that it can be repeated.
+// The answer to a payment is lost because the connection to the primary becomes silent
+// right after the commit. The instance determines the outcome itself: the caller is told
+// that the payment ran, or that it never will, and never that it can be repeated.
 func TestLostAnswerIsSettled(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -37,9 +37,9 @@
 	})
 }
 
-// The primary dies before a payment commits. The request's key is blocked at the
-// new primary, which proves that the payment can never run; a later arrival of
-// the same key is told the same.
+// The primary fails before a payment commits. The request's key is then blocked at the new
+// primary, which proves that the payment can never run. A later request with the same key
+// gets the same result.
 func TestPaymentThatDiedWithItsPrimaryNeverRuns(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
@@ -59,8 +59,8 @@
 	})
 }
 
-// A payment inside of the caller's own transaction uses its key up only if the
-// transaction commits.
+// A payment inside a caller's own transaction uses up its key only if the transaction
+// commits.
 func TestKeyInTheCallersTransaction(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -86,10 +86,10 @@
 	})
 }
 
-// The primary is cut off while callers write to it, and its successor leads
-// within a second. Units that wait for the lost one are ended then, and do not
-// hold the home's slots until the statement timeout of five seconds: another
-// caller's write goes through in the meantime.
+// The primary is cut off while callers write to it, and a new primary takes over within a
+// second. Units that wait for the lost primary must end then, instead of holding the home's
+// slots until the statement timeout of five seconds: another caller's write succeeds in the
+// meantime.
 func TestUnitsAtALostPrimaryReleaseTheirSlots(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		waiting := make(chan time.Duration, 3)
@@ -111,10 +111,10 @@
 	})
 }
 
-// The primary dies and a caller writes in the middle of the failover. The write
-// was not sent, so it waits for the new primary and runs there, once. When no
-// primary comes, because two of three members are gone, a caller is refused
-// after the time of a failover, and later ones at once.
+// The primary fails and a caller writes during the failover. The write was not sent yet, so
+// it waits for the new primary and runs there once. If there is no new primary, because two
+// of three members are down, a caller is refused after the time of a failover, and later
+// ones immediately.
 func TestWriteWaitsForFailover(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
@@ -134,9 +134,9 @@
 	})
 }
 
-// A payment runs inside of the caller's own transaction, and the answer to its
-// COMMIT is lost. The key's row is in that transaction, so the instance can tell
-// that it ran; where the primary died before the commit, that it never will.
+// A payment runs in a caller's own transaction, and the answer to its COMMIT is lost. The
+// key's row is part of that transaction, so the instance can determine that it ran, or, if
+// the primary failed before the commit, that it never will.
 func TestLostCommitOfAKeyedTransactionIsSettled(t *testing.T) {
 	for point, want := range map[string]string{"commit.after_before_answer": "TR001", "commit.before": "TD020"} {
 		t.Run(point, func(t *testing.T) {
@@ -170,10 +170,10 @@
 	}
 }
 
-// A failure domain is cut off while its callers wait for answers of the primary,
-// which is in another domain and stays the only one that they know. Their units
-// end after the time of a failover and not at the statement timeout, and callers
-// that come later are refused at once.
+// A failure domain is cut off while its callers wait for answers of the primary, which is
+// in another failure domain and remains the only one they know. Their units must end after
+// the time of a failover rather than the statement timeout, and callers that connect later
+// are refused immediately.
 func TestCutOffDomainRefusesItsCallersQuickly(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
--- a/internal/instance/session_test.go
+++ b/internal/instance/session_test.go
@@ -21,11 +21,10 @@
 	return v
 }
 
-// A clerk writes through one instance while the replica in fln-c is a second
-// behind, and reads at once through fln-c with a class that accepts data of two
-// seconds. Neither a session that carries its token nor one that carries none
-// may miss the write: the token or the first read's barrier keeps that replica
-// out.
+// A caller writes through one instance while the replica in fln-c lags by a second, and
+// reads immediately through fln-c with a class that accepts data up to two seconds old. The
+// session must see its write with and without a token: the token or the barrier of the
+// first read excludes that replica.
 func TestRoamingSessionReadsItsOwnWrite(t *testing.T) {
 	for name, carries := range map[string]bool{"with a token": true, "without a token": false} {
 		t.Run(name, func(t *testing.T) {
@@ -47,8 +46,8 @@
 	}
 }
 
-// After its first read a session reads through the same instance with old data
-// allowed, and gets it from a replica; its own write still comes first.
+// After its first read, a session reads through the same instance with stale data allowed,
+// and is served by a replica that has the session's own write.
 func TestAgedReadsComeFromReplicas(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -63,8 +62,8 @@
 	})
 }
 
-// One replica is cut off from its primary and falls behind for ever. Reads go on
-// at the other, none waits for the lost one, and no answer is older than asked.
+// One replica is cut off from its primary and falls behind indefinitely. Reads continue at
+// the other one, none waits for the lost replica, and no answer is older than allowed.
 func TestReplicaFarBehindTakesNoReads(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -84,9 +83,9 @@
 	})
 }
 
-// The primary dies after a session wrote. The session's token is of the old
-// term; at the new primary it is held against the new term's start, so that the
-// session neither misses its write nor waits for a position of the old log.
+// The primary fails after a session wrote. The session's token belongs to the old term; the
+// new primary compares it with the start of the new term, so that the session neither
+// misses its write nor waits for a position of the old log.
 func TestTokenIsValidAfterFailover(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
@@ -101,10 +100,10 @@
 	})
 }
 
-// Other sessions write all the time and the replicas are half a second behind. A
-// driver prepares a session's first read and first write before it runs them. The
-// session then waits for the lag once for each: what is prepared shows no rows
-// and changes nothing.
+// Other sessions write continuously and the replicas lag by half a second. A driver
+// prepares a session's first read and first write before it runs them. The session must
+// then wait for the lag only once for each, because preparing returns no rows and changes
+// nothing.
 func TestPreparingDoesNotWaitForReplicationLag(t *testing.T) {
 	const (
 		lag     = 500 * time.Millisecond
--- a/internal/instance/sessionsettings_test.go
+++ b/internal/instance/sessionsettings_test.go
@@ -10,7 +10,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// shown returns what a setting is on the connection that runs c's statement.
+// showSetting returns the value of a setting on the connection that runs c's statement.
 func (tc *testCluster) showSetting(c *pgx.Conn, name string) string {
 	tc.t.Helper()
 	var v string
@@ -18,11 +18,10 @@
 	return v
 }
 
-// Three clerks share the connections to the members. One sets its search path,
-// one another, one nothing. Each statement of each must run under its own
-// clerk's values, whatever connection it gets, and a value taken back must be
-// gone. A statement that ran under another's search path would read or write the
-// wrong tables.
+// Three callers share the connections to the members. Two of them set their search path to
+// different values, the third sets nothing. Each statement must run under the values of its
+// own session on any connection, and a value that is reset must be gone. A statement that
+// ran under the search path of another session would read or write the wrong tables.
 func TestSessionValuesFollowTheirSession(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		first, second, third := tc.mustConnect(0, ""), tc.mustConnect(0, ""), tc.mustConnect(1, "")
@@ -46,11 +45,11 @@
 	})
 }
 
-// Drivers set values in each way that the protocol has: in a simple query, in a
-// prepared statement, at the start of the session. All of them hold for every
-// later statement, and DISCARD ALL, which pools of callers send between two
-// users, takes all of them back.
-func TestSessionValuesInEachWayOfSettingThem(t *testing.T) {
+// Drivers set values in each way that the protocol offers: in a simple query, in a prepared
+// statement, and at the start of the session. All of them apply to every later statement,
+// and DISCARD ALL, which callers' connection pools send between two users, resets all of
+// them.
+func TestSessionValuesSetInEachWay(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		config := tc.config(0, "")
 		config.RuntimeParams["timezone"] = "Asia/Tokyo"
@@ -77,8 +76,8 @@
 	})
 }
 
-// A value that is set in a transaction lasts when the transaction commits and is
-// forgotten when it rolls back, as in PostgreSQL.
+// A value set in a transaction is kept if the transaction commits and discarded if it rolls
+// back, as in PostgreSQL.
 func TestSessionValuesOfATransaction(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -95,9 +94,9 @@
 	})
 }
 
-// A value that cannot be kept is refused before anything runs: the caller would
-// otherwise take it for set while its next statement runs without it. A value
-// that the member refuses is not kept either.
+// A value that cannot be kept is refused before anything runs: otherwise the caller would
+// assume that it is set while its next statement runs without it. A value that the member
+// refuses is not kept either.
 func TestSessionValuesThatAreRefused(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -132,9 +131,9 @@
 	})
 }
 
-// A member tells a driver of values that change how it reads answers. The change
-// that a caller makes must reach its driver, and a change made for one caller
-// must not reach another that shares the connection.
+// A member reports values to a driver that affect how it decodes answers. A caller's change
+// must be reported to its own driver, and must not be reported to another caller that
+// shares the connection.
 func TestChangedParameterIsReportedToItsCallerOnly(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		first, second := tc.mustConnect(0, ""), tc.mustConnect(0, "")
--- a/internal/instance/shutdown_test.go
+++ b/internal/instance/shutdown_test.go
@@ -10,7 +10,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// hijack opens a caller's connection at instance i and takes it from its driver.
+// hijack opens a caller's connection to instance i and detaches it from its driver.
 func (tc *testCluster) hijack(i int) net.Conn {
 	tc.t.Helper()
 	h, err := tc.mustConnect(i, "").PgConn().Hijack()
@@ -18,7 +18,7 @@
 	return h.Conn
 }
 
-// answerTo reads one answer and returns the kind of its error, if it has one.
+// answerTo reads one answer and returns the code of its error, if any.
 func answerTo(conn net.Conn) (code string, err error) {
 	front := pgproto3.NewFrontend(conn, conn)
 	for {
@@ -35,7 +35,7 @@
 	}
 }
 
-// encodedBatch is one read in the messages of the extended protocol.
+// encodedBatch encodes one query in the messages of the extended protocol.
 func encodedBatch(sql string) []byte {
 	var bytes []byte
 	for _, m := range []pgproto3.FrontendMessage{
@@ -46,16 +46,16 @@
 	return bytes
 }
 
-// Guards against a request that is lost because its instance stops when a part of it has been
-// read.
+// Guards against a request that is lost because its instance shuts down after reading a
+// part of it.
 func TestMessageHalfReadAtAStopIsServed(t *testing.T) {
 	for _, message := range [][]byte{encodedQuery("SELECT count(*) FROM kv"), encodedBatch("SELECT count(*) FROM kv")} {
 		checkSplitMessage(t, message)
 	}
 }
 
-// checkSplitMessage cuts a message behind each of its bytes, and stops the instance between the
-// pieces.
+// checkSplitMessage splits a message after each of its bytes, and stops the instance
+// between the two pieces.
 func checkSplitMessage(t *testing.T, message []byte) {
 	withCluster(t, func(tc *testCluster) {
 		var all []net.Conn
@@ -79,8 +79,8 @@
 	})
 }
 
-// Guards against a caller that is told it broke the protocol because its instance stops while
-// it starts.
+// Guards against a protocol error for a caller whose instance shuts down during the
+// start-up of the session.
 func TestStartHalfReadAtAStopIsTaken(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.config(0, "")
@@ -110,8 +110,8 @@
 	return n + rest, err
 }
 
-// Guards against a caller that sees a broken connection in place of the end it was told, because
-// its next request was on its way.
+// Guards against a caller that sees a broken connection instead of the error that ends its
+// session, because its next request was in flight.
 func TestEndOfASessionIsReadWhenARequestCrossesIt(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		const delay = 2 * time.Millisecond
@@ -126,8 +126,8 @@
 	})
 }
 
-// Guards against a caller in a transaction whose connection is closed without a word when the
-// instance may wait no longer.
+// Guards against a caller in a transaction whose connection is closed without an error when
+// the drain times out.
 func TestTransactionIsToldOfTheCutOff(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		conn := tc.hijack(0)
--- a/internal/instance/unnamedstatements_test.go
+++ b/internal/instance/unnamedstatements_test.go
@@ -6,9 +6,9 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Two sessions define their unnamed statements one after the other, over the
-// same connection to the member, and bind them later. Each runs its own text:
-// the member knows only the one that came last.
+// Two sessions define their unnamed statements one after the other on the same connection
+// to the member, and bind them later. Each must run its own text, although the member knows
+// only the last one.
 func TestUnnamedStatementsOfTwoSessions(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		first, second := tc.mustConnect(0, "").PgConn().Conn(), tc.mustConnect(0, "").PgConn().Conn()
--- a/internal/instance/workspace_test.go
+++ b/internal/instance/workspace_test.go
@@ -10,8 +10,8 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// workspaceDocument is the bed's document with two more accounts, each of a workspace of its
-// own; one has a limit and connections of its own.
+// workspaceDocument returns the cluster's document with two more accounts, each in its own
+// workspace. One workspace has a limit and its own connections.
 func workspaceDocument(t *testing.T) string {
 	verifier, err := document.NewVerifier(testPassword)
 	if err != nil {
@@ -35,7 +35,7 @@
 `
 }
 
-// connectAs opens a session of an account.
+// connectAs opens a session as the given user.
 func (tc *testCluster) connectAs(i int, user string) *pgx.Conn {
 	tc.t.Helper()
 	c := tc.config(i, "")
@@ -46,8 +46,8 @@
 	return conn
 }
 
-// Guards against PostgreSQL callers who pass their workspace's limit, and against others who
-// are refused for it.
+// Guards against PostgreSQL callers who exceed their workspace's limit, and against
+// refusing callers of other workspaces because of it.
 func TestWorkspaceLimitAppliesToItsAccounts(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		tc.apply(workspaceDocument(t), 1)
@@ -74,8 +74,8 @@
 	})
 }
 
-// Guards against a user of a workspace that the document does not have, and limits that let
-// nothing begin.
+// Guards against users of a workspace that the document does not define, and limits that
+// allow no operation.
 func TestInvalidWorkspacesAreRejected(t *testing.T) {
 	good := workspaceDocument(t)
 	for text, want := range map[string]string{
