--- a/internal/instance/history_test.go
+++ b/internal/instance/history_test.go
@@ -121,9 +121,9 @@
 // historyCaller is a session that reads and writes registers and moves between instances.
 type historyCaller struct {
 	caller
-	client  int
-	history *history
-	tag     string
+	client   int
+	history  *history
+	classTag string
 	// onlyReads is set if the session never writes and stays at its instance.
 	onlyReads bool
 }
@@ -170,7 +170,7 @@
 		return
 	}
 	var v string
-	err := conn.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1"+c.tag, key).Scan(&v)
+	err := conn.QueryRow(ctx, "SELECT v FROM kv WHERE k = $1"+c.classTag, key).Scan(&v)
 	if err != nil && !errors.Is(err, pgx.ErrNoRows) {
 		c.moveToAnother(false)
 		return
@@ -184,7 +184,7 @@
 	l := &load{cluster: tc, outcomes: make(map[string]outcome)}
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	for i := range historyCallers {
-		c := &historyCaller{client: i, history: h, tag: tag, onlyReads: i < historyReaders}
+		c := &historyCaller{client: i, history: h, classTag: tag, onlyReads: i < historyReaders}
 		c.load, c.name, c.instance = l, fmt.Sprintf("h%d", i), (len(testDomains)-1+i)%len(testDomains)
 		c.random = rand.New(rand.NewPCG(seed, uint64(i)))
 		l.callers.Go(c.run)
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -84,11 +84,11 @@
 // group. Until the other instances are known it is at most defaultShare: otherwise each
 // instance that starts during an outage of the platform would use all connections.
 func (n *Instance) connectionShareOf(group string, total int) int {
-	part := evenShare(total, n.members.Homes(group), n.self())
+	share := evenShare(total, n.members.Homes(group), n.self())
 	if !n.members.Known() {
-		return min(part, defaultShare)
+		return min(share, defaultShare)
 	}
-	return part
+	return share
 }
 
 // wantedGroups returns the groups that this instance should be home to.
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -64,8 +64,8 @@
 	// drainRequested is closed when an operator requests a drain.
 	drainRequested chan struct{}
 	requestDrain   func()
-	// running tracks the goroutines that Run waits for, except the one that starts and
-	// retires homes, which reconciling tracks.
+	// running tracks the goroutines that shutdown waits for. reconciling tracks the one
+	// that starts and retires homes, which shutdown waits for first.
 	running     sync.WaitGroup
 	reconciling sync.WaitGroup
 
@@ -281,16 +281,15 @@
 	if !n.protocol.MemberShares {
 		n.members.SetDraining()
 	}
-	// From now on callers that connect are redirected to other instances; the listener is
+	// From now on, callers that connect are told to use another instance; the listener is
 	// closed last.
 	err := n.callers.Drain(ctx)
 	// Where every instance is a home, the remaining callers are served by this instance
-	// until here: redirecting their last statements would open connections at other
-	// instances.
+	// until here: sending their last statements elsewhere would open connections there.
 	n.members.SetDraining()
 	err = errors.Join(err, n.router.Drain(ctx))
 	callers.Close()
-	// Peers that still send units are redirected to other instances; closing the
+	// Peers that still send units are told to use another instance; closing the
 	// connections at once would lose the units in flight.
 	_ = clock.Sleep(ctx, n.options.Clock, peerLinger)
 	n.options.Logger.Info("Drain has ended.", "error", err)
--- a/internal/instance/matrix_page_test.go
+++ b/internal/instance/matrix_page_test.go
@@ -37,9 +37,9 @@
 	for _, f := range allFaults {
 		fmt.Fprintf(&out, "| %s |", f.name)
 		for _, s := range allSteps {
-			verdict := cells[cellName(f, s)].verdict()
-			counts[verdict]++
-			fmt.Fprintf(&out, " %s |", verdict)
+			status := cells[cellName(f, s)].status()
+			counts[status]++
+			fmt.Fprintf(&out, " %s |", status)
 		}
 		out.WriteString("\n")
 	}
--- a/internal/instance/matrix_test.go
+++ b/internal/instance/matrix_test.go
@@ -33,7 +33,7 @@
 	writes     int
 }
 
-func (c cellResult) verdict() string {
+func (c cellResult) status() string {
 	switch {
 	case len(c.violations) > 0:
 		return "RED"
@@ -69,7 +69,7 @@
 					for _, violation := range c.violations {
 						t.Errorf("%s", violation)
 					}
-					t.Logf("%s: %d reads, %d writes acknowledged", c.verdict(), c.reads, c.writes)
+					t.Logf("%s: %d reads, %d writes acknowledged", c.status(), c.reads, c.writes)
 					mu.Lock()
 					defer mu.Unlock()
 					cells[name] = c
--- a/internal/instance/metricspage_test.go
+++ b/internal/instance/metricspage_test.go
@@ -66,7 +66,7 @@
 		is.NoErr(err)
 		for _, name := range metricName.FindAllString(string(text), -1) {
 			if !slices.Contains(names, name) && !slices.Contains(names, seriesSuffix.ReplaceAllString(name, "")) {
-				t.Errorf("%s names %s, which no part registers", file, name)
+				t.Errorf("%s names %s, which no component registers", file, name)
 			}
 		}
 	}
--- a/internal/instance/shutdown_test.go
+++ b/internal/instance/shutdown_test.go
@@ -72,7 +72,7 @@
 		tc.stop[0]()
 		for i, conn := range all {
 			if code, err := answerTo(conn); code != "" || err != nil {
-				t.Errorf("cut behind %d bytes: code %q, error %v", i+1, code, err)
+				t.Errorf("split after %d bytes: code %q, error %v", i+1, code, err)
 			}
 			conn.Close()
 		}
