--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -9,11 +9,11 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// reconcileInterval is how often homes are compared with what they should be,
-// besides every change of documents and instances.
+// reconcileInterval is the maximum time between two reconciliations. Each change of
+// documents or instances triggers one as well.
 const reconcileInterval = time.Second
 
-// runHomes keeps the set of homes in step with documents and instances.
+// runHomes reconciles the set of homes with the documents and instances until ctx ends.
 func (n *Instance) runHomes(ctx context.Context) {
 	timer := n.options.Clock.NewTimer(0)
 	defer timer.Stop()
@@ -21,7 +21,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changed:
+		case <-n.reconcileRequested:
 		case <-timer.C:
 		}
 		n.reconcile(ctx)
@@ -29,18 +29,18 @@
 	}
 }
 
-// noteChange asks for a comparison soon. It never blocks.
-func (n *Instance) noteChange() {
+// requestReconcile triggers a reconciliation without blocking.
+func (n *Instance) requestReconcile() {
 	select {
-	case n.changed <- struct{}{}:
+	case n.reconcileRequested <- struct{}{}:
 	default:
 	}
 }
 
-// reconcile starts the homes that are missing and retires those that are not
-// wanted or whose members changed.
+// reconcile starts the homes that are missing, and retires those that are no longer wanted
+// or whose members changed.
 func (n *Instance) reconcile(ctx context.Context) {
-	n.countHomes()
+	n.updateHomeCounts()
 	wanted := n.wantedGroups()
 	for name, h := range n.homesCopy() {
 		w, ok := wanted[name]
@@ -54,21 +54,21 @@
 			h = n.addHome(w)
 		}
 		if h != nil {
-			n.adjust(h, w)
+			n.updateHome(h, w)
 		}
 	}
 }
 
-// countHomes sets how many instances are homes to each group, where that follows from the
-// members' connections and slots.
-func (n *Instance) countHomes() {
+// updateHomeCounts sets how many instances are homes to each group, if members limit their
+// own connections.
+func (n *Instance) updateHomeCounts() {
 	if !n.protocol.MemberShares {
 		return
 	}
-	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), sizeOf(n.members.Live())))
+	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), fleetSizeOf(n.members.Live())))
 }
 
-// homeCounts returns for each group how many homes each failure domain has; groups whose
+// homeCounts returns the number of homes per failure domain for each group. Groups whose
 // members do not limit their connections are left out.
 func homeCounts(groups []GroupInForce, fleet fleetSize) map[string]int {
 	counts := make(map[string]int)
@@ -80,22 +80,22 @@
 	return counts
 }
 
-// partOf is this instance's part of a number of connections to a member of a group.
-// Before it has learned of the others it takes the usual one: all instances that start
-// while the platform is away would else take the whole each.
-func (n *Instance) partOf(group string, total int) int {
-	part := evenPart(total, n.members.Homes(group), n.self())
+// connectionShareOf returns this instance's share of the connections to a member of a
+// group. Until the other instances are known it is at most defaultShare: otherwise each
+// instance that starts during an outage of the platform would use all connections.
+func (n *Instance) connectionShareOf(group string, total int) int {
+	share := evenShare(total, n.members.Homes(group), n.self())
 	if !n.members.Known() {
-		return min(part, usualShare)
+		return min(share, defaultShare)
 	}
-	return part
+	return share
 }
 
 // wantedGroups returns the groups that this instance should be home to.
 func (n *Instance) wantedGroups() map[string]GroupInForce {
 	wanted := make(map[string]GroupInForce)
 	groups := n.documents.Groups()
-	if n.registry != nil && n.firstView.awaits(n.options.Clock.Now(), len(groups), n.members.Known()) {
+	if n.registry != nil && n.listWait.pending(n.options.Clock.Now(), len(groups), n.members.Known()) {
 		return wanted
 	}
 	for _, g := range groups {
@@ -108,26 +108,27 @@
 
 func sameMembers(a, b document.Group) bool { return slices.Equal(a.Members, b.Members) }
 
-// addHome starts a home. It returns nil while an earlier home of the group is
-// still ending: two of them would hold two seats' connections.
+// addHome starts a home. It returns nil while an earlier home of the group is still
+// stopping, because the two would use the connections of two shares.
 func (n *Instance) addHome(w GroupInForce) *home {
 	n.mu.Lock()
-	ending := n.ending[w.Name]
+	stopping := n.stopping[w.Name]
 	n.mu.Unlock()
-	if ending {
+	if stopping {
 		return nil
 	}
 	h := n.newHome(w.Group, w.Version)
 	n.mu.Lock()
-	n.homeOf[w.Name] = h
+	n.homesByGroup[w.Name] = h
 	n.mu.Unlock()
 	h.start()
 	n.options.Logger.Info("Home of a group was started.", "group", w.Name)
 	return h
 }
 
-// adjust passes on what may change while a home runs: limits and leaving members.
-func (n *Instance) adjust(h *home, w GroupInForce) {
+// updateHome applies what may change while a home runs: the group's limits and members, and
+// which members are leaving.
+func (n *Instance) updateHome(h *home, w GroupInForce) {
 	var leaving []string
 	for _, m := range w.Members {
 		if n.documents.Leaving(m.Address) {
@@ -139,38 +140,38 @@
 	}
 	h.watcher.SetLeaving(leaving)
 	h.pool.SetLeaving(leaving)
-	h.seats.SetAllocation(allocation(w.Group, w.Version))
+	h.share.SetAllocation(allocation(w.Group, w.Version))
 }
 
-// retire stops new units at once and the home itself when the units at work and
-// the open transactions have ended.
+// retire rejects new units at once. The home stops when its running units and open
+// transactions have ended.
 func (n *Instance) retire(ctx context.Context, h *home) {
 	n.router.Retire(h.group.Name)
 	n.mu.Lock()
-	delete(n.homeOf, h.group.Name)
-	n.ending[h.group.Name] = true
+	delete(n.homesByGroup, h.group.Name)
+	n.stopping[h.group.Name] = true
 	n.mu.Unlock()
 	n.options.Logger.Info("Home of a group is retired.", "group", h.group.Name)
-	n.running.Go(func() { n.finishRetired(ctx, h) })
+	n.running.Go(func() { n.drainRetired(ctx, h) })
 }
 
-func (n *Instance) finishRetired(ctx context.Context, h *home) {
+func (n *Instance) drainRetired(ctx context.Context, h *home) {
 	deadline := n.options.Clock.Now().Add(retireTimeout)
 	for h.executor.Busy() && n.options.Clock.Now().Before(deadline) {
-		if clock.Sleep(ctx, n.options.Clock, retirePoll) != nil {
+		if clock.Sleep(ctx, n.options.Clock, retirePollInterval) != nil {
 			break
 		}
 	}
 	n.router.Remove(h.executor)
 	n.stopHome(ctx, h)
 	n.mu.Lock()
-	delete(n.ending, h.group.Name)
+	delete(n.stopping, h.group.Name)
 	n.mu.Unlock()
-	n.noteChange()
+	n.requestReconcile()
 }
 
-// stopHome stops a home and tries again while the platform does not take the
-// seat back, until ctx ends.
+// stopHome stops a home, and retries while its share cannot be released on the platform,
+// until ctx ends.
 func (n *Instance) stopHome(ctx context.Context, h *home) {
 	for {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -179,17 +180,18 @@
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		n.options.Logger.Warn("Seat was not given back yet.", "group", h.group.Name, "error", err)
+		n.options.Logger.Warn("Releasing the share of a group failed, retrying.", "group", h.group.Name, "error", err)
 		if clock.Sleep(ctx, n.options.Clock, stopTimeout) != nil {
 			break
 		}
 	}
-	n.seats.Remove(h.group.Name)
+	n.shareDirectory.Remove(h.group.Name)
 }
 
 const (
-	// retirePoll is the time between two looks at a retired home's units.
-	retirePoll = 50 * time.Millisecond
-	// stopTimeout bounds one attempt to close a home's connections.
+	// retirePollInterval is the time between two checks whether a retired home still runs
+	// units.
+	retirePollInterval = 50 * time.Millisecond
+	// stopTimeout bounds one attempt to stop a home.
 	stopTimeout = 2 * time.Second
 )
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,8 +1,8 @@
-// Package instance wires one entry instance together and runs it: the callers'
-// side, the peers' side, the administration API, and a home for each group that
-// the instance holds connections to.
+// Package instance assembles and runs one entry instance: the servers for callers and
+// peers, the administration API, and a home for each group that the instance holds
+// connections to.
 //
-// Lock order: Instance.mu alone, held for map look-ups only.
+// Lock order: Instance.mu is held for map look-ups only, and never with another lock.
 package instance
 
 import (
@@ -38,61 +38,63 @@
 	store     *config.Store
 	documents Documents
 	members   *membership.Members
-	// registry keeps the list of instances where the platform does not; nil otherwise.
+	// registry maintains the list of instances if the platform does not; it is nil
+	// otherwise.
 	registry *registry.Registry
-	// firstView is used by runHomes alone.
-	firstView firstView
-	// cutOff says that the instance reaches only minorities of most groups.
+	// listWait is used by runHomes only.
+	listWait instanceListWait
+	// cutOff is set while the instance does not reach a majority of the members of most
+	// groups.
 	cutOff atomic.Bool
-	// lookedAt is when this instance last looked at once what it reaches; lookReach and
-	// lookPeers wake those who do.
-	lookedAt             atomic.Pointer[time.Time]
-	lookReach, lookPeers chan struct{}
-	// leaving says that the graceful shutdown has begun.
-	leaving atomic.Bool
-	peers   *peer.Server
-	client  *peer.Client
-	router  *executor.Router
-	// limits keeps the operations of workspaces within their limits.
-	limits  *quota.Guard
-	callers Callers
-	admin   *adminapi.Server
-	// changed asks for a comparison of homes; it holds at most one request.
-	changed chan struct{}
-	// stop is closed when an operator asks for a drain.
-	stop     chan struct{}
-	stopOnce func()
-	// running counts the goroutines that Run waits for; reconciling is the one
-	// among them that starts and retires homes.
+	// reachCheckedAt is when checkReachNow last ran. wakeReach and wakePeerReach wake
+	// watchReach and pollPeerReach.
+	reachCheckedAt           atomic.Pointer[time.Time]
+	wakeReach, wakePeerReach chan struct{}
+	// draining is set when the graceful shutdown begins.
+	draining atomic.Bool
+	peers    *peer.Server
+	client   *peer.Client
+	router   *executor.Router
+	// quotaGuard enforces the limits of workspaces.
+	quotaGuard *quota.Guard
+	callers    Callers
+	admin      *adminapi.Server
+	// reconcileRequested triggers a reconciliation of homes; it holds at most one request.
+	reconcileRequested chan struct{}
+	// drainRequested is closed when an operator requests a drain.
+	drainRequested chan struct{}
+	requestDrain   func()
+	// running tracks the goroutines that shutdown waits for. reconciling tracks the one
+	// that starts and retires homes, which shutdown waits for first.
 	running     sync.WaitGroup
 	reconciling sync.WaitGroup
 
-	// seats routes peers' calls to the managers of seats; holder names this
-	// process to them.
-	seats  *shares.Directory
-	holder shares.Holder
+	// shareDirectory dispatches calls of peers to the managers of shares. holder
+	// identifies this process to them.
+	shareDirectory *shares.Directory
+	holder         shares.Holder
 
-	mu     sync.Mutex
-	homeOf map[string]*home
-	// ending holds the groups whose last home has not ended yet.
-	ending map[string]bool
+	mu           sync.Mutex
+	homesByGroup map[string]*home
+	// stopping holds the groups whose previous home has not stopped yet.
+	stopping map[string]bool
 }
 
-// New builds an instance that does nothing before Run.
+// New builds an instance. It does nothing until Run is called.
 func New(o Options) *Instance {
 	n := &Instance{
-		options: o,
-		metrics: newMetrics(o.Registry),
-		changed: make(chan struct{}, 1),
-		stop:    make(chan struct{}),
+		options:            o,
+		metrics:            newMetrics(o.Registry),
+		reconcileRequested: make(chan struct{}, 1),
+		drainRequested:     make(chan struct{}),
 
-		lookReach: make(chan struct{}, 1),
-		lookPeers: make(chan struct{}, 1),
+		wakeReach:     make(chan struct{}, 1),
+		wakePeerReach: make(chan struct{}, 1),
 
-		homeOf: make(map[string]*home),
-		ending: make(map[string]bool),
+		homesByGroup: make(map[string]*home),
+		stopping:     make(map[string]bool),
 	}
-	n.stopOnce = sync.OnceFunc(func() { close(n.stop) })
+	n.requestDrain = sync.OnceFunc(func() { close(n.drainRequested) })
 	n.build()
 	return n
 }
@@ -140,18 +142,18 @@
 	if n.documents == nil {
 		n.documents = newStoredDocuments(n.store, n.members)
 	}
-	if d, ok := n.documents.(sharer); ok {
+	if d, ok := n.documents.(sharingUser); ok {
 		d.UseSharing(sharing)
 	}
 	n.protocol = n.postgres()
 	if o.Protocol != nil {
 		n.protocol = *o.Protocol
 	}
-	n.router = executor.NewRouter(s.Instance.ID, s.Peer.Address, homes{n.members}, n.client, o.Clock, n.metrics.executor)
+	n.router = executor.NewRouter(s.Instance.ID, s.Peer.Address, homeLookup{n.members}, n.client, o.Clock, n.metrics.executor)
 	n.router.Register(n.peers)
-	n.limits = n.newLimits()
+	n.quotaGuard = n.newQuotaGuard()
 	n.callers = n.protocol.Callers(CallerParts{
-		Executor:   quota.Executor{Executor: n.router, Guard: n.limits, Clock: o.Clock},
+		Executor:   quota.Executor{Executor: n.router, Guard: n.quotaGuard, Clock: o.Clock},
 		EndUnits:   n.router.EndUnits,
 		Clock:      o.Clock,
 		Logger:     o.Logger,
@@ -160,10 +162,10 @@
 	})
 	n.serveWitness()
 	n.serveReach()
-	n.serveFar()
+	n.serveDomainProbes()
 	n.holder = n.newHolder()
-	n.seats = shares.NewDirectory(n.holder.Incarnation)
-	n.seats.Register(n.peers)
+	n.shareDirectory = shares.NewDirectory(n.holder.Incarnation)
+	n.shareDirectory.Register(n.peers)
 	n.admin = n.newAdmin()
 }
 
@@ -177,8 +179,8 @@
 	}
 }
 
-// newHolder names this process. The incarnation differs for every process, also
-// of one instance, as long as the seed does.
+// newHolder returns the identity of this process. The incarnation differs between
+// processes, including those of the same instance, as long as their seeds differ.
 func (n *Instance) newHolder() shares.Holder {
 	s := n.options.Settings
 	return shares.Holder{
@@ -189,41 +191,41 @@
 	}
 }
 
-// Run serves until ctx ends, then shuts down gracefully. It returns an error
-// when the instance could not start.
+// Run serves until ctx ends or a drain is requested, then shuts down gracefully. It returns
+// an error if the instance could not start or the drain was incomplete.
 func (n *Instance) Run(ctx context.Context) error {
 	callers, peers, err := n.listen()
 	if err != nil {
 		return err
 	}
-	// Parts outlive ctx: the drain still needs them.
-	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The background context outlives ctx: the drain still needs what runs under it.
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	n.documents.Subscribe(n.noteChange)
-	n.members.Subscribe(n.noteChange)
-	n.members.Subscribe(n.limits.Observe)
-	n.running.Go(func() { n.follow(parts) })
-	n.running.Go(func() { _ = n.documents.Run(parts) })
-	n.reconciling.Go(func() { n.runHomes(parts) })
-	n.running.Go(func() { n.serveAdmin(parts) })
-	n.running.Go(func() { n.serveReady(parts) })
-	n.running.Go(func() { n.serveMetrics(parts) })
-	n.running.Go(func() { n.watchReach(parts) })
-	n.running.Go(func() { n.farWatch(parts) })
-	n.running.Go(func() { n.limits.Run(parts) })
+	n.documents.Subscribe(n.requestReconcile)
+	n.members.Subscribe(n.requestReconcile)
+	n.members.Subscribe(n.quotaGuard.Observe)
+	n.running.Go(func() { n.followInstances(background) })
+	n.running.Go(func() { _ = n.documents.Run(background) })
+	n.reconciling.Go(func() { n.runHomes(background) })
+	n.running.Go(func() { n.serveAdmin(background) })
+	n.running.Go(func() { n.serveReadiness(background) })
+	n.running.Go(func() { n.serveMetrics(background) })
+	n.running.Go(func() { n.watchReach(background) })
+	n.running.Go(func() { n.watchOtherDomains(background) })
+	n.running.Go(func() { n.quotaGuard.Run(background) })
 	n.running.Go(func() { _ = n.peers.Serve(peers) })
 	n.running.Go(func() { _ = n.callers.Serve(callers) })
 	select {
 	case <-ctx.Done():
-	case <-n.stop:
+	case <-n.drainRequested:
 	}
 	err = n.drain(callers)
 	n.shutdown(peers, stop)
 	return err
 }
 
-// follow keeps the list of instances up to date.
-func (n *Instance) follow(ctx context.Context) {
+// followInstances keeps the list of instances up to date.
+func (n *Instance) followInstances(ctx context.Context) {
 	if n.registry != nil {
 		n.registry.Run(ctx)
 		return
@@ -231,8 +233,9 @@
 	_ = n.members.Run(ctx)
 }
 
-// withdraw takes the instance off the list that it keeps itself on.
-func (n *Instance) withdraw(ctx context.Context) {
+// withdrawEntry removes the instance's own entry from the list, if the instance maintains
+// it.
+func (n *Instance) withdrawEntry(ctx context.Context) {
 	if n.registry == nil {
 		return
 	}
@@ -241,8 +244,8 @@
 	}
 }
 
-// serveAdmin runs the administration API. Without it the instance still serves
-// callers, so a failure is logged and ends nothing else.
+// serveAdmin runs the administration API. The instance can serve callers without it, so an
+// error is only logged.
 func (n *Instance) serveAdmin(ctx context.Context) {
 	if n.options.Settings.Admin.Address == "" {
 		return
@@ -265,45 +268,46 @@
 	return callers, peers, nil
 }
 
-// drain finishes what is at work for callers and peers.
+// drain waits until the running requests of callers and peers have ended.
 func (n *Instance) drain(callers net.Listener) error {
 	n.options.Logger.Info("Drain begins.")
-	n.leaving.Store(true)
+	n.draining.Store(true)
 	limits := n.options.Settings.Drain
 	ctx, cancel := context.WithTimeout(context.Background(), cmp.Or(limits.Timeout, defaultDrainTimeout))
 	defer cancel()
-	// Callers still come, and peers still send units here, until the balancer has
-	// seen that the instance is not ready.
+	// Callers still connect, and peers still send units, until the balancer has noticed
+	// that the instance is not ready.
 	_ = clock.Sleep(ctx, n.options.Clock, limits.Linger)
 	if !n.protocol.MemberShares {
 		n.members.SetDraining()
 	}
-	// Callers that connect now are told to go elsewhere; the listener closes last.
+	// From now on, callers that connect are told to use another instance; the listener is
+	// closed last.
 	err := n.callers.Drain(ctx)
-	// Where every instance is a home, those that are left go on at this one: sent
-	// elsewhere, they would open connections there for their last statements.
+	// Where every instance is a home, the remaining callers are served by this instance
+	// until here: sending their last statements elsewhere would open connections there.
 	n.members.SetDraining()
 	err = errors.Join(err, n.router.Drain(ctx))
 	callers.Close()
-	// Peers that still send units here are told to go elsewhere; closing at once
-	// would cut the units that are on their way.
+	// Peers that still send units are told to use another instance; closing the
+	// connections at once would lose the units in flight.
 	_ = clock.Sleep(ctx, n.options.Clock, peerLinger)
 	n.options.Logger.Info("Drain has ended.", "error", err)
 	return err
 }
 
-// shutdown gives everything back.
+// shutdown stops all homes and servers and releases the shares.
 func (n *Instance) shutdown(peers net.Listener, stop context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	// A home is stopped by one hand only: here, or where it was retired.
+	// Only one goroutine may stop a home: this one, or the one that retired it.
 	stop()
 	n.reconciling.Wait()
 	for _, h := range n.homesCopy() {
 		n.stopHome(ctx, h)
 	}
 	n.callers.Close()
-	n.withdraw(ctx)
+	n.withdrawEntry(ctx)
 	peers.Close()
 	n.peers.Close()
 	n.client.Close()
@@ -313,21 +317,21 @@
 func (n *Instance) home(group string) *home {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.homeOf[group]
+	return n.homesByGroup[group]
 }
 
 func (n *Instance) homesCopy() map[string]*home {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make(map[string]*home, len(n.homeOf))
-	for name, h := range n.homeOf {
+	all := make(map[string]*home, len(n.homesByGroup))
+	for name, h := range n.homesByGroup {
 		all[name] = h
 	}
 	return all
 }
 
-// service returns the document in force for a group; one without bounds when
-// the document was withdrawn while units were at work.
+// service returns the document in force for a group. If the document was withdrawn while
+// units were running, it returns an empty one, which has no limits.
 func (n *Instance) service(group string) *document.Service {
 	s, ok := n.documents.FindService(group)
 	if !ok {
--- a/internal/instance/invariants_test.go
+++ b/internal/instance/invariants_test.go
@@ -8,12 +8,12 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// verdict checks what must hold at the end of a run, when faults are healed.
-func (l *load) verdict() []string {
+// checkInvariants returns the violations at the end of a run, when faults are healed.
+func (l *load) checkInvariants() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := append([]string(nil), l.faults...)
-	rows := l.bed.finalRows()
+	violations := append([]string(nil), l.violations...)
+	rows := l.cluster.finalRows()
 	payments := make(map[string]int)
 	for key := range rows {
 		if payment, _, ok := strings.Cut(key, "-try"); ok {
@@ -21,38 +21,37 @@
 		}
 		if half, ok := strings.CutSuffix(key, "a"); ok && strings.HasPrefix(key, "t-") {
 			if _, ok := rows[half+"b"]; !ok {
-				found = append(found, "half a transaction: "+half)
+				violations = append(violations, "partial transaction: "+half)
 			}
 		}
 	}
 	for payment, n := range payments {
 		if n > 1 {
-			found = append(found, fmt.Sprintf("payment %s ran %d times", payment, n))
+			violations = append(violations, fmt.Sprintf("payment %s ran %d times", payment, n))
 		}
 	}
-	for key, f := range l.fates {
+	for key, o := range l.outcomes {
 		_, there := rows[key]
-		if f == fateAcknowledged && !there {
-			found = append(found, "acknowledged and lost: "+key)
+		if o == outcomeAcknowledged && !there {
+			violations = append(violations, "acknowledged but lost: "+key)
 		}
-		if f == fateDidNotRun && there {
-			found = append(found, "told that it did not run, and ran: "+key)
+		if o == outcomeDidNotRun && there {
+			violations = append(violations, "reported as not run, but ran: "+key)
 		}
 	}
-	if l.connections > bedConnections {
-		found = append(found, fmt.Sprintf("%d connections, total %d", l.connections, bedConnections))
+	if l.connections > testConnections {
+		violations = append(violations, fmt.Sprintf("%d connections, total %d", l.connections, testConnections))
 	}
-	return found
+	return violations
 }
 
-// finalRows returns the rows of the group's present primary: the one of the
-// highest term.
-func (b *bed) finalRows() map[string]string {
+// finalRows returns the rows of the group's current primary: the one with the highest term.
+func (tc *testCluster) finalRows() map[string]string {
 	var best *struct {
 		term uint64
 		rows map[string]string
 	}
-	for _, n := range b.nodes {
+	for _, n := range tc.nodes {
 		s := n.Status()
 		if s.Role == member.RolePrimary && (best == nil || uint64(s.Entered) > best.term) {
 			best = &struct {
@@ -67,12 +66,12 @@
 	return best.rows
 }
 
-// sampleConnections keeps the highest number of connections that the members
-// had open at one moment, those for control included.
+// sampleConnections records the maximum number of connections that members had open at one
+// time, including control connections.
 func (l *load) sampleConnections() {
 	for l.ctx.Err() == nil {
 		sum := 0
-		for _, n := range l.bed.nodes {
+		for _, n := range l.cluster.nodes {
 			c := n.Connections()
 			sum += c.Open + c.ControlOpen
 		}
--- a/internal/instance/isolation.go
+++ b/internal/instance/isolation.go
@@ -2,56 +2,61 @@
 
 import "time"
 
-// isolatedAfter is how long every other failure domain must have been silent: more than two
-// questions to each, at another instance every time.
-const isolatedAfter = 200 * time.Millisecond
+// isolationThreshold is how long all other failure domains must have been silent: more than
+// two probes of each, every time at another instance.
+const isolationThreshold = 200 * time.Millisecond
 
-// isolation decides by the answers from other failure domains whether this one is cut off.
+// isolationDetector detects that this failure domain is cut off, from the probe answers of
+// the others.
 //
-// The load pattern is a failure domain that is cut off while its instances ask members only
-// every other second: the balancer goes on sending it callers, and all are refused. One
-// silent machine, member or failure domain is an everyday loss; all other failure domains
-// silent in the same instant are not.
+// It matters because instances probe members only every other second: when a failure domain
+// is cut off, the balancer keeps sending it callers, and all of them are refused. A single
+// instance, member or failure domain that does not answer is an ordinary failure; all other
+// failure domains at the same time are not.
 //
-// Instances that are short of processor time, as all are behind a return or a large manifest,
-// hear nothing for as long, and answer late. Taken for a cut, that would have all of them open
-// every connection to members anew, and be shorter still. So an answer counts when it comes,
-// however late, and time in which this instance did not get to look is no silence. It does
-// no I/O.
-type isolation struct {
-	// heard is when an answer of each other failure domain last came.
-	heard map[string]time.Time
-	// lookedAt is when the silence was last looked at.
-	lookedAt time.Time
-	// suspected says that the present silence was reported.
-	suspected bool
+// Instances that are short of CPU time, as all are after a restart of the fleet or a large
+// manifest, also get no answers for as long, or get them late. If they mistook this for isolation,
+// they would all reopen every connection to members and be even shorter of CPU time.
+// Therefore an answer counts when it arrives, however late, and time in which this instance
+// did not run its checks does not count as silence. It does no I/O.
+type isolationDetector struct {
+	// lastAnswer is when each other failure domain last answered.
+	lastAnswer map[string]time.Time
+	// lastCheck is when detectIsolation was last called.
+	lastCheck time.Time
+	// reported is set once the current silence has been reported.
+	reported bool
 }
 
-func newIsolation() isolation { return isolation{heard: make(map[string]time.Time)} }
+func newIsolationDetector() isolationDetector {
+	return isolationDetector{lastAnswer: make(map[string]time.Time)}
+}
 
-// note takes in that an answer of a failure domain came.
-func (i *isolation) note(domain string, now time.Time) { i.heard[domain] = now }
+// recordAnswer records that a failure domain answered.
+func (d *isolationDetector) recordAnswer(domain string, now time.Time) { d.lastAnswer[domain] = now }
 
-// begins reports whether the silence of all other failure domains has just become long
-// enough. One that has never answered says nothing. It is called each farInterval.
-func (i *isolation) begins(now time.Time) bool {
-	i.leaveOut(now)
-	silent := len(i.heard) > 0
-	for _, heard := range i.heard {
-		silent = silent && now.Sub(heard) > isolatedAfter
+// detectIsolation reports whether all other failure domains have just become silent for
+// longer than isolationThreshold. It returns true once per silence. A failure domain that
+// has never answered is not considered. It must be called every domainProbeInterval.
+func (d *isolationDetector) detectIsolation(now time.Time) bool {
+	d.excludeOwnDelay(now)
+	silent := len(d.lastAnswer) > 0
+	for _, last := range d.lastAnswer {
+		silent = silent && now.Sub(last) > isolationThreshold
 	}
-	begins := silent && !i.suspected
-	i.suspected = silent
-	return begins
+	startsNow := silent && !d.reported
+	d.reported = silent
+	return startsNow
 }
 
-// leaveOut leaves out of every silence by how much this look comes late.
-func (i *isolation) leaveOut(now time.Time) {
-	late := now.Sub(i.lookedAt) - farInterval
-	if !i.lookedAt.IsZero() && late > 0 {
-		for domain, heard := range i.heard {
-			i.heard[domain] = heard.Add(late)
+// excludeOwnDelay subtracts the delay of this check from the silence of each failure
+// domain.
+func (d *isolationDetector) excludeOwnDelay(now time.Time) {
+	late := now.Sub(d.lastCheck) - domainProbeInterval
+	if !d.lastCheck.IsZero() && late > 0 {
+		for domain, last := range d.lastAnswer {
+			d.lastAnswer[domain] = last.Add(late)
 		}
 	}
-	i.lookedAt = now
+	d.lastCheck = now
 }
--- a/internal/instance/random.go
+++ b/internal/instance/random.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// random returns a source of its own for one part, so that parts need no common
-// lock and a seed makes every part repeatable.
-func (n *Instance) random(part string) *rand.Rand {
-	name := n.options.Settings.Instance.ID + "/" + part
+// random returns a separate random source for a component, so that components share no lock
+// and one seed makes each of them reproducible.
+func (n *Instance) random(component string) *rand.Rand {
+	name := n.options.Settings.Instance.ID + "/" + component
 	return rand.New(rand.NewPCG(n.options.Seed, xxhash.Sum64String(name)))
 }
--- a/internal/instance/reach.go
+++ b/internal/instance/reach.go
@@ -3,82 +3,84 @@
 import "time"
 
 const (
-	// cutOffAfter is how long an instance must have reached only minorities before it
-	// takes itself for cut off: long against the loss of one member, whose probes
-	// fail one by one.
+	// cutOffAfter is how long an instance must reach only minorities before it considers
+	// itself cut off. It is long compared with the loss of one member, whose probes fail
+	// one after another.
 	cutOffAfter = 300 * time.Millisecond
-	// backAfter is how long it must reach majorities again before callers are asked
-	// to come: a link that flaps would else bring them back too soon.
-	backAfter = 300 * time.Millisecond
-	// dismissAfter is when idle callers are sent elsewhere, counted from when the
-	// instance is not ready: the balancer needs two probes a second apart, and one
-	// that reconnects before would come back here.
+	// restoreAfter is how long the instance must reach majorities again before callers are
+	// accepted: a flapping link would otherwise bring them back too early.
+	restoreAfter = 300 * time.Millisecond
+	// dismissAfter is when idle callers are disconnected, counted from when the instance
+	// became not ready. The balancer needs two probes one second apart to notice; a caller
+	// that reconnects earlier would be sent back here.
 	dismissAfter = 2200 * time.Millisecond
-	// hintCounts is how long a hint that all links fell silent at once spares cutOffAfter:
-	// the time in which members that are asked at once have answered or are silent, by slow
-	// answers of late.
-	hintCounts = 1500 * time.Millisecond
+	// hintValidity is how long a hint that all links became silent at once makes
+	// cutOffAfter unnecessary. In this time, members that are probed at once have answered
+	// or timed out, even if recent answers were slow.
+	hintValidity = 1500 * time.Millisecond
 )
 
-// reach decides whether an instance is cut off from the groups: it reaches less than a
-// majority of the members of most of them. It can then confirm nothing, whatever the
-// others do, and its callers are better served elsewhere. One group that is down says
-// nothing of the instance. It does no I/O.
-type reach struct {
-	// changed is when what is reached last changed between minorities and majorities;
-	// minority is what it changed to.
-	changed  time.Time
-	minority bool
-	// cutOff is the present verdict, since when, and whether idle callers were sent
-	// elsewhere since then.
-	cutOff    bool
-	since     time.Time
-	dismissed bool
-	// hintedAt is when all links were last found to have fallen silent at once.
+// reachDetector decides whether an instance is cut off from the groups: for most of them it
+// reaches less than a majority of the members. It can then confirm nothing, whatever the
+// other instances do, and its callers are better served elsewhere. A single group that is
+// down does not mean that the instance is cut off. It does no I/O.
+type reachDetector struct {
+	// changedAt is when reachability last changed between minorities and majorities, and
+	// minority is the current value.
+	changedAt time.Time
+	minority  bool
+	// cutOff is set while the instance is cut off, cutOffSince is when that began, and
+	// dismissed is set if idle callers have been disconnected since then.
+	cutOff      bool
+	cutOffSince time.Time
+	dismissed   bool
+	// hintedAt is when all links were last found to have become silent at once.
 	hintedAt time.Time
 }
 
-// hint notes that all links fell silent at once.
-func (r *reach) hint(now time.Time) { r.hintedAt = now }
+// hint records that all links became silent at once.
+func (d *reachDetector) hint(now time.Time) { d.hintedAt = now }
 
-// hinted reports whether a hint counts.
-func (r *reach) hinted(now time.Time) bool { return now.Sub(r.hintedAt) < hintCounts }
+// hintActive reports whether the last hint is still valid.
+func (d *reachDetector) hintActive(now time.Time) bool { return now.Sub(d.hintedAt) < hintValidity }
 
-// reachEvent is what follows from a look at the groups.
+// reachEvent is the result of a reachability check.
 type reachEvent int
 
-// Events.
+// Results of a reachability check.
 const (
-	reachSame reachEvent = iota
+	reachUnchanged reachEvent = iota
 	reachLost
-	reachBack
-	// reachDismiss asks that idle callers be sent elsewhere.
-	reachDismiss
+	reachRestored
+	// reachDismissCallers means that idle callers must be disconnected, so that they
+	// reconnect to other instances.
+	reachDismissCallers
 )
 
-// note takes in how many of the groups are reached by a majority.
-func (r *reach) note(now time.Time, groups, reached int) reachEvent {
+// update evaluates a check that reached a majority of the members in reached of the given
+// number of groups.
+func (d *reachDetector) update(now time.Time, groups, reached int) reachEvent {
 	minority := groups > 0 && 2*reached < groups
-	if groups == 0 && r.cutOff {
-		// Nobody can tell any more, which is no sign that the cut is over. A single instance
-		// that took callers again would bring its whole failure domain back into the
-		// balancer, which uses all instances where few are ready.
+	if groups == 0 && d.cutOff {
+		// No information does not mean that the cut is over. A single instance that
+		// accepted callers again would bring its whole failure domain back into the
+		// balancer, which uses all instances of a failure domain where few are ready.
 		minority = true
 	}
-	if minority != r.minority {
-		r.minority, r.changed = minority, now
+	if minority != d.minority {
+		d.minority, d.changedAt = minority, now
 	}
-	held := now.Sub(r.changed)
+	elapsed := now.Sub(d.changedAt)
 	switch {
-	case minority && !r.cutOff && (held >= cutOffAfter || r.hinted(now)):
-		r.cutOff, r.since, r.dismissed = true, now, false
+	case minority && !d.cutOff && (elapsed >= cutOffAfter || d.hintActive(now)):
+		d.cutOff, d.cutOffSince, d.dismissed = true, now, false
 		return reachLost
-	case !minority && r.cutOff && held >= backAfter:
-		r.cutOff = false
-		return reachBack
-	case r.cutOff && !r.dismissed && now.Sub(r.since) >= dismissAfter:
-		r.dismissed = true
-		return reachDismiss
+	case !minority && d.cutOff && elapsed >= restoreAfter:
+		d.cutOff = false
+		return reachRestored
+	case d.cutOff && !d.dismissed && now.Sub(d.cutOffSince) >= dismissAfter:
+		d.dismissed = true
+		return reachDismissCallers
 	}
-	return reachSame
+	return reachUnchanged
 }
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// reachInterval is how often the instance looks at what it reaches, and hintedInterval
-	// how often as long as a hint counts.
-	reachInterval  = 100 * time.Millisecond
-	hintedInterval = 20 * time.Millisecond
+	// reachInterval is the time between two reachability checks, and hintedReachInterval
+	// the time between them while a hint is valid.
+	reachInterval       = 100 * time.Millisecond
+	hintedReachInterval = 20 * time.Millisecond
 )
 
-// dismisser is a side of callers that can send idle ones elsewhere.
+// dismisser is implemented by Callers that can disconnect idle callers, so that they
+// reconnect to other instances.
 type dismisser interface{ Dismiss() }
 
-// sleepOr waits for a time or until it is woken, and says which; ctx ends it with an error.
-func (n *Instance) sleepOr(ctx context.Context, d time.Duration, wake <-chan struct{}) (woken bool, err error) {
+// sleepOrWake waits for d or until it is woken, and reports whether it was woken. It
+// returns an error when ctx ends.
+func (n *Instance) sleepOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) (woken bool, err error) {
 	t := n.options.Clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -29,34 +31,34 @@
 	}
 }
 
-// watchReach keeps the instance's verdict on whether it is cut off, until ctx ends.
+// watchReach checks reachability and maintains cutOff until ctx ends.
 func (n *Instance) watchReach(ctx context.Context) {
-	var r reach
-	var peers peersReach
-	n.running.Go(func() { n.askReach(ctx, &peers) })
+	var detector reachDetector
+	var peers peerReach
+	n.running.Go(func() { n.pollPeerReach(ctx, &peers) })
 	interval := reachInterval
 	for {
-		hinted, err := n.sleepOr(ctx, interval, n.lookReach)
+		hinted, err := n.sleepOrWake(ctx, interval, n.wakeReach)
 		if err != nil {
 			return
 		}
 		now := n.options.Clock.Now()
 		if hinted {
-			r.hint(now)
+			detector.hint(now)
 		}
 		interval = reachInterval
-		if r.hinted(now) {
-			interval = hintedInterval
+		if detector.hintActive(now) {
+			interval = hintedReachInterval
 		}
 		sum := n.ownReach().plus(peers.get())
-		switch r.note(now, sum.Groups, sum.Reached) {
+		switch detector.update(now, sum.Groups, sum.Reached) {
 		case reachLost:
 			n.cutOff.Store(true)
 			n.options.Logger.Warn("Instance is cut off from most groups.", "groups", sum.Groups, "reached", sum.Reached)
-		case reachBack:
+		case reachRestored:
 			n.cutOff.Store(false)
 			n.options.Logger.Info("Instance reaches most groups again.", "groups", sum.Groups, "reached", sum.Reached)
-		case reachDismiss:
+		case reachDismissCallers:
 			if d, ok := n.callers.(dismisser); ok {
 				d.Dismiss()
 				n.options.Logger.Info("Idle callers are sent elsewhere.")
