--- a/internal/standin/bench/apply.go
+++ b/internal/standin/bench/apply.go
@@ -13,9 +13,9 @@
 	applyPoll    = 20 * time.Millisecond
 )
 
-// apply gives the service document to the first instance, as an operator does,
-// and waits until every instance is ready.
-func (f *fleet) apply(all []*settings.Settings, text string) error {
+// applyDocument applies the service document through the admin API of the first
+// instance, as an operator does, and waits until every instance is ready.
+func (f *fleet) applyDocument(all []*settings.Settings, text string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 	first := adminclient.New(all[0].Admin.Address, "", "bench")
--- a/internal/standin/bench/baselines.go
+++ b/internal/standin/bench/baselines.go
@@ -8,33 +8,33 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Baseline names a simpler design that runs in the product's place.
+// Baseline names a simpler design that replaces part of topazrock for comparison.
 type Baseline string
 
 // Baselines that a run can measure.
 const (
-	// BaselineOwnWord acknowledges a write as soon as the primary answered it.
-	BaselineOwnWord Baseline = "own-word"
-	// BaselinePrimaryReads sends every read that must be fresh to the primary.
+	// BaselinePrimaryAck acknowledges a write as soon as the primary answered it.
+	BaselinePrimaryAck Baseline = "own-word"
+	// BaselinePrimaryReads sends every fresh read to the primary.
 	BaselinePrimaryReads Baseline = "primary-reads"
-	// BaselineNaive does both.
+	// BaselineNaive combines BaselinePrimaryAck and BaselinePrimaryReads.
 	BaselineNaive Baseline = "naive"
 )
 
 var baselines = map[Baseline]func(group.Tracker) group.Tracker{
 	"":                   nil,
-	BaselineOwnWord:      func(t group.Tracker) group.Tracker { return ownWord{t} },
+	BaselinePrimaryAck:   func(t group.Tracker) group.Tracker { return primaryAck{t} },
 	BaselinePrimaryReads: func(t group.Tracker) group.Tracker { return primaryReads{t} },
-	BaselineNaive:        func(t group.Tracker) group.Tracker { return primaryReads{ownWord{t}} },
+	BaselineNaive:        func(t group.Tracker) group.Tracker { return primaryReads{primaryAck{t}} },
 }
 
-// ownWord takes the primary's answer for a confirmation.
-type ownWord struct{ group.Tracker }
+// primaryAck is a tracker that treats the primary's response as confirmation.
+type primaryAck struct{ group.Tracker }
 
 // Confirm implements group.Tracker.
-func (ownWord) Confirm(context.Context, logpos.Mark) error { return nil }
+func (primaryAck) Confirm(context.Context, logpos.Mark) error { return nil }
 
-// primaryReads asks for a position that no replica reaches.
+// primaryReads is a tracker whose barrier is a position that no replica reaches.
 type primaryReads struct{ group.Tracker }
 
 // Barrier implements group.Tracker.
--- a/internal/standin/bench/baselines_test.go
+++ b/internal/standin/bench/baselines_test.go
@@ -8,15 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// The primary dies while its replicas lag. A design that acknowledges on the
-// primary's word alone has told callers of writes that died with it; here the
-// callers are told only of writes that a replica holds. The bench must see both.
-func TestOwnWordLosesWritesThatConfirmationKeeps(t *testing.T) {
-	for baseline, loses := range map[Baseline]bool{"": false, BaselineOwnWord: true} {
+// The primary is killed while its replicas lag. If the primary's response alone is
+// enough to acknowledge a write, acknowledged writes are lost with the primary;
+// topazrock acknowledges only writes that a replica holds. The bench must detect the
+// loss in the first case and find none in the second.
+func TestPrimaryAckLosesWritesThatConfirmationKeeps(t *testing.T) {
+	for baseline, loses := range map[Baseline]bool{"": false, BaselinePrimaryAck: true} {
 		is := is.New(t)
 		r, err := Run(t.Context(), Config{
 			Profile: ProfileLentes, Duration: 2 * time.Second, Seed: 1, Fault: FaultPrimaryKill, Baseline: baseline,
-			Sessions: 12, Think: 10 * time.Millisecond, Lag: 200 * time.Millisecond, Cost: DefaultCost,
+			Sessions: 12, Think: 10 * time.Millisecond, Lag: 200 * time.Millisecond, Cost: DefaultStatementCost,
 			Say: io.Discard, Logs: io.Discard, small: true,
 		})
 		is.NoErr(err)
--- a/internal/standin/bench/bench.go
+++ b/internal/standin/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench drives real PostgreSQL clients whose sessions roam between the
-// entry instances, places faults, and checks what the callers were told against
-// what the group holds at the end.
+// Package bench runs PostgreSQL clients whose sessions move between the entry
+// instances, injects faults, and compares the responses that the callers received
+// with the final data of each group.
 package bench
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// Fault names what happens half way through a run.
+// Fault names the fault that is injected halfway through a run.
 type Fault string
 
-// Faults that a run can place.
+// Faults that a run can inject.
 const (
 	FaultNone         Fault = "none"
 	FaultPrimaryKill  Fault = "primary-kill"
@@ -29,84 +29,85 @@
 	FaultReplicaLag   Fault = "replica-lag"
 )
 
-// DefaultCost is how long a member works on a statement unless told otherwise.
-const DefaultCost = 500 * time.Microsecond
+// DefaultStatementCost is the default time that a member takes to execute a statement.
+const DefaultStatementCost = 500 * time.Microsecond
 
 const (
-	// farBehind is the lag of the one slow replica of FaultReplicaLag.
-	farBehind = time.Minute
-	// warmUp is how long the fleet runs before the load begins.
+	// slowReplicaLag is the lag that FaultReplicaLag gives to one replica of each group.
+	slowReplicaLag = time.Minute
+	// warmUp is how long the fleet runs before the load starts.
 	warmUp = time.Second
-	// longPause is half of the time after which a primary is suspected.
-	longPause = 75 * time.Millisecond
-	// betweenPauses lets the probes succeed again.
-	betweenPauses = 300 * time.Millisecond
-	// betweenFaults is how long a whole group rests before the next fault.
-	betweenFaults = time.Second
-	// gapTimeout bounds the wait for writes to work again.
-	gapTimeout = 20 * time.Second
-	// faultGroup is the group whose primary is lost.
+	// pauseDuration is how long a primary is paused: half of the time after which an
+	// unresponsive primary is suspected.
+	pauseDuration = 75 * time.Millisecond
+	// pauseInterval is the time between two pauses, enough for probes to succeed again.
+	pauseInterval = 300 * time.Millisecond
+	// faultInterval is the time between the recovery of a group and the next fault.
+	faultInterval = time.Second
+	// writesTimeout limits the wait for writes to succeed again after a fault.
+	writesTimeout = 20 * time.Second
+	// faultGroup is the index of the group whose primary is killed, cut off or paused.
 	faultGroup = 0
 )
 
-// Config sets up one run.
+// Config configures one run.
 type Config struct {
 	Profile  string
 	Duration time.Duration
 	Seed     uint64
 	Fault    Fault
-	// Baseline is the other design that is measured, if any.
+	// Baseline is the simpler design to measure instead; empty for none.
 	Baseline Baseline
-	// Fleets is how many fleets are run one after the other, with seeds that
-	// follow each other; zero is one.
+	// Fleets is the number of fleets that are run in sequence, with consecutive
+	// seeds. Zero means one.
 	Fleets int
-	// Repeat is how often the primary is lost or paused, one after the other.
+	// Repeat is the number of times that the primary is failed or paused, in sequence.
 	Repeat int
-	// Sessions is the number of callers, and Think their mean pause.
+	// Sessions is the number of callers, and Think their mean pause between requests.
 	Sessions int
 	Think    time.Duration
 	// Lag is the replication lag of every replica.
 	Lag time.Duration
-	// Cost is how long a member works on a statement.
+	// Cost is the time that a member takes to execute a statement.
 	Cost time.Duration
-	// Instances is how many entry instances run; zero for those of today.
+	// Instances is the number of entry instances; zero means the profile's number.
 	Instances int
-	// Say takes what happens in plain words; Logs the instances' logs.
+	// Say receives progress messages, and Logs the logs of the instances.
 	Say, Logs io.Writer
-	// small is the demo's size: one group and an instance in each domain.
+	// small limits the fleet to one group and one instance per failure domain.
 	small bool
 }
 
-// ErrBadConfig says that a profile, fault or baseline is not known.
+// ErrBadConfig reports an unknown profile, fault or baseline.
 var ErrBadConfig = errors.New("unknown profile, fault or baseline")
 
-// bench is one run.
+// bench is the state of one run.
 type bench struct {
 	*fleet
-	config Config
-	ledger *ledger
-	others *recent
-	gaps   []gap
-	// before holds the counters at the moment when the load began.
-	before counters
-	// falsePromotions counts terms that began although no primary was lost.
+	config       Config
+	history      *history
+	recentWrites *recentWrites
+	gaps         []gap
+	// countersBefore holds the counters at the start of the load.
+	countersBefore counters
+	// falsePromotions counts the terms that began although no primary had failed.
 	falsePromotions int
 }
 
-// Run runs the bench and returns its report.
+// Run runs the configured number of fleets and returns their combined report.
 func Run(ctx context.Context, c Config) (*Report, error) {
 	sum, err := runFleet(ctx, c)
 	for i := 1; i < c.Fleets && err == nil; i++ {
 		c.Seed++
 		var r *Report
 		if r, err = runFleet(ctx, c); r != nil {
-			sum.add(r)
+			sum.addFleet(r)
 		}
 	}
 	return sum, err
 }
 
-// runFleet runs one fleet and returns its report.
+// runFleet runs a single fleet and returns its report.
 func runFleet(ctx context.Context, c Config) (*Report, error) {
 	p, ok := profiles[c.Profile]
 	switch c.Fault {
@@ -129,38 +130,38 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{fleet: f, config: c, ledger: newLedger(), others: &recent{groups: map[int][]entry{}}}
+	b := &bench{fleet: f, config: c, history: newHistory(), recentWrites: &recentWrites{byGroup: map[int][]writeRecord{}}}
 	return b.run(ctx)
 }
 
 func (b *bench) run(ctx context.Context) (*Report, error) {
-	b.say("Started the platform, %d groups of %d members and %d instances in %d failure domains (seed %d).",
+	b.printProgress("Started the platform, %d groups of %d members and %d instances in %d failure domains (seed %d).",
 		b.profile.groups, len(b.profile.domains), b.profile.instances, len(b.profile.domains), b.config.Seed)
 	pause(ctx, warmUp)
-	b.say("%d callers begin; they roam between the instances.", b.config.Sessions)
+	b.printProgress("%d callers begin; they roam between the instances.", b.config.Sessions)
 	began := time.Now()
-	b.before = b.count()
+	b.countersBefore = b.readCounters()
 	load, stop := context.WithCancel(ctx)
 	defer stop()
 	var callers sync.WaitGroup
 	for i := range b.config.Sessions {
-		s := b.session(i)
+		s := b.newSession(i)
 		callers.Go(func() { s.run(load, b.config.Think) })
 	}
 	pause(ctx, b.config.Duration/2)
-	err := b.placeFaults(ctx)
+	err := b.injectFault(ctx)
 	pause(ctx, b.config.Duration/2)
 	stop()
 	callers.Wait()
-	took := time.Since(began)
-	b.say("The callers have ended; now every acknowledged write is looked for.")
+	elapsed := time.Since(began)
+	b.printProgress("The callers have ended; now every acknowledged write is looked for.")
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return b.report(took), err
+	return b.newReport(elapsed), err
 }
 
-func (b *bench) session(i int) *session {
+func (b *bench) newSession(i int) *session {
 	return &session{
 		bench: b,
 		rng:   rand.New(rand.NewPCG(b.config.Seed, uint64(i))),
@@ -170,9 +171,9 @@
 }
 
 // dial opens a caller's connection to an entry instance.
-func (b *bench) dial(ctx context.Context, entry, group int, token string) (*pgx.Conn, error) {
+func (b *bench) dial(ctx context.Context, instance, group int, token string) (*pgx.Conn, error) {
 	c, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable",
-		b.profile.user, password, b.entries[entry], b.profile.groupName(group)))
+		b.profile.user, password, b.entryAddresses[instance], b.profile.groupName(group)))
 	if err != nil {
 		return nil, err
 	}
@@ -185,4 +186,6 @@
 	return pgx.ConnectConfig(ctx, c)
 }
 
-func (b *bench) say(format string, args ...any) { fmt.Fprintf(b.config.Say, format+"\n", args...) }
+func (b *bench) printProgress(format string, args ...any) {
+	fmt.Fprintf(b.config.Say, format+"\n", args...)
+}
--- a/internal/standin/bench/demo.go
+++ b/internal/standin/bench/demo.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sizes of the demo.
+// Parameters of the demo.
 const (
 	demoDuration = 20 * time.Second
 	demoSessions = 24
@@ -15,12 +15,12 @@
 	demoLag      = 20 * time.Millisecond
 )
 
-// Demo runs one group, three instances and roaming callers, kills the primary
-// half way, and tells in plain words what happened.
+// Demo runs one group, three instances and callers that move between the instances,
+// kills the primary halfway through, and prints a readable summary to out.
 func Demo(ctx context.Context, seed uint64, out, logs io.Writer) (*Report, error) {
 	r, err := Run(ctx, Config{
 		Profile: ProfileLigacaoSul, Duration: demoDuration, Seed: seed, Fault: FaultPrimaryKill,
-		Sessions: demoSessions, Think: demoThink, Lag: demoLag, Cost: DefaultCost, Say: out, Logs: logs, small: true,
+		Sessions: demoSessions, Think: demoThink, Lag: demoLag, Cost: DefaultStatementCost, Say: out, Logs: logs, small: true,
 	})
 	if r != nil {
 		fmt.Fprint(out, r.Words())
--- a/internal/standin/bench/faults.go
+++ b/internal/standin/bench/faults.go
@@ -8,35 +8,36 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// gap is how long writes were impossible after one loss of a primary.
+// gap is the period without successful writes after the failure of a primary.
 type gap struct {
 	total time.Duration
-	// claimer is how its claimer saw the failover, phase by phase.
-	claimer failover.Gap
+	// phases holds the durations of the failover's phases, as measured by its claimer.
+	phases failover.Gap
 }
 
-// placeFaults places the configured fault, as often as configured.
-func (b *bench) placeFaults(ctx context.Context) error {
+// injectFault injects the configured fault. A failed or paused primary is repeated
+// as often as configured.
+func (b *bench) injectFault(ctx context.Context) error {
 	switch b.config.Fault {
 	case FaultPrimaryKill, FaultPrimaryCut:
-		return b.losePrimaries(ctx)
+		return b.failPrimaries(ctx)
 	case FaultPrimaryPause:
-		return b.pausePrimaries(ctx)
+		return b.pausePrimary(ctx)
 	case FaultPlatformDown:
-		b.say("The platform is down from now on.")
+		b.printProgress("The platform is down from now on.")
 		b.store.SetFaults(standin.Faults{Outage: true})
 	case FaultReplicaLag:
-		b.say("One replica of each group falls a minute behind from now on.")
+		b.printProgress("One replica of each group falls a minute behind from now on.")
 		for g, nodes := range b.nodes {
-			nodes[(b.primary(g)+1)%len(nodes)].SetReplicationLag(farBehind)
+			nodes[(b.primary(g)+1)%len(nodes)].SetReplicationLag(slowReplicaLag)
 		}
 	}
 	return nil
 }
 
-func (b *bench) losePrimaries(ctx context.Context) error {
+func (b *bench) failPrimaries(ctx context.Context) error {
 	prober := newProber(b, faultGroup)
-	prober.warm(ctx)
+	prober.openConnections(ctx)
 	probing, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -46,100 +47,101 @@
 	var err error
 	for i := 0; i < max(1, b.config.Repeat) && err == nil && ctx.Err() == nil; i++ {
 		last := i+1 >= b.config.Repeat
-		err = b.losePrimary(ctx, last)
+		err = b.failPrimary(ctx, last)
 	}
 	stop()
 	<-ended
-	prober.close()
+	prober.closeConnections()
 	return err
 }
 
-// losePrimary loses the primary once and waits until writes work again. Unless
-// it is the last time, the member comes back and the group becomes whole.
-func (b *bench) losePrimary(ctx context.Context, last bool) error {
-	lost := b.primary(faultGroup)
-	node, domain := b.nodes[faultGroup][lost], b.domains[host(b.members[faultGroup][lost])]
-	b.forgetFailovers()
+// failPrimary kills the primary or cuts it off, and waits until writes succeed again.
+// Unless this is the last repetition, it then restores the member and waits until all
+// members follow one primary.
+func (b *bench) failPrimary(ctx context.Context, last bool) error {
+	primary := b.primary(faultGroup)
+	node, domain := b.nodes[faultGroup][primary], b.domainOf[host(b.memberAddresses[faultGroup][primary])]
+	b.discardFailovers()
 	undo := node.Restart
 	if b.config.Fault == FaultPrimaryKill {
-		b.say("The primary %s of %s is killed.", b.members[faultGroup][lost], b.profile.groupName(faultGroup))
+		b.printProgress("The primary %s of %s is killed.", b.memberAddresses[faultGroup][primary], b.profile.groupName(faultGroup))
 		node.Kill()
 	} else {
-		b.say("The failure domain %s of the primary %s is cut off.", domain, b.members[faultGroup][lost])
-		inside, outside := b.sides(domain)
-		b.wan.faults.Partition(inside, outside)
+		b.printProgress("The failure domain %s of the primary %s is cut off.", domain, b.memberAddresses[faultGroup][primary])
+		inside, outside := b.splitHosts(domain)
+		b.wan.links.Partition(inside, outside)
 		undo = func() error {
-			b.wan.faults.Join(inside, outside)
+			b.wan.links.Join(inside, outside)
 			return nil
 		}
 	}
-	// A write that began before the fault was whole may still be confirmed by
-	// what was on its way, so the gap begins here.
-	now := time.Now()
-	b.ledger.markGap(faultGroup, now)
-	err := b.awaitWrites(ctx, now)
+	// A write that began before the fault was fully injected may still be confirmed
+	// by messages in flight, so the gap begins here.
+	lostAt := time.Now()
+	b.history.beginGap(faultGroup, lostAt)
+	err := b.awaitWrites(ctx, lostAt)
 	if last || err != nil {
 		return err
 	}
 	if err := undo(); err != nil {
 		return err
 	}
-	err = b.awaitWhole(ctx, faultGroup)
-	pause(ctx, betweenFaults)
+	err = b.awaitConvergence(ctx, faultGroup)
+	pause(ctx, faultInterval)
 	return err
 }
 
-// pausePrimaries freezes a primary again and again for less than it takes to
-// suspect it, and counts the terms that begin all the same.
-func (b *bench) pausePrimaries(ctx context.Context) error {
-	before := b.term(faultGroup)
-	b.say("The primary of %s is paused %d times for %v.", b.profile.groupName(faultGroup), b.config.Repeat, longPause)
+// pausePrimary repeatedly freezes the primary for less than the time after which it
+// is suspected, and counts the terms that begin nevertheless.
+func (b *bench) pausePrimary(ctx context.Context) error {
+	before := b.primaryTerm(faultGroup)
+	b.printProgress("The primary of %s is paused %d times for %v.", b.profile.groupName(faultGroup), b.config.Repeat, pauseDuration)
 	for range b.config.Repeat {
-		lost := host(b.members[faultGroup][b.primary(faultGroup)])
-		b.wan.faults.Freeze(lost)
-		pause(ctx, longPause)
-		b.wan.faults.Thaw(lost)
-		pause(ctx, betweenPauses)
+		primaryHost := host(b.memberAddresses[faultGroup][b.primary(faultGroup)])
+		b.wan.links.Freeze(primaryHost)
+		pause(ctx, pauseDuration)
+		b.wan.links.Thaw(primaryHost)
+		pause(ctx, pauseInterval)
 	}
-	b.falsePromotions = b.term(faultGroup) - before
+	b.falsePromotions = b.primaryTerm(faultGroup) - before
 	return nil
 }
 
-// sides splits all hosts but the callers' into those of a failure domain and
-// the others.
-func (b *bench) sides(domain string) (inside, outside []string) {
+// splitHosts splits all hosts except the callers' into those inside a failure domain
+// and those outside it.
+func (b *bench) splitHosts(domain string) (inside, outside []string) {
 	for _, d := range b.profile.domains {
 		if d != domain {
-			outside = append(outside, b.hosts(d)...)
+			outside = append(outside, b.hostsIn(d)...)
 		}
 	}
-	return b.hosts(domain), append(outside, platformHost)
+	return b.hostsIn(domain), append(outside, platformHost)
 }
 
-func (b *bench) awaitWrites(ctx context.Context, lost time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, gapTimeout)
+func (b *bench) awaitWrites(ctx context.Context, lostAt time.Time) error {
+	ctx, cancel := context.WithTimeout(ctx, writesTimeout)
 	defer cancel()
 	g := gap{}
 	select {
-	case at := <-b.ledger.firstAck:
-		g.total = at.Sub(lost)
+	case ackedAt := <-b.history.firstAckAt:
+		g.total = ackedAt.Sub(lostAt)
 	case <-ctx.Done():
-		return errNoWrites
+		return errWritesNotRestored
 	}
-	b.say("Writes work again after %d ms, at the primary %s.", g.total.Milliseconds(), b.members[faultGroup][b.primary(faultGroup)])
-	for g.claimer.Group != b.profile.groupName(faultGroup) {
+	b.printProgress("Writes work again after %d ms, at the primary %s.", g.total.Milliseconds(), b.memberAddresses[faultGroup][b.primary(faultGroup)])
+	for g.phases.Group != b.profile.groupName(faultGroup) {
 		select {
-		case g.claimer = <-b.failovers:
+		case g.phases = <-b.failovers:
 		case <-ctx.Done():
-			return errNoFailover
+			return errFailoverNotReported
 		}
 	}
 	b.gaps = append(b.gaps, g)
 	return nil
 }
 
-// forgetFailovers drops what was told of failovers before.
-func (b *bench) forgetFailovers() {
+// discardFailovers discards the reports of earlier failovers.
+func (b *bench) discardFailovers() {
 	for len(b.failovers) > 0 {
 		<-b.failovers
 	}
--- a/internal/standin/bench/fleet.go
+++ b/internal/standin/bench/fleet.go
@@ -29,9 +29,10 @@
 const (
 	platformHost = "127.0.0.2"
 	callerHost   = "127.0.0.3"
-	// Hosts of a failure domain begin at its number times this.
+	// hostsPerDomain is the size of a failure domain's address range. The range of
+	// domain d (from 0) starts at 127.0.0.(d+1)*hostsPerDomain.
 	hostsPerDomain = 40
-	// firstEntryHost is where a domain's instances begin within its hosts.
+	// firstEntryHost is the offset of the entry instances in a domain's range.
 	firstEntryHost = 20
 
 	platformTimeout = 2 * time.Second
@@ -39,21 +40,23 @@
 	maxCallers      = 20_000
 )
 
-// fleet is the whole system in one process: the platform, the members of all
-// groups and the entry instances, each on a loopback address of its own.
+// fleet runs the whole system in one process: the platform, the members of all
+// groups and the entry instances, each on its own loopback address.
 type fleet struct {
 	profile profile
-	// wrap puts a baseline in the product's place; it may be nil.
-	wrap    func(group.Tracker) group.Tracker
-	wan     *wan
-	network func(ip string) netio.Network
-	store   *standin.Store
-	nodes   [][]*member.Node
-	// members, entries and peers are addresses.
-	members [][]string
-	entries []string
-	domains map[string]string
-	// failovers takes what each claimer tells of a failover that it completed.
+	// wrapTracker replaces part of topazrock by a baseline; nil for no baseline.
+	wrapTracker func(group.Tracker) group.Tracker
+	wan         *wan
+	network     func(ip string) netio.Network
+	store       *standin.Store
+	nodes       [][]*member.Node
+	// memberAddresses holds the addresses of each group's members, entryAddresses
+	// those at which the instances accept callers, and domainOf the failure domain of
+	// each host.
+	memberAddresses [][]string
+	entryAddresses  []string
+	domainOf        map[string]string
+	// failovers receives the phases of each completed failover from its claimer.
 	failovers chan failover.Gap
 	closers   []func()
 }
@@ -67,10 +70,10 @@
 	return fmt.Sprintf("127.0.0.%d", (domain+1)*hostsPerDomain+i)
 }
 
-// hosts returns all hosts of a failure domain.
-func (f *fleet) hosts(domain string) []string {
+// hostsIn returns all hosts of a failure domain.
+func (f *fleet) hostsIn(domain string) []string {
 	var all []string
-	for ip, d := range f.domains {
+	for ip, d := range f.domainOf {
 		if d == domain {
 			all = append(all, ip)
 		}
@@ -78,21 +81,21 @@
 	return all
 }
 
-// startFleet starts everything. The caller closes the fleet also on an error.
-// A profile without latency gets the plain loopback network, which costs less.
+// startFleet starts all parts of a fleet. The fleet must be closed even if an error is
+// returned. A profile without latency uses plain loopback TCP, which costs less.
 func startFleet(p profile, c Config, wrap func(group.Tracker) group.Tracker) (*fleet, error) {
-	f := &fleet{profile: p, wrap: wrap, wan: &wan{faults: memnet.New(), peers: map[string]bool{}}, store: standin.NewStore(), domains: map[string]string{}}
-	f.failovers = make(chan failover.Gap, failoversKept)
-	f.network = f.wan.host
-	if p.between == 0 {
+	f := &fleet{profile: p, wrapTracker: wrap, wan: &wan{links: memnet.New(), peers: map[string]bool{}}, store: standin.NewStore(), domainOf: map[string]string{}}
+	f.failovers = make(chan failover.Gap, maxUnreadFailovers)
+	f.network = f.wan.networkOf
+	if p.domainLatency == 0 {
 		f.network = func(string) netio.Network { return netio.TCP{} }
 	}
 	for d, name := range p.domains {
 		for g := range p.groups {
-			f.domains[domainHost(d, g)] = name
+			f.domainOf[domainHost(d, g)] = name
 		}
 		for i := d; i < p.instances; i += len(p.domains) {
-			f.domains[domainHost(d, firstEntryHost+i)] = name
+			f.domainOf[domainHost(d, firstEntryHost+i)] = name
 			f.wan.peers[domainHost(d, firstEntryHost+i)] = true
 		}
 	}
@@ -112,16 +115,17 @@
 	for _, d := range f.profile.domains {
 		for _, other := range f.profile.domains {
 			if d != other {
-				f.wan.place(f.hosts(d), f.hosts(other), f.profile.between)
+				f.wan.setLatencies(f.hostsIn(d), f.hostsIn(other), f.profile.domainLatency)
 			}
 		}
-		all = append(all, f.hosts(d)...)
+		all = append(all, f.hostsIn(d)...)
 	}
-	f.wan.place(all, []string{platformHost}, f.profile.between)
-	f.wan.place(all, []string{callerHost}, f.profile.toClients)
+	f.wan.setLatencies(all, []string{platformHost}, f.profile.domainLatency)
+	f.wan.setLatencies(all, []string{callerHost}, f.profile.callerLatency)
 }
 
-// startMembers starts the groups; group g has its primary in domain g.
+// startMembers starts the members of all groups. The primary of group g is in failure
+// domain g modulo the number of domains.
 func (f *fleet) startMembers(lag, cost time.Duration) error {
 	base := member.Options{
 		ConnectionTotal: f.profile.connections,
@@ -143,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		f.nodes, f.members = append(f.nodes, nodes), append(f.members, addresses)
+		f.nodes, f.memberAddresses = append(f.nodes, nodes), append(f.memberAddresses, addresses)
 		for _, n := range nodes {
 			f.closers = append(f.closers, n.Stop)
 		}
@@ -163,11 +167,11 @@
 }
 
 func (f *fleet) startInstances(url string, seed uint64, logs io.Writer) error {
-	text := f.profile.rewrite(f.members, func(ip string) string { return f.domains[ip] })
+	text := f.profile.renderDocument(f.memberAddresses, func(ip string) string { return f.domainOf[ip] })
 	var inventory platform.Inventory
 	var all []*settings.Settings
 	for i := range f.profile.instances {
-		s, err := f.settings(i, url)
+		s, err := f.newSettings(i, url)
 		if err != nil {
 			return err
 		}
@@ -181,11 +185,11 @@
 	for i, s := range all {
 		f.startInstance(s, seed+uint64(i), logs)
 	}
-	return f.apply(all, text)
+	return f.applyDocument(all, text)
 }
 
-// settings makes the settings of instance i on addresses of its own.
-func (f *fleet) settings(i int, url string) (*settings.Settings, error) {
+// newSettings returns the settings of instance i, with unused addresses.
+func (f *fleet) newSettings(i int, url string) (*settings.Settings, error) {
 	domain := i % len(f.profile.domains)
 	ip := domainHost(domain, firstEntryHost+i)
 	var addresses [3]string
@@ -196,7 +200,7 @@
 		}
 		addresses[j] = address
 	}
-	f.entries = append(f.entries, addresses[0])
+	f.entryAddresses = append(f.entryAddresses, addresses[0])
 	s := &settings.Settings{}
 	s.Instance = settings.Instance{
 		ID:            fmt.Sprintf("entry-%s-%d", f.profile.domains[domain], i),
@@ -222,7 +226,7 @@
 		Logger:   hclog.New(&hclog.LoggerOptions{Name: s.Instance.ID, Output: logs, Level: hclog.Info}),
 		Registry: prometheus.NewRegistry(),
 
-		WrapTracker: f.wrap,
+		WrapTracker: f.wrapTracker,
 		OnFailover: func(g failover.Gap) {
 			select {
 			case f.failovers <- g:
@@ -244,14 +248,15 @@
 	})
 }
 
-// close stops the instances first, then the rest.
+// close stops all parts in reverse order of their start, so the instances first.
 func (f *fleet) close() {
 	for _, c := range slices.Backward(f.closers) {
 		c()
 	}
 }
 
-// primary returns the index of a group's primary: the one of the highest term.
+// primary returns the index of a group's primary. If several members are primary, it
+// is the one with the highest term.
 func (f *fleet) primary(group int) int {
 	best, term := 0, -1
 	for i, n := range f.nodes[group] {
@@ -262,13 +267,13 @@
 	return best
 }
 
-// term returns the term of a group's primary.
-func (f *fleet) term(group int) int {
+// primaryTerm returns the term of a group's primary.
+func (f *fleet) primaryTerm(group int) int {
 	return int(f.nodes[group][f.primary(group)].Status().Entered)
 }
 
-// whole reports whether all members of a group follow one primary.
-func (f *fleet) whole(group int) bool {
+// converged reports whether all members of a group follow one primary.
+func (f *fleet) converged(group int) bool {
 	first := f.nodes[group][f.primary(group)].Status()
 	for _, n := range f.nodes[group] {
 		if s := n.Status(); s.Attached != first.Entered || s.Entered != first.Entered {
@@ -278,27 +283,27 @@
 	return true
 }
 
-var errNotWhole = errors.New("the group did not become whole again")
+var errNotConverged = errors.New("timed out waiting for all members of the group to follow one primary")
 
-// awaitWhole waits until all members of a group follow one primary.
-func (f *fleet) awaitWhole(ctx context.Context, group int) error {
-	ctx, cancel := context.WithTimeout(ctx, wholeTimeout)
+// awaitConvergence waits until all members of a group follow one primary.
+func (f *fleet) awaitConvergence(ctx context.Context, group int) error {
+	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
-	for !f.whole(group) {
+	for !f.converged(group) {
 		if ctx.Err() != nil {
-			return errNotWhole
+			return errNotConverged
 		}
-		pause(ctx, wholePoll)
+		pause(ctx, convergencePoll)
 	}
 	return nil
 }
 
 const (
 	connectDelay = 10 * time.Millisecond
-	// failoversKept bounds the reports of failovers that nobody reads.
-	failoversKept = 64
-	wholeTimeout  = 30 * time.Second
-	wholePoll     = 10 * time.Millisecond
+	// maxUnreadFailovers limits the queued failover reports; more are dropped.
+	maxUnreadFailovers = 64
+	convergenceTimeout = 30 * time.Second
+	convergencePoll    = 10 * time.Millisecond
 )
 
 var _ netio.Network = (*wanHost)(nil)
--- a/internal/standin/bench/prober.go
+++ b/internal/standin/bench/prober.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// probeEvery is how often a write is tried: the precision of a gap.
-	probeEvery = 5 * time.Millisecond
-	// probeConns bounds the writes that hang at one time. A caller whose write
-	// hangs must not keep others from being tried.
-	probeConns = 64
+	// probeInterval is the time between two probes, and so the precision of a gap.
+	probeInterval = 5 * time.Millisecond
+	// maxProbes limits the concurrent probes. One connection would not be enough: a
+	// write that hangs must not delay the next probe.
+	maxProbes = 64
 )
 
-// prober writes to one group at a steady beat, to see when writes work again.
+// prober writes to one group at a fixed interval to detect when writes succeed again.
 type prober struct {
-	bench *bench
-	group int
-	idle  chan *pgx.Conn
-	wg    sync.WaitGroup
-	count int
+	bench      *bench
+	group      int
+	idle       chan *pgx.Conn
+	wg         sync.WaitGroup
+	probeCount int
 }
 
 func newProber(b *bench, group int) *prober {
-	p := &prober{bench: b, group: group, idle: make(chan *pgx.Conn, probeConns)}
-	for range probeConns {
+	p := &prober{bench: b, group: group, idle: make(chan *pgx.Conn, maxProbes)}
+	for range maxProbes {
 		p.idle <- nil
 	}
 	return p
 }
 
-// warm opens the connections, so that a gap does not measure their set-up.
-func (p *prober) warm(ctx context.Context) {
-	for i := range probeConns {
+// openConnections opens all connections in advance, so that a gap does not include
+// the time to connect.
+func (p *prober) openConnections(ctx context.Context) {
+	for i := range maxProbes {
 		<-p.idle
-		conn, err := p.bench.dial(ctx, i%len(p.bench.entries), p.group, "")
+		conn, err := p.bench.dial(ctx, i%len(p.bench.entryAddresses), p.group, "")
 		if err != nil {
 			conn = nil
 		}
@@ -46,9 +47,9 @@
 	}
 }
 
-// run probes until ctx ends and waits for the writes in flight.
+// run probes until ctx is done, then waits for the writes in flight.
 func (p *prober) run(ctx context.Context) {
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -59,44 +60,45 @@
 		}
 		select {
 		case conn := <-p.idle:
-			p.count++
-			number := p.count
-			p.wg.Go(func() { p.idle <- p.probe(conn, number) })
+			p.probeCount++
+			number := p.probeCount
+			p.wg.Go(func() { p.idle <- p.tryWrite(conn, number) })
 		default:
 		}
 	}
 }
 
-// probe tries one write and returns the connection to use next, if any.
-func (p *prober) probe(conn *pgx.Conn, number int) *pgx.Conn {
+// tryWrite attempts one write and returns the connection for reuse, or nil if it is
+// closed.
+func (p *prober) tryWrite(conn *pgx.Conn, number int) *pgx.Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	if conn == nil {
 		dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		c, err := p.bench.dial(dialCtx, number%len(p.bench.entries), p.group, "")
+		c, err := p.bench.dial(dialCtx, number%len(p.bench.entryAddresses), p.group, "")
 		if err != nil {
 			return nil
 		}
 		conn = c
 	}
-	c := p.bench.profile.plainWrite()
-	e := entry{p.group, fmt.Sprintf("probe/%d", number), "probe"}
+	c := p.bench.profile.unkeyedWrite()
+	w := writeRecord{p.group, fmt.Sprintf("probe/%d", number), "probe"}
 	began := time.Now()
-	err := insert(ctx, conn, e, c)
+	err := insert(ctx, conn, w, c)
 	if err != nil {
-		p.bench.ledger.refusal(err, began)
+		p.bench.history.recordError(err, began)
 	}
-	p.bench.ledger.wrote(e, judge(err), c.name, began)
+	p.bench.history.recordWrite(w, outcomeOf(err), c.name, began)
 	if conn.IsClosed() {
 		return nil
 	}
 	return conn
 }
 
-// close ends the idle connections.
-func (p *prober) close() {
-	for range probeConns {
+// closeConnections closes all connections.
+func (p *prober) closeConnections() {
+	for range maxProbes {
 		if conn := <-p.idle; conn != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 			_ = conn.Close(ctx)
--- a/internal/standin/bench/profile.go
+++ b/internal/standin/bench/profile.go
@@ -8,32 +8,34 @@
 	"github.com/topazrock/topazrock/examples"
 )
 
-// kind tells what a session does in a class.
+// kind is the kind of request of a class.
 type kind int
 
 const (
-	// kindWrite inserts a row with a key of its own.
+	// kindWrite inserts a row with a unique key.
 	kindWrite kind = iota
-	// kindRead reads the session's own last row, or another session's.
+	// kindRead reads the last row that the session wrote, or a row of another session.
 	kindRead
 )
 
-// class is one class of requests in a profile's mix.
+// class is one class of requests in a profile's workload.
 type class struct {
 	name string
 	kind kind
-	// keyed writes run at most once under a key; fresh reads see every acked write.
+	// keyed writes carry a request key and run at most once; fresh reads see every
+	// acknowledged write.
 	keyed, fresh bool
 	weight       int
 }
 
-// profile is one organisation's places, sizes and mix.
+// profile describes one organisation's failure domains, sizes and workload.
 type profile struct {
 	service, region, user string
 	domains               []string
-	// between and toClients are one-way latencies.
-	between, toClients time.Duration
-	// instances and connections are the sizes of today.
+	// domainLatency is the one-way latency between failure domains, and to the
+	// platform; callerLatency is the one to callers.
+	domainLatency, callerLatency time.Duration
+	// instances and connections are the organisation's present sizes.
 	instances, groups, connections, slots int
 	document                              string
 	classes                               []class
@@ -48,8 +50,8 @@
 var profiles = map[string]profile{
 	ProfileLigacaoSul: {
 		service: "base-ligacoes", region: "sul-br", user: "ligacoes",
-		domains: []string{"poa-a", "poa-b", "fln-c"},
-		between: 1500 * time.Microsecond, toClients: time.Millisecond,
+		domains:       []string{"poa-a", "poa-b", "fln-c"},
+		domainLatency: 1500 * time.Microsecond, callerLatency: time.Millisecond,
 		instances: 8, groups: 3, connections: 35, slots: 5,
 		document: examples.BaseLigacoes,
 		classes: []class{
@@ -62,8 +64,8 @@
 	},
 	ProfileLentes: {
 		service: "subs-core", region: "norte", user: "subs",
-		domains: []string{"oviedo", "santander", "bilbao"},
-		between: time.Millisecond, toClients: 3 * time.Millisecond,
+		domains:       []string{"oviedo", "santander", "bilbao"},
+		domainLatency: time.Millisecond, callerLatency: 3 * time.Millisecond,
 		instances: 7, groups: 3, connections: 55, slots: 5,
 		document: examples.SubsCore,
 		classes: []class{
@@ -76,8 +78,8 @@
 	},
 }
 
-// plainWrite returns the class of writes that need no key.
-func (p profile) plainWrite() class {
+// unkeyedWrite returns the first class of writes without a request key.
+func (p profile) unkeyedWrite() class {
 	for _, c := range p.classes {
 		if c.kind == kindWrite && !c.keyed {
 			return c
@@ -86,8 +88,9 @@
 	return class{}
 }
 
-// pick returns the class that a number below the sum of weights falls into.
-func (p profile) pick(n int) class {
+// classAt returns the class for n, a number below totalWeight. Each class covers a
+// range as long as its weight.
+func (p profile) classAt(n int) class {
 	for _, c := range p.classes {
 		if n < c.weight {
 			return c
@@ -97,7 +100,7 @@
 	return p.classes[0]
 }
 
-func (p profile) weights() int {
+func (p profile) totalWeight() int {
 	sum := 0
 	for _, c := range p.classes {
 		sum += c.weight
@@ -105,9 +108,9 @@
 	return sum
 }
 
-// rewrite returns the shipped document with the members and sizes of this run,
-// and no more groups than it has.
-func (p profile) rewrite(members [][]string, domain func(ip string) string) string {
+// renderDocument returns the example document with the member addresses and sizes of
+// this run, without the groups that the run does not start.
+func (p profile) renderDocument(members [][]string, domain func(ip string) string) string {
 	var out strings.Builder
 	group, inGroup := -1, false
 	for line := range strings.Lines(p.document) {
@@ -136,7 +139,7 @@
 	return out.String()
 }
 
-// groupName returns the name of a group in the shipped document.
+// groupName returns the name of group i in the example document.
 func (p profile) groupName(i int) string {
 	var names []string
 	for line := range strings.Lines(p.document) {
--- a/internal/standin/bench/proxy_test.go
+++ b/internal/standin/bench/proxy_test.go
@@ -20,35 +20,36 @@
 const (
 	benchClients = 16
 	idleCallers  = 5000
-	// openAtOnce bounds how many callers log in at one time.
-	openAtOnce = 64
-	lookUp     = "SELECT v FROM kv WHERE k = $1 /*request='pending-visits'*/"
+	// maxConcurrentLogins limits how many callers log in at the same time.
+	maxConcurrentLogins = 64
+	lookUp              = "SELECT v FROM kv WHERE k = $1 /*request='pending-visits'*/"
 )
 
-// plainBench starts one group and one instance with no latency and no cost.
-func plainBench(b *testing.B, cost time.Duration) *bench {
+// startLocalBench starts one group and one instance without network latency.
+func startLocalBench(b *testing.B, cost time.Duration) *bench {
 	b.Helper()
 	p := profiles[ProfileLigacaoSul]
-	p.between, p.toClients = 0, 0
+	p.domainLatency, p.callerLatency = 0, 0
 	p.groups, p.instances, p.connections, p.slots = 1, 1, 200, 64
 	f, err := startFleet(p, Config{Cost: cost, Seed: 1, Logs: io.Discard}, nil)
 	b.Cleanup(f.close)
 	if err != nil {
 		b.Fatal(err)
 	}
-	run := &bench{fleet: f, ledger: newLedger(), others: &recent{}}
+	run := &bench{fleet: f, history: newHistory(), recentWrites: &recentWrites{}}
 	<-time.After(warmUp)
 	return run
 }
 
-// direct connects straight to a replica: the member that serves such reads.
-func (b *bench) direct(ctx context.Context) (*pgx.Conn, error) {
-	return pgx.Connect(ctx, "postgres://u@"+b.members[0][1]+"/g?sslmode=disable")
+// dialReplica connects directly to a replica, the member that also serves these reads
+// through an instance.
+func (b *bench) dialReplica(ctx context.Context) (*pgx.Conn, error) {
+	return pgx.Connect(ctx, "postgres://u@"+b.memberAddresses[0][1]+"/g?sslmode=disable")
 }
 
-// drive runs n look-ups on some clients and returns how many a second and the
-// median latency.
-func drive(b *testing.B, n int, connect func() (*pgx.Conn, error)) (perSecond float64, p50 time.Duration) {
+// measureLookUps runs n look-ups on benchClients connections and returns the
+// throughput and the median latency.
+func measureLookUps(b *testing.B, n int, connect func() (*pgx.Conn, error)) (perSecond float64, p50 time.Duration) {
 	b.Helper()
 	conns := make([]*pgx.Conn, benchClients)
 	for i := range conns {
@@ -85,29 +86,29 @@
 	return float64(h.TotalCount()) / took.Seconds(), time.Duration(h.ValueAtQuantile(50))
 }
 
-// BenchmarkProxyCost compares look-ups through an instance with the same clients
-// straight to the same member, once with a member that answers at once and once
-// with one that works on each statement as long as the bench's members do.
+// BenchmarkProxyCost compares look-ups through an instance with look-ups directly at
+// the same member, by the same number of clients. The member responds immediately or
+// takes DefaultStatementCost per statement.
 func BenchmarkProxyCost(b *testing.B) {
-	b.Run("cost=0", func(b *testing.B) { compare(b, 0) })
-	b.Run("cost=500us", func(b *testing.B) { compare(b, DefaultCost) })
+	b.Run("cost=0", func(b *testing.B) { compareDirectAndProxy(b, 0) })
+	b.Run("cost=500us", func(b *testing.B) { compareDirectAndProxy(b, DefaultStatementCost) })
 }
 
-// compare reports the figures of the last of b.N rounds.
-func compare(b *testing.B, cost time.Duration) {
-	run := plainBench(b, cost)
+// compareDirectAndProxy reports the results of the last of b.N rounds.
+func compareDirectAndProxy(b *testing.B, cost time.Duration) {
+	run := startLocalBench(b, cost)
 	ctx := context.Background()
 	conn, err := run.dial(ctx, 0, 0, "")
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := insert(ctx, conn, entry{0, "a", "1"}, run.profile.plainWrite()); err != nil {
+	if err := insert(ctx, conn, writeRecord{0, "a", "1"}, run.profile.unkeyedWrite()); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
 		n := 20_000
-		direct, directP50 := drive(b, n, func() (*pgx.Conn, error) { return run.direct(ctx) })
-		proxy, proxyP50 := drive(b, n, func() (*pgx.Conn, error) { return run.dial(ctx, 0, 0, "") })
+		direct, directP50 := measureLookUps(b, n, func() (*pgx.Conn, error) { return run.dialReplica(ctx) })
+		proxy, proxyP50 := measureLookUps(b, n, func() (*pgx.Conn, error) { return run.dial(ctx, 0, 0, "") })
 		b.ReportMetric(direct, "direct_stmt/s")
 		b.ReportMetric(proxy, "proxy_stmt/s")
 		b.ReportMetric(proxy/direct, "ratio")
@@ -115,25 +116,25 @@
 	}
 }
 
-// BenchmarkIdleCallers reports the bytes of heap and stack that each of 5,000
-// idle callers costs, once it has run a statement. The client's own socket is
-// in the same process, so the figure is an upper bound.
+// BenchmarkIdleCallers reports the heap and stack bytes per idle caller, for 5,000
+// callers that have each run one statement. The clients' sockets are in the same
+// process, so the result is an upper bound.
 func BenchmarkIdleCallers(b *testing.B) {
-	run := plainBench(b, 0)
-	before := inUse()
+	run := startLocalBench(b, 0)
+	before := memoryInUse()
 	for b.Loop() {
 		conns := make([]net.Conn, idleCallers)
 		var wg sync.WaitGroup
-		gate := make(chan struct{}, openAtOnce)
+		gate := make(chan struct{}, maxConcurrentLogins)
 		for i := range conns {
 			gate <- struct{}{}
 			wg.Go(func() {
 				defer func() { <-gate }()
-				conns[i] = idleCaller(b, run)
+				conns[i] = openIdleCaller(b, run)
 			})
 		}
 		wg.Wait()
-		b.ReportMetric(float64(inUse()-before)/idleCallers, "bytes/caller")
+		b.ReportMetric(float64(memoryInUse()-before)/idleCallers, "bytes/caller")
 		for _, c := range conns {
 			if c != nil {
 				_ = c.Close()
@@ -142,8 +143,9 @@
 	}
 }
 
-// idleCaller runs one statement and keeps nothing of the client but the socket.
-func idleCaller(b *testing.B, run *bench) net.Conn {
+// openIdleCaller connects a caller, runs one statement, and keeps only the socket of
+// the client.
+func openIdleCaller(b *testing.B, run *bench) net.Conn {
 	ctx := context.Background()
 	conn, err := run.dial(ctx, 0, 0, "")
 	if err != nil {
@@ -161,7 +163,7 @@
 	return hijacked.Conn
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -169,11 +171,11 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-func TestShortRunKeepsEveryPromise(t *testing.T) {
+func TestShortRunBreaksNoGuarantee(t *testing.T) {
 	is := is.New(t)
 	r, err := Run(t.Context(), Config{
 		Profile: ProfileLigacaoSul, Duration: 2 * time.Second, Seed: 1, Fault: FaultReplicaLag,
-		Sessions: 12, Think: 20 * time.Millisecond, Lag: 5 * time.Millisecond, Cost: DefaultCost,
+		Sessions: 12, Think: 20 * time.Millisecond, Lag: 5 * time.Millisecond, Cost: DefaultStatementCost,
 		Say: io.Discard, Logs: io.Discard, small: true,
 	})
 	is.NoErr(err)
@@ -184,10 +186,10 @@
 	is.True(r.PlatformCalls[platform.CallInventory] > 0)
 }
 
-func TestDocumentIsRewritten(t *testing.T) {
+func TestDocumentIsRenderedForRun(t *testing.T) {
 	is := is.New(t)
 	p := profiles[ProfileLentes]
-	text := p.rewrite([][]string{{"127.0.0.40:1", "127.0.0.80:2"}}, func(string) string { return "d" })
+	text := p.renderDocument([][]string{{"127.0.0.40:1", "127.0.0.80:2"}}, func(string) string { return "d" })
 	is.True(len(text) > 0)
 	is.Equal(p.groupName(2), "subs-3")
 	for _, c := range p.classes {
--- a/internal/standin/bench/report.go
+++ b/internal/standin/bench/report.go
@@ -14,11 +14,11 @@
 )
 
 var (
-	errNoWrites   = errors.New("writes did not work again in time")
-	errNoFailover = errors.New("no instance told of the failover")
+	errWritesNotRestored   = errors.New("timed out waiting for writes to succeed again")
+	errFailoverNotReported = errors.New("timed out waiting for an instance to report the failover")
 )
 
-// Report is the outcome of one run. Its JSON form is the last line of output.
+// Report is the result of one run. Its JSON form is the last line of output.
 type Report struct {
 	Profile          string         `json:"profile"`
 	Fault            Fault          `json:"fault"`
@@ -41,33 +41,34 @@
 	RefusedButRan    int            `json:"refused_but_ran"`
 	OutcomeUnknown   int            `json:"outcome_unknown"`
 	Refusals         map[string]int `json:"refusals"`
-	// Refused is how long it took to tell callers of requests that did not run.
+	// Refused holds the latencies of refusals, whose requests did not run.
 	Refused Class `json:"refused"`
 	// FalsePromotions counts the terms that began while a primary was only paused.
 	FalsePromotions int        `json:"false_promotions"`
 	Gaps            *GapReport `json:"gaps,omitempty"`
-	// Fleets is how many fleets the counts and gaps sum up. Latencies, shares and
-	// rates are those of the first.
+	// Fleets is the number of fleets that counts and gaps cover. Latencies, shares
+	// and rates are those of the first fleet.
 	Fleets  int              `json:"fleets"`
 	Classes map[string]Class `json:"classes"`
-	// ConnectionsHighest is the highest sum that any member saw.
+	// ConnectionsHighest is the highest number of simultaneous connections at any
+	// member.
 	ConnectionsHighest int `json:"connections_highest"`
 	ConnectionsTotal   int `json:"connections_total"`
-	// PlatformCalls is calls a second by kind.
+	// PlatformCalls is the rate of calls to the platform, by kind of call.
 	PlatformCalls map[standin.Call]float64 `json:"platform_calls_per_s"`
-	// PeerBytes is bytes a second between all instances, both ways.
+	// PeerBytes is the bytes per second between all instances, in both directions.
 	PeerBytes float64 `json:"peer_bytes_per_s"`
 }
 
-// counters are sums since the fleet began.
+// counters holds totals since the start of the fleet.
 type counters struct {
 	calls     map[standin.Call]int
 	peerBytes int64
 }
 
-func (f *fleet) count() counters { return counters{f.store.Calls(), f.wan.peerBytes.Load()} }
+func (f *fleet) readCounters() counters { return counters{f.store.Calls(), f.wan.peerBytes.Load()} }
 
-// Class holds the latencies of one class.
+// Class summarizes the latencies of one class of requests.
 type Class struct {
 	Count  int64   `json:"count"`
 	P50MS  float64 `json:"p50_ms"`
@@ -75,20 +76,20 @@
 	P999MS float64 `json:"p999_ms"`
 }
 
-// GapReport sums up the failover gaps.
+// GapReport summarizes the failover gaps.
 type GapReport struct {
 	Count int     `json:"count"`
 	P50MS float64 `json:"p50_ms"`
 	P99MS float64 `json:"p99_ms"`
 	MaxMS float64 `json:"max_ms"`
-	// Split gives the median and the 99th percentile of each phase, as the
-	// claimers saw it. Detect begins at the first failed probe.
+	// Split holds the median and the 99th percentile of each phase, as measured by
+	// the claimers. Phase detect begins at the first failed probe.
 	Split map[string][2]float64 `json:"split_p50_p99_ms"`
-	all   []gap
+	gaps  []gap
 }
 
-// add takes in the counts and gaps of another fleet.
-func (r *Report) add(o *Report) {
+// addFleet adds the counts and gaps of another fleet.
+func (r *Report) addFleet(o *Report) {
 	for sum, n := range map[*int]int{
 		&r.Fleets: o.Fleets, &r.Reads: o.Reads, &r.WritesAcked: o.WritesAcked, &r.AckedLost: o.AckedLost,
 		&r.StaleOwnReads: o.StaleOwnReads, &r.StaleFreshReads: o.StaleFreshReads, &r.WrongAnswers: o.WrongAnswers,
@@ -99,14 +100,14 @@
 	}
 	r.ConnectionsHighest = max(r.ConnectionsHighest, o.ConnectionsHighest)
 	if r.Gaps != nil && o.Gaps != nil {
-		r.Gaps = gapReport(append(r.Gaps.all, o.Gaps.all...))
+		r.Gaps = newGapReport(append(r.Gaps.gaps, o.Gaps.gaps...))
 		r.FailoverGapMS = &r.Gaps.P50MS
 	}
 }
 
-// Failed reports whether a promise was broken: an acknowledged write is gone, a
-// session missed its own write, a refused write ran, or a paused primary was
-// replaced.
+// Failed reports whether a guarantee was violated: an acknowledged write was lost, a
+// session did not see its own write, a fresh read was stale, a read returned a wrong
+// value, a refused write ran, or a paused primary was replaced.
 func (r *Report) Failed() bool {
 	return r.AckedLost+r.StaleOwnReads+r.StaleFreshReads+r.RefusedButRan+r.WrongAnswers+r.FalsePromotions > 0
 }
@@ -114,29 +115,29 @@
 // Write writes the report as one line of JSON.
 func (r *Report) Write(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
 
-func (b *bench) report(took time.Duration) *Report {
-	after := b.count()
+func (b *bench) newReport(elapsed time.Duration) *Report {
+	after := b.readCounters()
 	r := &Report{
 		Profile: b.config.Profile, Fault: b.config.Fault, Seed: b.config.Seed,
 		Baseline: b.config.Baseline, Instances: b.profile.instances, Sessions: b.config.Sessions,
 		FalsePromotions: b.falsePromotions, Fleets: 1,
-		DurationS: round(took.Seconds()), LagMS: milliseconds(b.config.Lag),
+		DurationS: round(elapsed.Seconds()), LagMS: milliseconds(b.config.Lag),
 		Classes: map[string]Class{}, PlatformCalls: map[standin.Call]float64{},
 		ConnectionsTotal: b.profile.connections,
 	}
 	for g, nodes := range b.nodes {
-		lost, ran := b.ledger.check(g, nodes[b.primary(g)].Rows("kv"))
+		lost, ran := b.history.checkRows(g, nodes[b.primary(g)].Rows("kv"))
 		r.AckedLost += lost
 		r.RefusedButRan += ran
 	}
 	b.addReads(r)
-	b.addLedger(r, took)
+	b.addHistory(r, elapsed)
 	for call, count := range after.calls {
-		r.PlatformCalls[call] = round(float64(count-b.before.calls[call]) / took.Seconds())
+		r.PlatformCalls[call] = round(float64(count-b.countersBefore.calls[call]) / elapsed.Seconds())
 	}
-	r.PeerBytes = round(float64(after.peerBytes-b.before.peerBytes) / took.Seconds())
+	r.PeerBytes = round(float64(after.peerBytes-b.countersBefore.peerBytes) / elapsed.Seconds())
 	if len(b.gaps) > 0 {
-		r.Gaps = gapReport(b.gaps)
+		r.Gaps = newGapReport(b.gaps)
 		r.FailoverGapMS = &r.Gaps.P50MS
 	}
 	return r
@@ -156,40 +157,40 @@
 	}
 }
 
-func (b *bench) addLedger(r *Report, took time.Duration) {
-	l := b.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r.Reads, r.WritesAcked = l.reads, len(l.acked)
-	r.StaleOwnReads, r.StaleFreshReads, r.WrongAnswers = l.staleOwn, l.staleFresh, l.wrong
-	r.RefusedDidNotRun, r.OutcomeUnknown, r.Refusals = len(l.refused), l.unknown, l.refusals
-	r.StatementsPerS = round(float64(l.reads+len(l.acked)) / took.Seconds())
-	for name, h := range l.latencies {
-		r.Classes[name] = classOf(h)
+func (b *bench) addHistory(r *Report, elapsed time.Duration) {
+	h := b.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	r.Reads, r.WritesAcked = h.reads, len(h.acked)
+	r.StaleOwnReads, r.StaleFreshReads, r.WrongAnswers = h.staleOwn, h.staleFresh, h.wrongValues
+	r.RefusedDidNotRun, r.OutcomeUnknown, r.Refusals = len(h.refused), h.unknown, h.errorCounts
+	r.StatementsPerS = round(float64(h.reads+len(h.acked)) / elapsed.Seconds())
+	for name, histogram := range h.latencies {
+		r.Classes[name] = newClass(histogram)
 	}
-	r.Refused = classOf(l.refusedIn)
+	r.Refused = newClass(h.refusalLatencies)
 }
 
-func classOf(h *hdrhistogram.Histogram) Class {
+func newClass(h *hdrhistogram.Histogram) Class {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Class{Count: h.TotalCount(), P50MS: at(50), P99MS: at(99), P999MS: at(99.9)}
 }
 
-func gapReport(gaps []gap) *GapReport {
+func newGapReport(gaps []gap) *GapReport {
 	var totals []time.Duration
 	split := map[string][]time.Duration{}
 	for _, g := range gaps {
 		totals = append(totals, g.total)
 		for phase, d := range map[string]time.Duration{
-			"detect": g.claimer.Detect, "claim": g.claimer.Claim, "fence": g.claimer.Fence,
-			"promote": g.claimer.Promote, "learn": g.claimer.Learn,
+			"detect": g.phases.Detect, "claim": g.phases.Claim, "fence": g.phases.Fence,
+			"promote": g.phases.Promote, "learn": g.phases.Learn,
 		} {
 			split[phase] = append(split[phase], d)
 		}
 	}
 	r := &GapReport{
 		Count: len(gaps), P50MS: quantile(totals, 0.5), P99MS: quantile(totals, 0.99),
-		MaxMS: milliseconds(slices.Max(totals)), Split: map[string][2]float64{}, all: gaps,
+		MaxMS: milliseconds(slices.Max(totals)), Split: map[string][2]float64{}, gaps: gaps,
 	}
 	for phase, d := range split {
 		r.Split[phase] = [2]float64{quantile(d, 0.5), quantile(d, 0.99)}
@@ -197,7 +198,8 @@
 	return r
 }
 
-// quantile returns the smallest value that a share q of all values does not pass.
+// quantile returns, in milliseconds, the smallest value that is at least as large as
+// a fraction q of all values.
 func quantile(values []time.Duration, q float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	i := int(math.Ceil(q*float64(len(sorted)))) - 1
@@ -208,7 +210,7 @@
 
 func round(v float64) float64 { return math.Round(v*100) / 100 }
 
-// Words says the report's outcome in plain words.
+// Words returns a readable summary of the report.
 func (r *Report) Words() string {
 	return fmt.Sprintf(`Reads answered:                 %d, %.1f %% of them by replicas
 Writes acknowledged:            %d, of which %d are lost
--- a/internal/standin/bench/session.go
+++ b/internal/standin/bench/session.go
@@ -16,26 +16,29 @@
 const (
 	tokenParameter = "topazrock.token"
 	password       = "change-me"
-	// dialTimeout bounds a connection attempt; the caller then tries elsewhere.
+	// dialTimeout limits a connection attempt. After it the caller tries another
+	// instance.
 	dialTimeout = 2 * time.Second
-	// requestTimeout bounds one request from the caller's side. It is past the
-	// instance's own deadline, so that the instance can answer first.
+	// requestTimeout is the client-side limit of a request. It is longer than the
+	// instance's own deadline, so that the instance can respond first.
 	requestTimeout = 20 * time.Second
-	// Shares of the steps of a session, in percent.
-	roamPercent   = 5
-	forgetPercent = 30
-	othersPercent = 50
-	// refusedPause is how long a refused caller waits.
-	refusedPause = 50 * time.Millisecond
+	// Probabilities in percent: reconnectPercent that a session reconnects after a
+	// request, noTokenPercent that it connects without its token, and
+	// otherSessionsPercent that it reads a row of another session.
+	reconnectPercent     = 5
+	noTokenPercent       = 30
+	otherSessionsPercent = 50
+	// refusalBackoff is how long a caller waits after a refused request or connection.
+	refusalBackoff = 50 * time.Millisecond
 )
 
-// Families of result codes, by the first characters of the SQLSTATE.
+// Prefixes of the SQLSTATE of result codes: the request did not run, or it ran.
 const (
-	familyDidNotRun = "TD"
-	familyRan       = "TR"
+	prefixDidNotRun = "TD"
+	prefixRan       = "TR"
 )
 
-// session is one caller that roams between the entry addresses.
+// session is one caller that moves between the entry instances.
 type session struct {
 	bench *bench
 	rng   *rand.Rand
@@ -43,63 +46,63 @@
 	group int
 	conn  *pgx.Conn
 	token string
-	// last is the session's newest acked write.
-	last  entry
-	count int
+	// lastWrite is the session's latest acknowledged write.
+	lastWrite  writeRecord
+	writeCount int
 }
 
-// run works until ctx ends, with a pause between requests.
-func (s *session) run(ctx context.Context, think time.Duration) {
-	defer s.leave()
+// run sends requests until ctx is done, with random pauses of the given mean.
+func (s *session) run(ctx context.Context, meanPause time.Duration) {
+	defer s.disconnect()
 	for ctx.Err() == nil {
 		if s.conn == nil && !s.connect(ctx) {
-			pause(ctx, refusedPause)
+			pause(ctx, refusalBackoff)
 			continue
 		}
-		// A request that has begun is let finish: a caller that goes away in the
-		// middle would only add outcomes that nobody asked for.
-		s.step(context.WithoutCancel(ctx))
-		pause(ctx, time.Duration(s.rng.Int64N(int64(2*think))))
+		// A request in progress may finish after ctx is done: to abort it would
+		// only add writes with an unknown outcome.
+		s.runRequest(context.WithoutCancel(ctx))
+		pause(ctx, time.Duration(s.rng.Int64N(int64(2*meanPause))))
 	}
 }
 
-func (s *session) step(ctx context.Context) {
-	c := s.bench.profile.pick(s.rng.IntN(s.bench.profile.weights()))
+func (s *session) runRequest(ctx context.Context) {
+	c := s.bench.profile.classAt(s.rng.IntN(s.bench.profile.totalWeight()))
 	began := time.Now()
 	var err error
-	if s.last.key == "" || c.kind == kindWrite {
+	if s.lastWrite.key == "" || c.kind == kindWrite {
 		err = s.write(ctx, c)
 	} else {
 		err = s.read(ctx, c)
 	}
 	if err != nil {
-		s.bench.ledger.refusal(err, began)
-		pause(ctx, refusedPause)
+		s.bench.history.recordError(err, began)
+		pause(ctx, refusalBackoff)
 	}
-	if s.rng.IntN(100) < roamPercent || s.conn.IsClosed() {
-		s.leave()
+	if s.rng.IntN(100) < reconnectPercent || s.conn.IsClosed() {
+		s.disconnect()
 	}
 }
 
-// connect opens a connection at a random entry. Some sessions arrive without
-// their token, as a caller does whose driver cannot carry it.
+// connect connects to a random entry instance. Some connections are made without the
+// session's token, as by a caller whose driver cannot send it.
 func (s *session) connect(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	token := s.token
-	if s.rng.IntN(100) < forgetPercent {
+	if s.rng.IntN(100) < noTokenPercent {
 		token = ""
 	}
-	conn, err := s.bench.dial(ctx, s.rng.IntN(len(s.bench.entries)), s.group, token)
+	conn, err := s.bench.dial(ctx, s.rng.IntN(len(s.bench.entryAddresses)), s.group, token)
 	if err != nil {
-		s.bench.ledger.count("connect " + code(err))
+		s.bench.history.countError("connect " + errorCode(err))
 		return false
 	}
 	s.conn = conn
 	return true
 }
 
-func (s *session) leave() {
+func (s *session) disconnect() {
 	if s.conn == nil {
 		return
 	}
@@ -111,40 +114,40 @@
 
 func (s *session) write(ctx context.Context, c class) error {
 	if c.kind != kindWrite {
-		c = s.bench.profile.plainWrite()
+		c = s.bench.profile.unkeyedWrite()
 	}
-	s.count++
-	e := entry{s.group, fmt.Sprintf("%s/%d", s.id, s.count), fmt.Sprintf("%s by %s", c.name, s.id)}
+	s.writeCount++
+	w := writeRecord{s.group, fmt.Sprintf("%s/%d", s.id, s.writeCount), fmt.Sprintf("%s by %s", c.name, s.id)}
 	began := time.Now()
-	err := insert(ctx, s.conn, e, c)
-	v := judge(err)
-	s.bench.ledger.wrote(e, v, c.name, began)
-	if v == acked {
-		s.last = e
+	err := insert(ctx, s.conn, w, c)
+	o := outcomeOf(err)
+	s.bench.history.recordWrite(w, o, c.name, began)
+	if o == acked {
+		s.lastWrite = w
 	}
-	s.keepToken()
+	s.saveProgress()
 	return err
 }
 
-// insert writes a row of its own key, under a request key if the class needs one.
-func insert(ctx context.Context, conn *pgx.Conn, e entry, c class) error {
+// insert inserts a row, with a request key if the class requires one.
+func insert(ctx context.Context, conn *pgx.Conn, w writeRecord, c class) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	tag := fmt.Sprintf("/*request='%s'*/", c.name)
 	if c.keyed {
-		tag = fmt.Sprintf("/*request='%s',key='%s'*/", c.name, e.key)
+		tag = fmt.Sprintf("/*request='%s',key='%s'*/", c.name, w.key)
 	}
-	_, err := conn.Exec(ctx, "INSERT INTO kv (k, v) VALUES ($1, $2) "+tag, pgx.QueryExecModeExec, e.key, e.value)
+	_, err := conn.Exec(ctx, "INSERT INTO kv (k, v) VALUES ($1, $2) "+tag, pgx.QueryExecModeExec, w.key, w.value)
 	return err
 }
 
-// read asks for the session's own last write, which must be seen, or for a row
-// that another session wrote, which may be too new for an aged read.
+// read reads the session's own last write, which must be visible, or a row that
+// another session wrote, which may be too recent for a read that allows staleness.
 func (s *session) read(ctx context.Context, c class) error {
-	e, own := s.last, true
-	if s.rng.IntN(100) < othersPercent {
-		if other, ok := s.bench.others.any(s.rng, s.group); ok {
-			e, own = other, other == s.last
+	w, own := s.lastWrite, true
+	if s.rng.IntN(100) < otherSessionsPercent {
+		if other, ok := s.bench.recentWrites.pick(s.rng, s.group); ok {
+			w, own = other, other == s.lastWrite
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -152,31 +155,31 @@
 	began := time.Now()
 	var got string
 	sql := fmt.Sprintf("SELECT v FROM kv WHERE k = $1 /*request='%s'*/", c.name)
-	err := s.conn.QueryRow(ctx, sql, e.key).Scan(&got)
+	err := s.conn.QueryRow(ctx, sql, w.key).Scan(&got)
 	if err != nil && !errors.Is(err, pgx.ErrNoRows) {
 		return err
 	}
-	s.bench.ledger.read(e.value, got, own, c, began)
-	s.keepToken()
+	s.bench.history.recordRead(w.value, got, own, c, began)
+	s.saveProgress()
 	return nil
 }
 
-func (s *session) keepToken() {
+func (s *session) saveProgress() {
 	if t := s.conn.PgConn().ParameterStatus(tokenParameter); t != "" {
 		s.token = t
 	}
-	s.bench.others.note(s.last)
+	s.bench.recentWrites.add(s.lastWrite)
 }
 
-// judge tells what a caller may conclude from the end of a write.
-func judge(err error) verdict {
+// outcomeOf returns what a caller can conclude from the error of a write.
+func outcomeOf(err error) outcome {
 	var e *pgconn.PgError
 	switch {
 	case err == nil:
 		return acked
-	case errors.As(err, &e) && strings.HasPrefix(e.Code, familyRan):
+	case errors.As(err, &e) && strings.HasPrefix(e.Code, prefixRan):
 		return acked
-	case errors.As(err, &e) && strings.HasPrefix(e.Code, familyDidNotRun):
+	case errors.As(err, &e) && strings.HasPrefix(e.Code, prefixDidNotRun):
 		return didNotRun
 	case pgconn.SafeToRetry(err):
 		return didNotRun
@@ -185,8 +188,8 @@
 	}
 }
 
-// code names an error in the report.
-func code(err error) string {
+// errorCode returns the name under which the report counts an error.
+func errorCode(err error) string {
 	var e *pgconn.PgError
 	var n net.Error
 	switch {
--- a/internal/standin/bench/wan.go
+++ b/internal/standin/bench/wan.go
@@ -11,24 +11,27 @@
 	"github.com/topazrock/topazrock/internal/standin/memnet"
 )
 
-// wan is loopback TCP with the latency and the cuts of places far apart. Each
-// connection runs through a pair of the in-memory network on its dialling side.
+// wan emulates a wide-area network on loopback TCP, with latencies and partitions.
+// The dialling side of each connection passes through a connection pair of an
+// in-memory network.
 type wan struct {
-	faults *memnet.Network
-	// peers holds the hosts of instances, peerBytes what went between them.
+	links *memnet.Network
+	// peers holds the hosts of instances, and peerBytes counts the bytes sent between
+	// them.
 	peers     map[string]bool
 	peerBytes atomic.Int64
 }
 
-// host returns the view of the process at an IP address.
-func (w *wan) host(ip string) netio.Network { return &wanHost{w, ip} }
+// networkOf returns the network as seen from the host with the given IP address.
+func (w *wan) networkOf(ip string) netio.Network { return &wanHost{w, ip} }
 
-// place sets the latency between the hosts of two places, which may be one.
-func (w *wan) place(a, b []string, d time.Duration) {
+// setLatencies sets the latency between each host of a and each other host of b. The
+// two may overlap.
+func (w *wan) setLatencies(a, b []string, d time.Duration) {
 	for _, x := range a {
 		for _, y := range b {
 			if x != y {
-				w.faults.SetLatency(x, y, d)
+				w.links.SetLatency(x, y, d)
 			}
 		}
 	}
@@ -47,14 +50,14 @@
 
 // Dial implements netio.Dialer.
 func (h *wanHost) Dial(ctx context.Context, address string) (net.Conn, error) {
-	near, far, err := h.wan.faults.Pair(ctx, h.ip, address)
+	dialled, accepted, err := h.wan.links.Pair(ctx, h.ip, address)
 	if err != nil {
 		return nil, err
 	}
 	tcp, err := netio.TCP{}.Dial(ctx, address)
 	if err != nil {
-		_ = near.Close()
-		_ = far.Close()
+		_ = dialled.Close()
+		_ = accepted.Close()
 		return nil, err
 	}
 	var bytes atomic.Int64
@@ -62,26 +65,27 @@
 	if h.wan.peers[h.ip] && h.wan.peers[host(address)] {
 		counter = &h.wan.peerBytes
 	}
-	go relay(counted{tcp, counter}, far)
-	go relay(counted{far, counter}, tcp)
-	return near, nil
+	go copyAndClose(countedConn{tcp, counter}, accepted)
+	go copyAndClose(countedConn{accepted, counter}, tcp)
+	return dialled, nil
 }
 
-// counted adds what is written to a counter.
-type counted struct {
+// countedConn adds the bytes written to a counter.
+type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Write implements net.Conn.
-func (c counted) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// relay copies one direction. The end of either one ends the connection.
-func relay(to, from net.Conn) {
+// copyAndClose copies one direction of a connection, then closes both ends, which
+// also ends the other direction.
+func copyAndClose(to, from net.Conn) {
 	_, _ = io.Copy(to, from)
 	_ = to.Close()
 	_ = from.Close()
--- a/internal/standin/slopes/callers.go
+++ b/internal/standin/slopes/callers.go
@@ -22,53 +22,53 @@
 	callerUser     = "caller"
 	callerPassword = "measured"
 	callerGroup    = "measured-1"
-	// loginsAtOnce bounds the logins under way, each of which costs a SCRAM exchange.
-	loginsAtOnce = 16
+	// maxConcurrentLogins limits the concurrent logins, each of which costs a SCRAM exchange.
+	maxConcurrentLogins = 16
 )
 
-// measureCallers opens idle callers that have run one statement each. The
-// client keeps no more than its socket of each.
+// measureCallers opens callers that each run one statement and are then idle. On the
+// client side only their sockets are kept.
 func measureCallers(ctx context.Context, o Options) ([]Slope, error) {
 	server, address, err := startFrontend()
 	if err != nil {
 		return nil, err
 	}
 	defer server.Close()
-	var bytes, processor, logins []Point
+	var memoryUse, cpu, logins []Point
 	var open []net.Conn
 	defer func() {
 		for _, c := range open {
 			c.Close()
 		}
 	}()
-	before, spent := memory(), 0.0
+	memoryBefore, loginCPU := memoryInUse(), 0.0
 	for _, n := range []int{1000, 2000, 3000, 4000, 5000} {
-		used := processorTime()
+		cpuBefore := cpuTime()
 		more, err := openCallers(ctx, address, n-len(open))
 		open = append(open, more...)
 		if err != nil {
 			return nil, err
 		}
-		spent += millis(processorTime() - used)
-		logins = append(logins, Point{float64(n), spent})
-		bytes = append(bytes, Point{float64(n), memory() - before})
-		processor = append(processor, Point{float64(n), idleShare(ctx, o.Window)})
+		loginCPU += milliseconds(cpuTime() - cpuBefore)
+		logins = append(logins, Point{float64(n), loginCPU})
+		memoryUse = append(memoryUse, Point{float64(n), memoryInUse() - memoryBefore})
+		cpu = append(cpu, Point{float64(n), idleCPUShare(ctx, o.Window)})
 	}
 	return []Slope{
-		fit("idle callers", "bytes of memory", bytes),
-		fit("idle callers", "share of a core", processor),
-		fit("logins", "ms of processor time, both ends", logins),
+		fitLine("idle callers", "bytes of memory", memoryUse),
+		fitLine("idle callers", "share of a core", cpu),
+		fitLine("logins", "ms of processor time, both ends", logins),
 	}, nil
 }
 
-// idleShare returns what share of a core the process uses while it waits.
-func idleShare(ctx context.Context, window time.Duration) float64 {
-	begin, used := time.Now(), processorTime()
+// idleCPUShare returns the share of a core that the process uses while no load runs.
+func idleCPUShare(ctx context.Context, window time.Duration) float64 {
+	begin, cpuBefore := time.Now(), cpuTime()
 	_ = clock.Sleep(ctx, clock.System{}, window)
-	return float64(processorTime()-used) / float64(time.Since(begin))
+	return float64(cpuTime()-cpuBefore) / float64(time.Since(begin))
 }
 
-// startFrontend serves callers whose statements all get an empty answer.
+// startFrontend starts a frontend that returns an empty result for every statement.
 func startFrontend() (net.Listener, string, error) {
 	verifier, err := document.NewVerifier(callerPassword)
 	if err != nil {
@@ -85,8 +85,8 @@
 	}
 	server := frontend.NewServer(frontend.Config{
 		Instance:  "measured",
-		Directory: oneService{service},
-		Executor:  emptyAnswers{},
+		Directory: singleServiceDirectory{service},
+		Executor:  emptyExecutor{},
 		Clock:     clock.System{},
 		Logger:    hclog.NewNullLogger(),
 		Metrics:   frontend.NewMetrics(prometheus.NewRegistry()),
@@ -95,11 +95,11 @@
 	return listener, listener.Addr().String(), nil
 }
 
-// openCallers logs n callers in, runs a statement on each, and returns their sockets.
+// openCallers logs in n callers, runs one statement on each, and returns their sockets.
 func openCallers(ctx context.Context, address string, n int) ([]net.Conn, error) {
 	conns := make([]net.Conn, n)
 	var group errgroup.Group
-	group.SetLimit(loginsAtOnce)
+	group.SetLimit(maxConcurrentLogins)
 	for i := range conns {
 		group.Go(func() error {
 			conn, err := openCaller(ctx, address)
@@ -134,20 +134,20 @@
 	return hijacked.Conn, nil
 }
 
-// oneService is a Directory with one service.
-type oneService struct{ service *document.Service }
+// singleServiceDirectory is a frontend.Directory with one service.
+type singleServiceDirectory struct{ service *document.Service }
 
 // FindService implements frontend.Directory.
-func (d oneService) FindService(string) (*document.Service, bool) { return d.service, true }
+func (d singleServiceDirectory) FindService(string) (*document.Service, bool) { return d.service, true }
 
 // Ready implements frontend.Directory.
-func (d oneService) Ready() bool { return true }
+func (d singleServiceDirectory) Ready() bool { return true }
 
-// emptyAnswers is an Executor whose statements return no rows.
-type emptyAnswers struct{}
+// emptyExecutor is an execution.Executor whose statements return no rows.
+type emptyExecutor struct{}
 
 // Execute implements execution.Executor.
-func (emptyAnswers) Execute(context.Context, *execution.Unit, func([]byte) error) (*execution.Reply, error) {
+func (emptyExecutor) Execute(context.Context, *execution.Unit, func([]byte) error) (*execution.Reply, error) {
 	answer, err := (&pgproto3.CommandComplete{CommandTag: []byte("SELECT 0")}).Encode(nil)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 }
 
 // Abandon implements execution.Executor.
-func (emptyAnswers) Abandon(string, string) {}
+func (emptyExecutor) Abandon(string, string) {}
 
 // Cancel implements execution.Executor.
-func (emptyAnswers) Cancel(string, string) {}
+func (emptyExecutor) Cancel(string, string) {}
--- a/internal/standin/slopes/counting.go
+++ b/internal/standin/slopes/counting.go
@@ -8,7 +8,8 @@
 	"github.com/topazrock/topazrock/internal/netio"
 )
 
-// countingNetwork counts the bytes and writes of all connections it dials.
+// countingNetwork counts the bytes read and written, and the writes, on all connections
+// that it dials.
 type countingNetwork struct {
 	netio.TCP
 	bytes  atomic.Int64
@@ -24,7 +25,7 @@
 	return &countingConn{Conn: conn, network: n}, nil
 }
 
-// countingConn adds what passes it to its network's counters.
+// countingConn adds its reads and writes to the counters of its network.
 type countingConn struct {
 	net.Conn
 	network *countingNetwork
--- a/internal/standin/slopes/documents.go
+++ b/internal/standin/slopes/documents.go
@@ -9,31 +9,31 @@
 	"github.com/topazrock/topazrock/internal/document"
 )
 
-// measureDocuments parses more and more documents and keeps them.
+// measureDocuments parses an increasing number of documents and keeps the results.
 func measureDocuments(_ context.Context, _ Options) ([]Slope, error) {
-	var held, parsing []Point
+	var memoryUse, parsing []Point
 	for _, n := range []int{500, 1000, 2000, 5000} {
-		before, used := memory(), processorTime()
-		kept := make([]*document.Service, n)
-		for i := range kept {
+		memoryBefore, cpuBefore := memoryInUse(), cpuTime()
+		parsed := make([]*document.Service, n)
+		for i := range parsed {
 			s, err := document.Parse("measured", []byte(documentText(i)))
 			if err != nil {
 				return nil, err
 			}
-			kept[i] = s
+			parsed[i] = s
 		}
-		parsing = append(parsing, Point{float64(n), millis(processorTime() - used)})
-		held = append(held, Point{float64(n), memory() - before})
-		runtime.KeepAlive(kept)
+		parsing = append(parsing, Point{float64(n), milliseconds(cpuTime() - cpuBefore)})
+		memoryUse = append(memoryUse, Point{float64(n), memoryInUse() - memoryBefore})
+		runtime.KeepAlive(parsed)
 	}
 	return []Slope{
-		fit("documents", "bytes of memory, parsed", held),
-		fit("documents", "ms to parse all", parsing),
+		fitLine("documents", "bytes of memory, parsed", memoryUse),
+		fitLine("documents", "ms to parse all", parsing),
 	}, nil
 }
 
-// documentText returns a document like those of examples/: three groups, one
-// user, six classes.
+// documentText returns a document similar to those in examples/, with three groups, one
+// user and six request classes.
 func documentText(i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[service]\nname = service-%d\n", i)
@@ -56,6 +56,6 @@
 	return b.String()
 }
 
-// measuredVerifier is the verifier of a password that nothing else uses.
+// measuredVerifier is the SCRAM verifier of a password that is used nowhere else.
 const measuredVerifier = "SCRAM-SHA-256$4096:y0dInoy2hw+boGs4hM65eQ==$" +
 	"3SpBj+j6yTi73e/dAhqtXEWaTZOtGBZeNNnGI3sGNh8=:n+SNdInED24RgrJW/aqIICRzLDB52sPposD4v52R36w="
--- a/internal/standin/slopes/failovers.go
+++ b/internal/standin/slopes/failovers.go
@@ -20,61 +20,61 @@
 )
 
 const (
-	// platformDelay is how long the platform takes for a call.
+	// platformDelay is the duration of a call to the platform.
 	platformDelay = 5 * time.Millisecond
-	// failoverTimeout bounds the wait for all groups to have a new primary.
+	// failoverTimeout limits the wait until all groups have a new primary.
 	failoverTimeout = 30 * time.Second
-	membersOfGroup  = 3
+	membersPerGroup = 3
 )
 
-// measureFailovers stops the primaries of more and more groups at one moment.
-// Their members run in this process too, so that processor time holds both
-// sides; one instance claims for all.
+// measureFailovers kills the primaries of an increasing number of groups at the same
+// time. The members also run in this process, so processor time covers both sides. One
+// instance claims the terms of all groups.
 func measureFailovers(ctx context.Context, o Options) ([]Slope, error) {
-	var slowest, processor, calls []Point
+	var slowest, cpu, calls []Point
 	for _, n := range []int{1, 5, 10, 20} {
-		b, err := startBurst(ctx, o, n)
+		g, err := startFailoverGroups(ctx, o, n)
 		if err != nil {
 			return nil, err
 		}
-		used := processorTime()
-		calledBefore := callsOf(b.api)
-		longest, err := b.stopPrimaries(ctx)
-		spent := processorTime() - used
-		count := callsOf(b.api) - calledBefore
-		b.stop()
+		cpuBefore := cpuTime()
+		callsBefore := totalCalls(g.platform)
+		slowestFailover, err := g.killPrimaries(ctx)
+		cpuUsed := cpuTime() - cpuBefore
+		count := totalCalls(g.platform) - callsBefore
+		g.stop()
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
-		slowest = append(slowest, Point{x, millis(longest)})
-		processor = append(processor, Point{x, millis(spent)})
+		slowest = append(slowest, Point{x, milliseconds(slowestFailover)})
+		cpu = append(cpu, Point{x, milliseconds(cpuUsed)})
 		calls = append(calls, Point{x, float64(count)})
 	}
 	return []Slope{
-		fit("primaries lost at once", "ms to the last new primary", slowest),
-		fit("primaries lost at once", "ms of processor time, both sides", processor),
-		fit("primaries lost at once", "calls to the platform", calls),
+		fitLine("primaries lost at once", "ms to the last new primary", slowest),
+		fitLine("primaries lost at once", "ms of processor time, both sides", cpu),
+		fitLine("primaries lost at once", "calls to the platform", calls),
 	}, nil
 }
 
-// burst is n groups that one instance is home to.
-type burst struct {
-	api    *standin.Store
-	groups [][]*member.Node
-	gaps   chan failover.Gap
-	stop   func()
+// failoverGroups is a number of groups that one instance watches and fails over.
+type failoverGroups struct {
+	platform  *standin.Store
+	groups    [][]*member.Node
+	failovers chan failover.Gap
+	stop      func()
 }
 
-func startBurst(ctx context.Context, o Options, n int) (*burst, error) {
+func startFailoverGroups(ctx context.Context, o Options, n int) (*failoverGroups, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	b := &burst{api: standin.NewStore(), gaps: make(chan failover.Gap, n)}
-	b.api.SetFaults(standin.Faults{Delay: platformDelay})
-	var parts sync.WaitGroup
-	b.stop = func() {
+	g := &failoverGroups{platform: standin.NewStore(), failovers: make(chan failover.Gap, n)}
+	g.platform.SetFaults(standin.Faults{Delay: platformDelay})
+	var running sync.WaitGroup
+	g.stop = func() {
 		cancel()
-		parts.Wait()
-		for _, nodes := range b.groups {
+		running.Wait()
+		for _, nodes := range g.groups {
 			for _, node := range nodes {
 				node.Stop()
 			}
@@ -82,9 +82,9 @@
 	}
 	var watchers []*group.Watcher
 	for i := range n {
-		w, err := b.addGroup(ctx, o, i, &parts)
+		w, err := g.addGroup(ctx, o, i, &running)
 		if err != nil {
-			b.stop()
+			g.stop()
 			return nil, err
 		}
 		watchers = append(watchers, w)
@@ -92,16 +92,16 @@
 	_ = clock.Sleep(ctx, clock.System{}, 2*time.Second)
 	for _, w := range watchers {
 		if s := w.Snapshot(); s.Primary == "" || s.ConfirmedAt.IsZero() {
-			b.stop()
-			return nil, fmt.Errorf("group %s did not settle", s.Group)
+			g.stop()
+			return nil, fmt.Errorf("group %s has no confirmed primary 2 s after its start", s.Group)
 		}
 	}
-	return b, nil
+	return g, nil
 }
 
-// addGroup starts three members, and a watcher and a claimer for them.
-func (b *burst) addGroup(ctx context.Context, o Options, i int, parts *sync.WaitGroup) (*group.Watcher, error) {
-	addresses, err := freeAddresses(membersOfGroup)
+// addGroup starts the members of a group, with a watcher and a claimer.
+func (g *failoverGroups) addGroup(ctx context.Context, o Options, i int, running *sync.WaitGroup) (*group.Watcher, error) {
+	addresses, err := freeAddresses(membersPerGroup)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.groups = append(b.groups, nodes)
+	g.groups = append(g.groups, nodes)
 	var members []document.Member
 	for k, address := range addresses {
 		members = append(members, document.Member{Address: address, FailureDomain: fmt.Sprintf("fd-%d", k)})
@@ -123,34 +123,35 @@
 	})
 	c := failover.New(failover.Config{
 		Group: name, Self: platform.Instance{ID: "measured", FailureDomain: "fd-1"},
-		View: w, Platform: b.api, Dialer: dialer, Clock: clock.System{},
+		View: w, Platform: g.platform, Dialer: dialer, Clock: clock.System{},
 		Rand:       rand.New(rand.NewPCG(o.Seed, uint64(2*i+1))),
-		OnFailover: func(g failover.Gap) { b.gaps <- g },
+		OnFailover: func(f failover.Gap) { g.failovers <- f },
 	})
-	parts.Go(func() { w.Run(ctx) })
-	parts.Go(func() { c.Run(ctx) })
+	running.Go(func() { w.Run(ctx) })
+	running.Go(func() { c.Run(ctx) })
 	return w, nil
 }
 
-// stopPrimaries stops every primary and returns the time to the last new one.
-func (b *burst) stopPrimaries(ctx context.Context) (time.Duration, error) {
+// killPrimaries kills every primary and returns the time until the last group has a new
+// one.
+func (g *failoverGroups) killPrimaries(ctx context.Context) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, failoverTimeout)
 	defer cancel()
 	begin := time.Now()
-	for _, nodes := range b.groups {
+	for _, nodes := range g.groups {
 		go nodes[0].Kill()
 	}
-	for range b.groups {
+	for range g.groups {
 		select {
-		case <-b.gaps:
+		case <-g.failovers:
 		case <-ctx.Done():
-			return 0, fmt.Errorf("not every group has a new primary: %w", ctx.Err())
+			return 0, fmt.Errorf("waiting for a new primary in every group: %w", ctx.Err())
 		}
 	}
 	return time.Since(begin), nil
 }
 
-// freeAddresses returns loopback addresses that nothing listened at a moment ago.
+// freeAddresses returns loopback addresses that were unused when it checked.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for range n {
--- a/internal/standin/slopes/fit.go
+++ b/internal/standin/slopes/fit.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Point is one measured cost.
+// Point is the cost Y that was measured at the value X of the driver.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a cost measured at several points, with a least-squares line.
+// Slope is a cost measured at several points, and the least-squares line through them.
 type Slope struct {
-	// Driver is what X counts, and Cost what Y measures, with its unit.
+	// Driver names the quantity X, and Cost the quantity Y with its unit.
 	Driver string  `json:"driver"`
 	Cost   string  `json:"cost"`
 	Points []Point `json:"points"`
@@ -18,12 +18,12 @@
 	PerUnit float64 `json:"per_unit"`
 	Fixed   float64 `json:"fixed"`
 	// Residual is the root mean square of the points' distances from the line,
-	// as a share of the points' mean.
+	// divided by the mean of Y.
 	Residual float64 `json:"residual"`
 }
 
-// fit returns the points with their least-squares line.
-func fit(driver, cost string, points []Point) Slope {
+// fitLine fits a least-squares line to the points.
+func fitLine(driver, cost string, points []Point) Slope {
 	s := Slope{Driver: driver, Cost: cost, Points: points}
 	n := float64(len(points))
 	var x, y, xx, xy float64
--- a/internal/standin/slopes/fit_test.go
+++ b/internal/standin/slopes/fit_test.go
@@ -11,11 +11,11 @@
 
 func TestFitFindsTheLine(t *testing.T) {
 	is := is.New(t)
-	exact := fit("x", "y", []Point{{1, 5}, {2, 7}, {4, 11}})
+	exact := fitLine("x", "y", []Point{{1, 5}, {2, 7}, {4, 11}})
 	is.True(math.Abs(exact.PerUnit-2) < 1e-9)
 	is.True(math.Abs(exact.Fixed-3) < 1e-9)
 	is.True(exact.Residual < 1e-9)
-	bent := fit("x", "y", []Point{{1, 0}, {2, 3}, {3, 0}})
+	bent := fitLine("x", "y", []Point{{1, 0}, {2, 3}, {3, 0}})
 	is.True(math.Abs(bent.PerUnit) < 1e-9)
 	is.True(math.Abs(bent.Residual-math.Sqrt2) < 1e-9)
 }
--- a/internal/standin/slopes/groups.go
+++ b/internal/standin/slopes/groups.go
@@ -13,59 +13,60 @@
 	"github.com/topazrock/topazrock/internal/member/pgcontrol"
 )
 
-// measureGroups follows more and more groups that nobody uses. All of them have
-// the same three members, which costs the follower what three of their own would.
+// measureGroups watches an increasing number of unused groups. All groups have the same
+// three members, which costs the watcher as much as three separate members per group.
 func measureGroups(ctx context.Context, o Options) ([]Slope, error) {
-	return followMore(ctx, o, "idle groups at home", group.DefaultIntervals())
+	return measureIdleGroups(ctx, o, "idle groups at home", group.DefaultIntervals())
 }
 
-// seldom is how often members could be asked while nobody uses the group. A
-// primary that is lost would still be found within a fraction of 16 s.
-const seldom = 1600 * time.Millisecond
+// rarePollInterval is a possible poll interval for the members of an unused group. The
+// loss of a primary would still be detected within a fraction of 16 s.
+const rarePollInterval = 1600 * time.Millisecond
 
-// measureSeldomGroups does the same with members that are asked seldom, which
-// is what an idle group could cost.
-func measureSeldomGroups(ctx context.Context, o Options) ([]Slope, error) {
+// measureRarelyPolledGroups is measureGroups with members that are polled at
+// rarePollInterval. It shows how low the cost of an idle group could be.
+func measureRarelyPolledGroups(ctx context.Context, o Options) ([]Slope, error) {
 	intervals := group.DefaultIntervals()
-	intervals.PrimaryPoll, intervals.ReplicaPoll = seldom, seldom
-	return followMore(ctx, o, "idle groups at home, asked seldom", intervals)
+	intervals.PrimaryPoll, intervals.ReplicaPoll = rarePollInterval, rarePollInterval
+	return measureIdleGroups(ctx, o, "idle groups at home, asked seldom", intervals)
 }
 
-// followMore measures more and more groups with given intervals.
-func followMore(ctx context.Context, o Options, driver string, intervals group.Intervals) ([]Slope, error) {
-	var processor, rate, questions, bytes []Point
+// measureIdleGroups watches an increasing number of groups with the given intervals.
+func measureIdleGroups(ctx context.Context, o Options, driver string, intervals group.Intervals) ([]Slope, error) {
+	var cpu, rate, writes, memoryUse []Point
 	for _, n := range []int{2, 4, 8, 16} {
 		u, err := followGroups(ctx, o, n, intervals)
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
-		processor = append(processor, Point{x, u.processor})
+		cpu = append(cpu, Point{x, u.cpuShare})
 		rate = append(rate, Point{x, u.bytesPerSecond})
-		questions = append(questions, Point{x, u.writesPerSecond})
-		bytes = append(bytes, Point{x, u.memory})
+		writes = append(writes, Point{x, u.writesPerSecond})
+		memoryUse = append(memoryUse, Point{x, u.memoryBytes})
 	}
 	return []Slope{
-		fit(driver, "share of a core", processor),
-		fit(driver, "bytes a second", rate),
-		fit(driver, "questions a second", questions),
-		fit(driver, "bytes of memory", bytes),
+		fitLine(driver, "share of a core", cpu),
+		fitLine(driver, "bytes a second", rate),
+		fitLine(driver, "questions a second", writes),
+		fitLine(driver, "bytes of memory", memoryUse),
 	}, nil
 }
 
-// usage is what one load cost.
-type usage struct {
-	processor, bytesPerSecond, writesPerSecond, memory float64
+// resourceUsage is the cost of one load: share of a core, rates and memory.
+type resourceUsage struct {
+	cpuShare, bytesPerSecond, writesPerSecond, memoryBytes float64
 }
 
-// followGroups follows n groups for the window, after they have settled.
-func followGroups(ctx context.Context, o Options, n int, intervals group.Intervals) (usage, error) {
+// followGroups watches n groups and measures for the duration of the window, after each
+// watcher has found a primary.
+func followGroups(ctx context.Context, o Options, n int, intervals group.Intervals) (resourceUsage, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	network := &countingNetwork{}
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	defer cancel()
-	before := memory()
+	memoryBefore := memoryInUse()
 	watchers := make([]*group.Watcher, n)
 	for i := range watchers {
 		watchers[i] = newWatcher(o, network, i, intervals)
@@ -74,19 +75,19 @@
 	_ = clock.Sleep(ctx, clock.System{}, time.Second)
 	for _, w := range watchers {
 		if w.Snapshot().Primary == "" {
-			return usage{}, fmt.Errorf("a group found no primary among %v", o.Members)
+			return resourceUsage{}, fmt.Errorf("no primary found among members %v", o.Members)
 		}
 	}
-	held := memory() - before
-	begin, used := time.Now(), processorTime()
+	memoryUsed := memoryInUse() - memoryBefore
+	begin, cpuBefore := time.Now(), cpuTime()
 	bytes, writes := network.bytes.Load(), network.writes.Load()
 	_ = clock.Sleep(ctx, clock.System{}, o.Window)
 	seconds := time.Since(begin).Seconds()
-	return usage{
-		processor:       (processorTime() - used).Seconds() / seconds,
+	return resourceUsage{
+		cpuShare:        (cpuTime() - cpuBefore).Seconds() / seconds,
 		bytesPerSecond:  float64(network.bytes.Load()-bytes) / seconds,
 		writesPerSecond: float64(network.writes.Load()-writes) / seconds,
-		memory:          held,
+		memoryBytes:     memoryUsed,
 	}, nil
 }
 
--- a/internal/standin/slopes/instances.go
+++ b/internal/standin/slopes/instances.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// failureDomains is the number of the target.
+	// failureDomains is the number of failure domains that topazrock is designed for.
 	failureDomains = 7
-	// groupsRanked is how many groups' homes are worked out at each point.
-	groupsRanked = 200
+	// rankedGroups is the number of groups whose homes are computed at each point.
+	rankedGroups = 200
 )
 
-// measureInstances takes in instance lists of several lengths and works out
-// the homes of groups from each.
+// measureInstances loads instance lists of several lengths and computes the homes of
+// groups from each.
 func measureInstances(ctx context.Context, o Options) ([]Slope, error) {
-	var size, decoding, taking, ranking, held []Point
+	var size, decoding, refreshing, ranking, memoryUse []Point
 	for _, n := range []int{500, 1000, 2000, 4000, 7400} {
-		list := inventoryOf(n)
+		list := newInventory(n)
 		text, err := json.Marshal(list)
 		if err != nil {
 			return nil, err
@@ -36,54 +36,55 @@
 			return nil, err
 		}
 		decoding = append(decoding, Point{x, decode})
-		before := memory()
+		memoryBefore := memoryInUse()
 		members := membership.New(membership.Options{
-			API:              fixedList{list: list},
+			API:              fixedInventory{inventory: list},
 			Clock:            clock.System{},
 			Rand:             rand.New(rand.NewPCG(o.Seed, 0)),
 			Self:             list.Instances[0],
 			PerFailureDomain: 1,
 		})
-		used := processorTime()
+		cpuBefore := cpuTime()
 		if err := members.Refresh(ctx); err != nil {
 			return nil, err
 		}
-		taking = append(taking, Point{x, millis(processorTime() - used)})
-		held = append(held, Point{x, memory() - before})
-		used = processorTime()
-		for i := range groupsRanked {
+		refreshing = append(refreshing, Point{x, milliseconds(cpuTime() - cpuBefore)})
+		memoryUse = append(memoryUse, Point{x, memoryInUse() - memoryBefore})
+		cpuBefore = cpuTime()
+		for i := range rankedGroups {
 			members.IsHome(fmt.Sprintf("group-%d", i))
 		}
-		ranking = append(ranking, Point{x, millis(processorTime()-used) / groupsRanked})
+		ranking = append(ranking, Point{x, milliseconds(cpuTime()-cpuBefore) / rankedGroups})
 	}
 	return []Slope{
-		fit("instances", "bytes of the instance list", size),
-		fit("instances", "ms to decode a list", decoding),
-		fit("instances", "ms to take in a decoded list", taking),
-		fit("instances", "bytes of memory", held),
-		fit("instances", "ms to find one group's homes", ranking),
+		fitLine("instances", "bytes of the instance list", size),
+		fitLine("instances", "ms to decode a list", decoding),
+		fitLine("instances", "ms to take in a decoded list", refreshing),
+		fitLine("instances", "bytes of memory", memoryUse),
+		fitLine("instances", "ms to find one group's homes", ranking),
 	}, nil
 }
 
-// decodeRounds is how often a list is decoded for one point.
+// decodeRounds is the number of times that a list is decoded for one point.
 const decodeRounds = 5
 
-// decodeTime returns the mean processor time of decoding a list, in ms.
+// decodeTime returns the mean processor time to decode a list, in ms.
 func decodeTime(text []byte) (float64, error) {
-	used := processorTime()
+	cpuBefore := cpuTime()
 	for range decodeRounds {
 		var list platform.Inventory
 		if err := json.Unmarshal(text, &list); err != nil {
 			return 0, err
 		}
 	}
-	return millis(processorTime()-used) / decodeRounds, nil
+	return milliseconds(cpuTime()-cpuBefore) / decodeRounds, nil
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// inventoryOf returns a list of n instances with names and addresses of the usual length.
-func inventoryOf(n int) platform.Inventory {
+// newInventory returns a list of n instances whose IDs and addresses have typical
+// lengths.
+func newInventory(n int) platform.Inventory {
 	var list platform.Inventory
 	for i := range n {
 		ip := fmt.Sprintf("10.%d.%d.%d", i%failureDomains, i/250, i%250)
@@ -97,11 +98,13 @@
 	return list
 }
 
-// fixedList is a platform that only lists instances.
-type fixedList struct {
+// fixedInventory is a platform.API that only implements Inventory.
+type fixedInventory struct {
 	platform.API
-	list platform.Inventory
+	inventory platform.Inventory
 }
 
 // Inventory implements platform.API.
-func (f fixedList) Inventory(context.Context) (platform.Inventory, error) { return f.list, nil }
+func (f fixedInventory) Inventory(context.Context) (platform.Inventory, error) {
+	return f.inventory, nil
+}
--- a/internal/standin/slopes/loans.go
+++ b/internal/standin/slopes/loans.go
@@ -18,128 +18,130 @@
 )
 
 const (
-	groupConnections = 55
-	groupSlots       = 5
-	callersShort     = 4
+	connectionsPerGroup = 55
+	slotsPerGroup       = 5
+	waitingCallers      = 4
 )
 
-// measureLoans lets two instances hold the shares of more and more groups,
-// first at rest, and then with all groups short of connections on one of them.
+// measureLoans measures two instances that hold the shares of an increasing number of
+// groups: first idle, and then while one of them lacks connections in all groups.
 func measureLoans(ctx context.Context, o Options) ([]Slope, error) {
-	var rest, slowest, calls, bytes []Point
+	var idle, slowest, calls, bytes []Point
 	for _, n := range []int{4, 8, 16, 32} {
-		l, err := startLenders(ctx, o, n)
+		p, err := startSharePair(ctx, o, n)
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
-		rest = append(rest, Point{x, idleShare(ctx, o.Window)})
-		called, sent, begin := callsOf(l.api), l.network.bytes.Load(), time.Now()
-		err = l.lendAll(ctx)
-		slowest = append(slowest, Point{x, millis(time.Since(begin))})
-		calls = append(calls, Point{x, float64(callsOf(l.api) - called)})
-		bytes = append(bytes, Point{x, float64(l.network.bytes.Load() - sent)})
-		l.stop()
+		idle = append(idle, Point{x, idleCPUShare(ctx, o.Window)})
+		callsBefore, bytesBefore, begin := totalCalls(p.platform), p.network.bytes.Load(), time.Now()
+		err = p.borrowInAllGroups(ctx)
+		slowest = append(slowest, Point{x, milliseconds(time.Since(begin))})
+		calls = append(calls, Point{x, float64(totalCalls(p.platform) - callsBefore)})
+		bytes = append(bytes, Point{x, float64(p.network.bytes.Load() - bytesBefore)})
+		p.stop()
 		if err != nil {
 			return nil, err
 		}
 	}
 	return []Slope{
-		fit("groups with shares", "share of a core at rest, two instances", rest),
-		fit("loans at once", "ms to the last loan", slowest),
-		fit("loans at once", "calls to the platform", calls),
-		fit("loans at once", "bytes between the two", bytes),
+		fitLine("groups with shares", "share of a core at rest, two instances", idle),
+		fitLine("loans at once", "ms to the last loan", slowest),
+		fitLine("loans at once", "calls to the platform", calls),
+		fitLine("loans at once", "bytes between the two", bytes),
 	}, nil
 }
 
-// lenders are two instances with a seat in each of n groups.
-type lenders struct {
-	api       *standin.Store
+// sharePair is two instances that each hold a share of every group. The first lends
+// connections to the second.
+type sharePair struct {
+	platform  *standin.Store
 	network   *countingNetwork
-	lending   []*shares.Manager
-	borrowing []*shares.Manager
-	short     []*demand
+	lenders   []*shares.Manager
+	borrowers []*shares.Manager
+	demands   []*fakeResource
 	stop      func()
 }
 
-func startLenders(ctx context.Context, o Options, n int) (*lenders, error) {
+func startSharePair(ctx context.Context, o Options, n int) (*sharePair, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	l := &lenders{api: standin.NewStore(), network: &countingNetwork{}}
-	l.api.SetFaults(standin.Faults{Delay: platformDelay})
-	var parts sync.WaitGroup
-	var ends []func()
-	l.stop = func() {
+	p := &sharePair{platform: standin.NewStore(), network: &countingNetwork{}}
+	p.platform.SetFaults(standin.Faults{Delay: platformDelay})
+	var running sync.WaitGroup
+	var closers []func()
+	p.stop = func() {
 		cancel()
-		parts.Wait()
-		for _, end := range ends {
+		running.Wait()
+		for _, end := range closers {
 			end()
 		}
 	}
 	for i, domain := range []string{"fd-0", "fd-1"} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			l.stop()
+			p.stop()
 			return nil, err
 		}
 		directory, server := shares.NewDirectory(domain), peer.NewServer(hclog.NewNullLogger())
 		directory.Register(server)
-		client := peer.NewClient(domain, l.network)
+		client := peer.NewClient(domain, p.network)
 		go func() { _ = server.Serve(listener) }()
-		ends = append(ends, client.Close, server.Close, func() { listener.Close() })
+		closers = append(closers, client.Close, server.Close, func() { listener.Close() })
 		self := shares.Holder{Instance: domain, Incarnation: domain, Address: listener.Addr().String(), FailureDomain: domain}
 		for g := range n {
-			m, d := l.newManager(o, self, client, g, i)
+			m, d := p.newManager(o, self, client, g, i)
 			directory.Add(m)
-			parts.Go(func() { m.Run(ctx) })
+			running.Go(func() { m.Run(ctx) })
 			if i == 0 {
-				l.lending = append(l.lending, m)
+				p.lenders = append(p.lenders, m)
 			} else {
-				l.borrowing, l.short = append(l.borrowing, m), append(l.short, d)
+				p.borrowers, p.demands = append(p.borrowers, m), append(p.demands, d)
 			}
 		}
 	}
-	if err := waitUntil(ctx, l.seated); err != nil {
-		l.stop()
-		return nil, fmt.Errorf("seats were not taken: %w", err)
+	if err := waitUntil(ctx, p.allHoldShares); err != nil {
+		p.stop()
+		return nil, fmt.Errorf("waiting for both instances to hold a share of every group: %w", err)
 	}
-	return l, nil
+	return p, nil
 }
 
-func (l *lenders) newManager(o Options, self shares.Holder, c peer.Caller, g, i int) (*shares.Manager, *demand) {
-	d := &demand{}
+func (p *sharePair) newManager(o Options, self shares.Holder, c peer.Caller, g, i int) (*shares.Manager, *fakeResource) {
+	d := &fakeResource{}
 	m := shares.New(shares.Config{
 		Group: fmt.Sprintf("measured-%d", g), Self: self, Clock: clock.System{},
 		Rand:     rand.New(rand.NewPCG(o.Seed, uint64(2*g+i))),
-		Platform: l.api, Peers: c, Connections: d, Slots: &demand{}, Control: membersOfGroup,
+		Platform: p.platform, Peers: c, Connections: d, Slots: &fakeResource{}, Control: membersPerGroup,
 	}, shares.Allocation{
 		Document:       1,
-		Total:          shares.Amount{Connections: groupConnections, Slots: groupSlots},
+		Total:          shares.Amount{Connections: connectionsPerGroup, Slots: slotsPerGroup},
 		FailureDomains: []string{"fd-0", "fd-1"},
 	})
 	return m, d
 }
 
-func (l *lenders) seated() bool {
-	for i := range l.lending {
-		if !l.lending[i].Seated() || !l.borrowing[i].Seated() {
+func (p *sharePair) allHoldShares() bool {
+	for i := range p.lenders {
+		if !p.lenders[i].Seated() || !p.borrowers[i].Seated() {
 			return false
 		}
 	}
 	return true
 }
 
-// lendAll makes every group short on one instance until it has borrowed.
-func (l *lenders) lendAll(ctx context.Context) error {
+// borrowInAllGroups makes callers wait in every group on the borrowing instance until
+// it has borrowed connections.
+func (p *sharePair) borrowInAllGroups(ctx context.Context) error {
 	var before []int
-	for i, m := range l.borrowing {
+	for i, m := range p.borrowers {
 		before = append(before, m.Limit().Connections)
-		l.short[i].waiting.Store(callersShort)
+		p.demands[i].waiting.Store(waitingCallers)
 	}
 	return waitUntil(ctx, func() bool {
 		all := true
-		for i, m := range l.borrowing {
+		for i, m := range p.borrowers {
 			if m.Limit().Connections > before[i] {
-				l.short[i].waiting.Store(0)
+				p.demands[i].waiting.Store(0)
 				continue
 			}
 			all = false
@@ -148,14 +150,15 @@
 	})
 }
 
-// demand is a resource of which nothing is in use and something may be waited for.
-type demand struct{ waiting atomic.Int64 }
+// fakeResource is a shares.Resource with none in use and a configurable number of
+// waiters.
+type fakeResource struct{ waiting atomic.Int64 }
 
 // Set implements shares.Resource.
-func (d *demand) Set(int) {}
+func (d *fakeResource) Set(int) {}
 
 // Settle implements shares.Resource.
-func (d *demand) Settle(context.Context) error { return nil }
+func (d *fakeResource) Settle(context.Context) error { return nil }
 
 // Use implements shares.Resource.
-func (d *demand) Use() (inUse, waiting int) { return 0, int(d.waiting.Load()) }
+func (d *fakeResource) Use() (inUse, waiting int) { return 0, int(d.waiting.Load()) }
--- a/internal/standin/slopes/peers.go
+++ b/internal/standin/slopes/peers.go
@@ -13,16 +13,16 @@
 	"github.com/topazrock/topazrock/internal/peer"
 )
 
-// echoMethod answers with what it is sent.
+// echoMethod returns its parameters.
 const echoMethod = "measure.echo"
 
-// payload is about the size of a small message between instances.
-type payload struct {
+// echoMessage is about as large as a small message between instances.
+type echoMessage struct {
 	Text string `json:"text"`
 }
 
-// startPeer serves echoMethod.
-func startPeer() (*peer.Server, string, error) {
+// startEchoServer starts a peer server that handles echoMethod.
+func startEchoServer() (*peer.Server, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
@@ -35,38 +35,38 @@
 	return server, listener.Addr().String(), nil
 }
 
-// measurePeers opens connections to peers that are then idle. Both ends are in
-// this process, so the memory is that of a peer that calls and is called.
+// measurePeers opens connections to peers and leaves them idle. Both ends are in this
+// process, so the memory is that of a peer with connections in both directions.
 func measurePeers(ctx context.Context, _ Options) ([]Slope, error) {
-	server, address, err := startPeer()
+	server, address, err := startEchoServer()
 	if err != nil {
 		return nil, err
 	}
 	defer server.Close()
-	var held []Point
+	var memoryUse []Point
 	var clients []*peer.Client
 	defer func() {
 		for _, c := range clients {
 			c.Close()
 		}
 	}()
-	before := memory()
+	memoryBefore := memoryInUse()
 	for _, n := range []int{50, 100, 200, 400} {
 		for len(clients) < n {
 			client := peer.NewClient("measured", netio.TCP{})
 			clients = append(clients, client)
-			if err := client.Call(ctx, address, echoMethod, payload{"open"}, &payload{}); err != nil {
+			if err := client.Call(ctx, address, echoMethod, echoMessage{"open"}, &echoMessage{}); err != nil {
 				return nil, err
 			}
 		}
-		held = append(held, Point{float64(n), memory() - before})
+		memoryUse = append(memoryUse, Point{float64(n), memoryInUse() - memoryBefore})
 	}
-	return []Slope{fit("connected peers", "bytes of memory, both ends", held)}, nil
+	return []Slope{fitLine("connected peers", "bytes of memory, both ends", memoryUse)}, nil
 }
 
-// measureCalls calls a peer at several rates. The processor time holds both ends.
+// measureCalls calls a peer at several rates. The processor time covers both ends.
 func measureCalls(ctx context.Context, o Options) ([]Slope, error) {
-	server, address, err := startPeer()
+	server, address, err := startEchoServer()
 	if err != nil {
 		return nil, err
 	}
@@ -74,9 +74,9 @@
 	network := &countingNetwork{}
 	client := peer.NewClient("measured", network)
 	defer client.Close()
-	var processor, bytes []Point
+	var cpu, bytes []Point
 	for _, rate := range []int{50, 200, 500} {
-		sent, used := network.bytes.Load(), processorTime()
+		bytesBefore, cpuBefore := network.bytes.Load(), cpuTime()
 		begin := time.Now()
 		calls, err := callAtRate(ctx, client, address, rate, o.Window)
 		if err != nil {
@@ -84,21 +84,22 @@
 		}
 		seconds := time.Since(begin).Seconds()
 		x := float64(calls) / seconds
-		processor = append(processor, Point{x, (processorTime() - used).Seconds() / seconds})
-		bytes = append(bytes, Point{x, float64(network.bytes.Load()-sent) / seconds})
+		cpu = append(cpu, Point{x, (cpuTime() - cpuBefore).Seconds() / seconds})
+		bytes = append(bytes, Point{x, float64(network.bytes.Load()-bytesBefore) / seconds})
 	}
 	return []Slope{
-		fit("peer calls a second", "share of a core, both ends", processor),
-		fit("peer calls a second", "bytes a second", bytes),
+		fitLine("peer calls a second", "share of a core, both ends", cpu),
+		fitLine("peer calls a second", "bytes a second", bytes),
 	}, nil
 }
 
-// callAtRate calls at a steady rate for the window and returns the number of calls.
+// callAtRate calls echoMethod at a constant rate for the duration of the window, and
+// returns the number of calls.
 func callAtRate(ctx context.Context, client *peer.Client, address string, rate int, window time.Duration) (int, error) {
 	begin, calls := time.Now(), 0
 	pause := time.Second / time.Duration(rate)
 	for time.Since(begin) < window {
-		if err := client.Call(ctx, address, echoMethod, payload{"sixteen bytes..."}, &payload{}); err != nil {
+		if err := client.Call(ctx, address, echoMethod, echoMessage{"sixteen bytes..."}, &echoMessage{}); err != nil {
 			return calls, err
 		}
 		calls++
--- a/internal/standin/slopes/stores.go
+++ b/internal/standin/slopes/stores.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	// remembered is how many changes a stored document carries with it. At
-	// seven changes a document and day, all that a document remembers is used
-	// up within days.
-	remembered = 50
-	// quietWindow and quietBytes tell digests alone from the pushes of a start.
-	quietWindow = 2 * time.Second
-	quietBytes  = 8 << 10
-	// restTimeout bounds the wait for the pushes of a start to end.
-	restTimeout = time.Minute
+	// historyLength is the number of earlier changes stored with a document. At
+	// seven changes per document and day, a history fills up within days.
+	historyLength = 50
+	// idleWindow and maxIdleBytes distinguish mere digests from the pushes after a
+	// start: fewer than maxIdleBytes within idleWindow are digests.
+	idleWindow   = 2 * time.Second
+	maxIdleBytes = 8 << 10
+	// pushesTimeout limits the wait for the pushes after a start to end.
+	pushesTimeout = time.Minute
 )
 
-// twoStores are two instances of one failure domain with their documents: a
-// relay that watches the platform, and an instance that the relay pushes to.
-type twoStores struct {
+// storePair is the configuration stores of two instances of one failure domain: a
+// relay that watches the platform, and a child that the relay pushes to.
+type storePair struct {
 	relay, child *config.Store
 	network      *countingNetwork
-	// before is the memory in use when the platform held the documents and
-	// neither instance was there.
-	before float64
-	stop   func()
+	// memoryBefore is the memory in use after the documents were stored in the
+	// platform and before the instances were created.
+	memoryBefore float64
+	stop         func()
 }
 
-// startStores starts both with n documents in the platform, and waits until
-// all are in force.
-func startStores(ctx context.Context, o Options, n int) (*twoStores, error) {
+// startStorePair starts both instances with n documents in the platform, and waits
+// until both have applied all documents.
+func startStorePair(ctx context.Context, o Options, n int) (*storePair, error) {
 	api := standin.NewStore()
 	for i := range n {
-		value, err := json.Marshal(storedEnvelope(i))
+		value, err := json.Marshal(newEnvelope(i))
 		if err != nil {
 			return nil, err
 		}
@@ -58,77 +58,77 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	t := &twoStores{network: &countingNetwork{}, before: memory()}
-	var parts sync.WaitGroup
-	var ends []func()
-	t.stop = func() {
+	p := &storePair{network: &countingNetwork{}, memoryBefore: memoryInUse()}
+	var running sync.WaitGroup
+	var closers []func()
+	p.stop = func() {
 		cancel()
-		parts.Wait()
-		for _, end := range ends {
+		running.Wait()
+		for _, end := range closers {
 			end()
 		}
 	}
-	pair, err := newPair()
+	pair, err := newInstancePair()
 	if err != nil {
-		t.stop()
+		p.stop()
 		return nil, err
 	}
-	for i, address := range pair.list {
-		client := peer.NewClient(address.ID, t.network)
+	for i, instance := range pair.instances {
+		client := peer.NewClient(instance.ID, p.network)
 		server := peer.NewServer(hclog.NewNullLogger())
 		s := config.New(config.Options{
 			API:      api,
 			Clock:    clock.System{},
 			Rand:     rand.New(rand.NewPCG(o.Seed, uint64(i))),
-			Fleet:    &pairFleet{pair: pair.list, self: i},
+			Fleet:    &pairFleet{instances: pair.instances, self: i},
 			Peers:    client,
 			Registry: server,
 		})
 		go func() { _ = server.Serve(pair.listeners[i]) }()
-		parts.Go(func() { _ = s.Run(ctx) })
-		ends = append(ends, client.Close, server.Close, func() { pair.listeners[i].Close() })
+		running.Go(func() { _ = s.Run(ctx) })
+		closers = append(closers, client.Close, server.Close, func() { pair.listeners[i].Close() })
 		if i == 0 {
-			t.relay = s
+			p.relay = s
 		} else {
-			t.child = s
+			p.child = s
 		}
 	}
-	err = waitUntil(ctx, func() bool { return len(t.relay.Versions()) == n && len(t.child.Versions()) == n })
+	err = waitUntil(ctx, func() bool { return len(p.relay.Versions()) == n && len(p.child.Versions()) == n })
 	if err == nil {
-		err = t.waitQuiet(ctx)
+		err = p.waitForPushes(ctx)
 	}
 	if err != nil {
-		t.stop()
+		p.stop()
 	}
-	return t, err
+	return p, err
 }
 
-// waitQuiet waits until what a starting instance pushes has been sent.
-func (t *twoStores) waitQuiet(ctx context.Context) error {
-	for begin := time.Now(); time.Since(begin) < restTimeout; {
-		sent := t.network.bytes.Load()
-		if err := clock.Sleep(ctx, clock.System{}, quietWindow); err != nil {
+// waitForPushes waits until the pushes that follow the start have been sent.
+func (p *storePair) waitForPushes(ctx context.Context) error {
+	for begin := time.Now(); time.Since(begin) < pushesTimeout; {
+		bytesBefore := p.network.bytes.Load()
+		if err := clock.Sleep(ctx, clock.System{}, idleWindow); err != nil {
 			return err
 		}
-		if t.network.bytes.Load()-sent < quietBytes {
+		if p.network.bytes.Load()-bytesBefore < maxIdleBytes {
 			return nil
 		}
 	}
-	return errors.New("instances do not come to rest")
+	return errors.New("timed out waiting for the pushes after the start to end")
 }
 
 func serviceName(i int) string { return fmt.Sprintf("service-%d", i) }
 
-// storedEnvelope returns document i with a full history.
-func storedEnvelope(i int) config.Envelope {
-	e := config.Envelope{Change: storedChange(remembered + 1), Text: documentText(i)}
-	for v := int64(remembered); v > 0; v-- {
-		e.History = append(e.History, storedChange(v))
+// newEnvelope returns document i with a history of historyLength changes.
+func newEnvelope(i int) config.Envelope {
+	e := config.Envelope{Change: newChange(historyLength + 1), Text: documentText(i)}
+	for v := int64(historyLength); v > 0; v-- {
+		e.History = append(e.History, newChange(v))
 	}
 	return e
 }
 
-func storedChange(version int64) config.Change {
+func newChange(version int64) config.Change {
 	return config.Change{
 		Version: version,
 		ID:      "entry-a-0001-" + strings.Repeat("k", 12),
@@ -137,45 +137,45 @@
 	}
 }
 
-// pair is the two instances and where their peers connect.
-type pair struct {
-	list      []platform.Instance
+// instancePair is two instances and their listeners for peer connections.
+type instancePair struct {
+	instances []platform.Instance
 	listeners []net.Listener
 }
 
-func newPair() (*pair, error) {
-	p := &pair{}
+func newInstancePair() (*instancePair, error) {
+	p := &instancePair{}
 	for _, id := range []string{"relay", "child"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
 		p.listeners = append(p.listeners, l)
-		p.list = append(p.list, platform.Instance{ID: id, FailureDomain: "fd-0", PeerAddress: l.Addr().String()})
+		p.instances = append(p.instances, platform.Instance{ID: id, FailureDomain: "fd-0", PeerAddress: l.Addr().String()})
 	}
 	return p, nil
 }
 
-// pairFleet is the view of one of two instances.
+// pairFleet is a config.Fleet of two instances, as seen by one of them.
 type pairFleet struct {
-	pair []platform.Instance
-	self int
+	instances []platform.Instance
+	self      int
 }
 
 // Self implements config.Fleet.
-func (f *pairFleet) Self() platform.Instance { return f.pair[f.self] }
+func (f *pairFleet) Self() platform.Instance { return f.instances[f.self] }
 
 // Live implements config.Fleet.
-func (f *pairFleet) Live() []platform.Instance { return f.pair }
+func (f *pairFleet) Live() []platform.Instance { return f.instances }
 
-// Pick implements config.Fleet. The first instance is the relay; for any other
-// duty both are picked.
+// Pick implements config.Fleet. It returns the first instance for relay duties and both
+// for any other duty.
 func (f *pairFleet) Pick(duty string, _ int) []platform.Instance {
 	if strings.Contains(duty, "relay") {
-		return slices.Clone(f.pair[:1])
+		return slices.Clone(f.instances[:1])
 	}
-	return slices.Clone(f.pair)
+	return slices.Clone(f.instances)
 }
 
-// Subscribe implements config.Fleet. The view never changes.
+// Subscribe implements config.Fleet. It ignores the callback, as the fleet never changes.
 func (f *pairFleet) Subscribe(func()) {}
--- a/internal/standin/slopes/usage.go
+++ b/internal/standin/slopes/usage.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// processorTime returns what this process has used so far, user and system.
-func processorTime() time.Duration {
+// cpuTime returns the user and system processor time of this process so far, or 0 if the
+// system does not report it.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -15,10 +16,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory returns the bytes of heap and stacks in use after a collection.
-func memory() float64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
+func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // the second run frees what finalizers released
+	runtime.GC() // frees objects that finalizers of the first collection released
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
--- a/internal/standin/slopes/wait.go
+++ b/internal/standin/slopes/wait.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// waitTimeout bounds a wait for parts to come to a state.
+	// waitTimeout limits the time that waitUntil waits.
 	waitTimeout = time.Minute
-	// settlePoll is the time between two looks.
-	settlePoll = 2 * time.Millisecond
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 2 * time.Millisecond
 )
 
-// waitUntil looks until done, or returns an error at waitTimeout.
+// waitUntil polls until done returns true. It returns an error if ctx is done or after
+// waitTimeout.
 func waitUntil(ctx context.Context, done func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for !done() {
-		if err := clock.Sleep(ctx, clock.System{}, settlePoll); err != nil {
+		if err := clock.Sleep(ctx, clock.System{}, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// callsOf counts the calls that a platform has taken.
-func callsOf(api *standin.Store) int {
+// totalCalls returns the number of calls of all kinds that a platform has received.
+func totalCalls(api *standin.Store) int {
 	sum := 0
 	for _, n := range api.Calls() {
 		sum += n
