--- a/internal/executor/avoidedhomes.go
+++ b/internal/executor/avoidedhomes.go
@@ -19,29 +19,29 @@
 
 // avoidedHomes records homes that are shutting down or unreachable.
 type avoidedHomes struct {
-	mu    sync.Mutex
-	until map[string]time.Time
+	mu           sync.Mutex
+	avoidedUntil map[string]time.Time
 }
 
 func (a *avoidedHomes) add(id string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.until == nil {
-		a.until = make(map[string]time.Time)
+	if a.avoidedUntil == nil {
+		a.avoidedUntil = make(map[string]time.Time)
 	}
-	a.until[id] = until
+	a.avoidedUntil[id] = until
 }
 
 // orderHomes returns the homes with the avoided ones moved to the end.
 func (a *avoidedHomes) orderHomes(now time.Time, homes []platform.Instance) []platform.Instance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.until) == 0 {
+	if len(a.avoidedUntil) == 0 {
 		return homes
 	}
-	for id, until := range a.until {
+	for id, until := range a.avoidedUntil {
 		if now.After(until) {
-			delete(a.until, id)
+			delete(a.avoidedUntil, id)
 		}
 	}
 	ordered := slices.Clone(homes)
@@ -50,7 +50,7 @@
 }
 
 func (a *avoidedHomes) rank(i platform.Instance) int {
-	if _, ok := a.until[i.ID]; ok {
+	if _, ok := a.avoidedUntil[i.ID]; ok {
 		return 1
 	}
 	return 0
--- a/internal/executor/capability.go
+++ b/internal/executor/capability.go
@@ -18,11 +18,11 @@
 	return c.Writes
 }
 
-// capability returns what this instance can currently do for the group. A primary that has missed
+// currentCapability returns what this instance can do for the group now. A primary that has missed
 // even one probe does not count: units of this instance wait for it, but units of other instances
 // would be sent to it and lost with it. A member that accepts no connection of this instance does
 // not count either.
-func (g *Group) capability() capability {
+func (g *Group) currentCapability() capability {
 	s, err := g.findWritablePrimary()
 	primary, _ := s.Find(s.Primary)
 	writes := err == nil && primary.Failing.IsZero() && !g.Pool.Full(s.Primary)
--- a/internal/executor/complete.go
+++ b/internal/executor/complete.go
@@ -31,7 +31,7 @@
 	}
 	if err := g.ensureReport(x); err != nil {
 		g.Pool.Release(x.conn)
-		return nil, unknownOutcome(ctx, err)
+		return nil, unknownOutcomeError(ctx, err)
 	}
 	g.Pool.Release(x.conn)
 	if x.Failure != nil && x.Completed == 0 || u.ReadOnly || onlyPrepares(u) && u.Token.Term <= x.term {
@@ -61,7 +61,8 @@
 	return g.memberRefusal(x)
 }
 
-// memberRefusal returns an error if another member may be able to answer the read instead.
+// memberRefusal returns an error if another member may be able to answer the read instead. It also
+// records whether the member succeeded, failed or lags behind.
 func (g *Group) memberRefusal(x *exchange) error {
 	address := x.conn.Address()
 	if x.Failure == nil {
@@ -127,7 +128,8 @@
 	}
 }
 
-// completeFreshRead replies to a read that had to be fresh.
+// completeFreshRead replies to a unit that was sent with a verification and left no transaction
+// open. Only the reply to a read waits for the proof.
 func (g *Group) completeFreshRead(ctx context.Context, u *execution.Unit, p plan, x *exchange) (*execution.Reply, error) {
 	g.Pool.Release(x.conn)
 	if !u.ReadOnly {
@@ -160,9 +162,9 @@
 		g.Tracker.Recheck(x.conn.Address())
 		return result.New(result.NoPrimary, "member %s no longer leads", x.conn.Address()).WithRetryAfter(retryAfterFailover)
 	}
-	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	confirmCtx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	if err := x.verification.Wait(bounded); err != nil {
+	if err := x.verification.Wait(confirmCtx); err != nil {
 		return result.New(result.NoConfirmingReplica, "the read could not be proved fresh").WithCause(err).WithRetryAfter(retryAfterFailover)
 	}
 	return nil
--- a/internal/executor/completeintransaction.go
+++ b/internal/executor/completeintransaction.go
@@ -24,7 +24,7 @@
 	err := g.ensureReport(x)
 	g.endTransaction(tx, false)
 	if err != nil {
-		return nil, g.resolveCommitOutcome(ctx, u, tx, unknownOutcome(ctx, err))
+		return nil, g.resolveCommitOutcome(ctx, u, tx, unknownOutcomeError(ctx, err))
 	}
 	if x.Completed == 0 || u.ReadOnly {
 		return g.newReply(tx.token, x, false), nil
@@ -61,15 +61,15 @@
 }
 
 // verifyInTransaction holds back the answer to the first fresh read in a transaction that writes
-// until it is proved that the primary had not been replaced when the transaction began. That the
-// member was the primary is shown by its accepting the transaction.
+// until it is proved that the primary had not been replaced when the transaction began. The member
+// showed that it was the primary by accepting the transaction.
 func (g *Group) verifyInTransaction(ctx context.Context, u *execution.Unit, p plan, tx *transaction) error {
 	if tx.verification == nil || !u.ReadOnly {
 		return nil
 	}
-	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	confirmCtx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	err := tx.verification.Wait(bounded)
+	err := tx.verification.Wait(confirmCtx)
 	tx.verification = nil
 	if err != nil {
 		return result.New(result.TransactionLost, "its reads could not be proved fresh").WithCause(err)
--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -34,16 +34,16 @@
 	is := is.New(t)
 	tracker := &confirmingTracker{}
 	g := &Group{Config: Config{Tracker: tracker, Clock: clock.System{}}}
-	limits := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
+	confirmPlan := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
 	report := &member.Status{Role: member.RolePrimary, Entered: 3, Last: logpos.Mark{Term: 3, Position: 90}}
 
-	_, err := g.confirm(t.Context(), limits, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	_, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
 	e, ok := result.As(err)
 	is.True(ok)
 	is.Equal(e.Code, result.PrimaryReplaced)
 	is.Equal(len(tracker.confirmed), 0)
 
-	mark, err := g.confirm(t.Context(), limits, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	mark, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
 	is.NoErr(err)
 	is.Equal(tracker.confirmed, []logpos.Mark{mark})
 }
--- a/internal/executor/exchange.go
+++ b/internal/executor/exchange.go
@@ -11,7 +11,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// exchange is one conversation with a member and the state that is needed to complete it.
+// exchange is one request to a member, with its answer and the state that is needed to complete the
+// unit.
 type exchange struct {
 	wire.Exchange
 	conn wire.Conn
@@ -20,7 +21,8 @@
 	// keyed means that an unknown outcome can be resolved by a request key, for which part of
 	// the time is reserved.
 	keyed bool
-	// ticket was issued before anything was sent.
+	// ticket was issued before anything was sent; it orders what the answer shows of the member's
+	// log among other observations.
 	ticket group.Ticket
 	// verification proves that the primary had not been replaced when a fresh read began; nil
 	// if no proof is needed.
@@ -65,9 +67,9 @@
 	return err
 }
 
-// unknownOutcome returns the error of a unit that was sent and whose outcome is not known. The
+// unknownOutcomeError returns the error of a unit that was sent and whose outcome is not known. The
 // error of a unit that was not sent is returned unchanged.
-func unknownOutcome(ctx context.Context, cause error) *result.Error {
+func unknownOutcomeError(ctx context.Context, cause error) *result.Error {
 	if e, ok := result.As(cause); ok {
 		return e
 	}
@@ -78,8 +80,8 @@
 }
 
 // reportUnreachable reports a member that could not be reached to the tracker. An exhausted
-// connection share says nothing about the member; probing the member on a new connection after
-// each such refusal would add to the load that caused them.
+// connection share says nothing about the member, and probing the member on a new connection after
+// each such refusal would add to the load that caused the refusals.
 func (g *Group) reportUnreachable(address string, err error) {
 	if e, ok := result.As(err); ok && e.Code == result.UpstreamUnreachable {
 		g.Tracker.ReportFailure(address)
--- a/internal/executor/execute.go
+++ b/internal/executor/execute.go
@@ -14,7 +14,7 @@
 	}
 	arrived := g.Clock.Now()
 	if p.objective > 0 {
-		p.wantedBy = arrived.Add(p.objective - u.Waited)
+		p.objectiveDeadline = arrived.Add(p.objective - u.Waited)
 	}
 	ctx, cancel := context.WithDeadline(ctx, arrived.Add(min(u.Timeout, p.timeout)))
 	defer cancel()
@@ -34,7 +34,7 @@
 	case !p.needsPrimary():
 		return g.executeRead(ctx, u, p, partial)
 	default:
-		return g.executeWrite(ctx, u, p, partial)
+		return g.executeAtPrimary(ctx, u, p, partial)
 	}
 }
 
--- a/internal/executor/failingmembers.go
+++ b/internal/executor/failingmembers.go
@@ -9,8 +9,8 @@
 	// failureThreshold is the number of consecutive failed reads after which a member is
 	// avoided; single reads occasionally fail at any member.
 	failureThreshold = 3
-	// minFailureBackoff is how long it is avoided at first. The time doubles with each further
-	// failed read, up to maxFailureBackoff, so that a recovered member is soon used again.
+	// minFailureBackoff is how long a member is avoided at first. The time doubles with each
+	// further failed read, up to maxFailureBackoff, so that a recovered member is soon used again.
 	minFailureBackoff = 250 * time.Millisecond
 	maxFailureBackoff = 4 * time.Second
 )
@@ -18,9 +18,9 @@
 // failingMembers records members at which reads fail.
 //
 // It handles a member that looks healthy but answers every read with an error immediately. Such a
-// member is the least busy one, so load-based placement sends it more and more reads. Each is
-// retried at another member until the retry budget is exhausted and callers are refused reads
-// that the two other members could serve.
+// member is the least busy one, so load-based placement sends it more and more reads. Without this
+// record, each of these reads would be retried at another member until the retry budget is
+// exhausted, and callers would then be refused reads that the two other members could serve.
 type failingMembers struct {
 	mu      sync.Mutex
 	members map[string]*memberFailures
@@ -28,9 +28,9 @@
 
 // memberFailures is the failure state of one member.
 type memberFailures struct {
-	consecutive int
-	until       time.Time
-	backoff     time.Duration
+	consecutive  int
+	avoidedUntil time.Time
+	backoff      time.Duration
 }
 
 func newFailingMembers() *failingMembers {
@@ -47,12 +47,12 @@
 		f.members[address] = m
 	}
 	m.consecutive++
-	if m.consecutive < failureThreshold || now.Before(m.until) {
+	if m.consecutive < failureThreshold || now.Before(m.avoidedUntil) {
 		// Reads that were already running when the member was first avoided add no information.
 		return
 	}
 	m.backoff = min(max(2*m.backoff, minFailureBackoff), maxFailureBackoff)
-	m.until = now.Add(m.backoff)
+	m.avoidedUntil = now.Add(m.backoff)
 }
 
 // recordSuccess records that a member served a read.
@@ -67,5 +67,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[address]
-	return m != nil && now.Before(m.until)
+	return m != nil && now.Before(m.avoidedUntil)
 }
--- a/internal/executor/failingmembers_test.go
+++ b/internal/executor/failingmembers_test.go
@@ -23,20 +23,20 @@
 		start := time.Now()
 		broken := &fakeMember{failure: &wire.Failure{Kind: wire.FailureRan, Code: "X"}, failsUntil: start.Add(failurePeriod)}
 		g, cluster := newFakeGroup(&fakeMember{delay: 5 * time.Millisecond}, broken, &fakeMember{delay: 5 * time.Millisecond})
-		refused, reads, metFailing := 0, 0, 0
+		refused, reads, sentToFailing := 0, 0, 0
 		for time.Since(start) < failurePeriod+maxFailureBackoff+2*time.Second {
 			if _, _, err := readOnce(t, g); err != nil {
 				refused++
 			}
 			reads++
 			if time.Since(start) < failurePeriod {
-				metFailing = cluster.members["r1"].statements
+				sentToFailing = cluster.members["r1"].statements
 			}
 			_ = clock.Sleep(context.Background(), clock.System{}, 10*time.Millisecond)
 		}
-		t.Logf("%d reads, %d refused, %d met the replica while it failed", reads, refused, metFailing)
+		t.Logf("%d reads, %d refused, %d sent to the replica while it failed", reads, refused, sentToFailing)
 		is.Equal(refused, 0)
-		is.True(metFailing <= 12)
+		is.True(sentToFailing <= 12)
 		is.True(!g.failingMembers.isAvoided("r1", time.Now()))
 	})
 }
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -70,10 +70,10 @@
 	return nil, r.metrics.countRefusal(u.Group, unreachable)
 }
 
-// avoidFailedHome records a home that refuses new units because it is shutting down, and one that
-// cannot be reached. Until the instance list shows the shutdown, units sent to the former would
-// race with the closing of its connections; without the record, every unit would wait for the
-// latter again.
+// avoidFailedHome records a home that refuses new units because it is shutting down, or that cannot
+// be reached. Units sent to a home that is shutting down would race with the closing of its
+// connections until the instance list shows the shutdown. Every unit sent to an unreachable home
+// would wait for it again.
 func (r *Router) avoidFailedHome(home platform.Instance, err error) {
 	now := r.clock.Now()
 	if errors.Is(err, peer.ErrNotSent) {
--- a/internal/executor/forward_test.go
+++ b/internal/executor/forward_test.go
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// A machine is removed for good and is still listed as the nearest home of a group. At an
-// instance that is not home to the group, one request in two seconds may wait for it, but not
-// every one.
+// A machine is removed for good and is still listed as the nearest home of a group. At an instance
+// that is not home to the group, one request in two seconds may wait for the dead home, but not
+// every request.
 func TestDeadHomeIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -15,11 +15,11 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// A primary steps down for a promotion that fenced it and one replica. The other replica was
-// not fenced, so it proves the old term, and the old primary, now a replica, still answers
-// reads. A caller that asks for fresh data would get data from before the promotion. The member
-// must have shown that it is the primary of the proved term; of transactions, only one that may
-// write shows this by being accepted.
+// A primary steps down for a promotion that fenced it and one replica. The other replica was not
+// fenced, so it proves the old term, and the old primary, now a replica, still answers reads. A
+// caller that asks for fresh data would get data from before the promotion. The member must have
+// shown that it is the primary of the proved term. Accepting a transaction shows this only if the
+// transaction may write, because replicas accept read transactions.
 func TestFreshReadRequiresCurrentPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		unit   execution.Unit
--- a/internal/executor/group.go
+++ b/internal/executor/group.go
@@ -8,11 +8,12 @@
 // combine these steps. retries.go decides what may be retried, and relay.go passes units on to
 // another home.
 //
-// Invariants. A unit is sent to at most one primary, once. The answer of a primary is passed on
-// only after the group has confirmed the log position at which the unit ended, in the primary's
-// term. A failure before the first byte is sent belongs to the did-not-run family of result
-// codes; a failure after that belongs to the outcome-unknown family, unless the request key
-// proves otherwise. A connection belongs to one unit or one transaction at a time.
+// Invariants. A unit is sent to at most one primary, once; it is sent again only if it only reads
+// or is proved not to have run. The answer of a primary is passed on only after the group has
+// confirmed the log position at which the unit ended, in the primary's term. A failure before the
+// first byte is sent belongs to the did-not-run family of result codes; a failure after that
+// belongs to the outcome-unknown family, unless the request key proves otherwise. A connection
+// belongs to one unit or one transaction at a time.
 //
 // Lock order: transaction.mu, then transactions.mu, runningUnits.mu, primaryWait.mu or
 // Group.randomMu. The last four are never held together. None is held across I/O except
--- a/internal/executor/hedge.go
+++ b/internal/executor/hedge.go
@@ -10,8 +10,9 @@
 	"github.com/topazrock/topazrock/internal/retry"
 )
 
-// hedgeDivisor is the divisor of a read's objective after which a second replica is asked as
-// well: a third of the objective leaves the second one time for a complete answer.
+// hedgeDivisor determines when a read is also sent to a second replica: after the read's objective
+// divided by hedgeDivisor. A third of the objective leaves the second one time for a complete
+// answer.
 const hedgeDivisor = 3
 
 // readAttempt is the result of one attempt of a read.
@@ -22,8 +23,9 @@
 	err      error
 }
 
-// canHedge reports whether a second replica may be asked while the first one is running the read.
-// The read must be a single unit, and its answer must be buffered as a whole.
+// canHedge reports whether a read may be sent to a second replica while the first one is running
+// it. The read must have an objective and must not open a transaction, and its answer must be
+// buffered as a whole.
 func (g *Group) canHedge(u *execution.Unit, p plan) bool {
 	return g.Wire.HoldsAnswers && u.ReadOnly && !u.Begins && p.objective > 0
 }
@@ -35,13 +37,13 @@
 func (g *Group) readWithHedge(ctx context.Context, u *execution.Unit, p plan, m group.MemberView, req readRequirement, exclude map[string]bool, partial func([]byte) error) readAttempt {
 	results := make(chan readAttempt, 2)
 	launch := func(m group.MemberView, number int) {
-		// Each attempt gets its own copy of the unit, because it sets the token in it.
+		// Each attempt gets its own copy of the unit, because an attempt may set the unit's token.
 		attemptUnit := *u
 		if number > 1 {
 			attemptUnit.ID += "+" + strconv.Itoa(number)
 		}
 		go func() {
-			reply, streamed, err := g.runAtReplica(ctx, &attemptUnit, p, m, req, partial)
+			reply, streamed, err := g.runReadAtMember(ctx, &attemptUnit, p, m, req, partial)
 			results <- readAttempt{m.Address, reply, streamed, err}
 		}()
 	}
@@ -54,7 +56,7 @@
 	case <-timer.C:
 	}
 	exclude[m.Address] = true
-	second, ok := g.pickReplica(u.Owner, req, exclude)
+	second, ok := g.pickReadMember(u.Owner, req, exclude)
 	if !ok || !g.takeHedgeAttempt(ctx) {
 		return <-results
 	}
@@ -68,7 +70,8 @@
 	return <-results
 }
 
-// takeHedgeAttempt takes one attempt from the retry budget.
+// takeHedgeAttempt takes one attempt from the retry budget and reports whether the budget allowed
+// it.
 func (g *Group) takeHedgeAttempt(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -220,9 +220,9 @@
 	return string(reply.Messages), time.Since(start), nil
 }
 
-// A replica answers nothing for seconds and closes no connection. A read at it must also be
-// sent to the other replica after a third of the objective, so that the caller gets its answer
-// in time whichever replica was picked first.
+// A replica answers nothing for seconds and closes no connection. A read sent to it must also be
+// sent to the other replica after a third of the objective, so that the caller gets its answer in
+// time whichever replica was picked first.
 func TestReadAtSilentReplicaIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -301,9 +301,10 @@
 	})
 }
 
-// The first read of a group arrives while its first write is running, and no earlier position
-// is proved. A barrier proves one, but another sample taken meanwhile hides it. The read must
-// be sent with the position that the barrier itself proved, and must not be refused.
+// The first read of a group arrives while its first write is running, and no earlier position is
+// proved. A barrier proves one, but the tracker does not report it as proven because another sample
+// was taken meanwhile. The read must be sent with the position that the barrier itself proved, and
+// must not be refused.
 func TestFirstReadUsesBarrierPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/homefinder.go
+++ b/internal/executor/homefinder.go
@@ -36,7 +36,7 @@
 	// homes returns the group's other homes; query sends a query to one of them.
 	homes func() []platform.Instance
 	query func(ctx context.Context, home platform.Instance) (capability, error)
-	// wake receives a token when a unit needs another home.
+	// wake receives a signal when a unit needs another home.
 	wake chan struct{}
 
 	mu    sync.Mutex
@@ -58,8 +58,8 @@
 	start := f.clock.Now()
 	for {
 		roundDone := f.requestRound()
-		// enoughQueried must be read before the answers: otherwise the query of an answer that
-		// arrives in between would be counted but its answer missed.
+		// enoughQueried must be read before the answers: otherwise, if an answer arrived in
+		// between, its home would count as queried but the answer would be missed.
 		enoughQueried := f.enoughQueried()
 		if home, ok := f.pickHome(u); ok {
 			return home, true
@@ -112,7 +112,8 @@
 	return f.known.enoughQueried(homes, f.clock.Now())
 }
 
-// forgetHome discards the answer of a home that did not serve a unit it reported it could.
+// forgetHome drops the answer of a home that did not serve a unit although it reported that it
+// could.
 func (f *homeFinder) forgetHome(home platform.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/executor/intransaction.go
+++ b/internal/executor/intransaction.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		g.endTransaction(tx, true)
 		g.reportBrokenConn(tx.conn, err)
-		return nil, g.resolveCommitOutcome(ctx, u, tx, g.lostInTransaction(ctx, u, tx, err))
+		return nil, g.resolveCommitOutcome(ctx, u, tx, g.transactionConnError(ctx, u, tx, err))
 	}
 	tx.lastUsed = g.Clock.Now()
 	return g.completeInTransaction(ctx, u, p, x, tx)
@@ -54,11 +54,12 @@
 	return steps
 }
 
-// lostInTransaction returns the error of a unit whose connection broke. Unless the unit was to
-// commit, the member rolls the transaction back when the connection closes.
-func (g *Group) lostInTransaction(ctx context.Context, u *execution.Unit, tx *transaction, err error) error {
+// transactionConnError returns the error of a unit whose connection broke. If the protocol states
+// which units commit and this one was not to commit a write, the transaction is known to be lost:
+// the member rolls it back when the connection closes. Otherwise the outcome is unknown.
+func (g *Group) transactionConnError(ctx context.Context, u *execution.Unit, tx *transaction, err error) error {
 	if g.Wire.TellsEnd && (!u.Ends || !tx.mayHaveWritten) {
 		return result.New(result.TransactionLost, "its connection broke before the commit").WithCause(err)
 	}
-	return unknownOutcome(ctx, err)
+	return unknownOutcomeError(ctx, err)
 }
--- a/internal/executor/key.go
+++ b/internal/executor/key.go
@@ -18,7 +18,7 @@
 	}
 	g.Pool.Release(x.conn)
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
-		return keyNotStored(x.KeyFailure)
+		return keyNotStoredError(x.KeyFailure)
 	}
 	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
 }
@@ -28,19 +28,19 @@
 func (g *Group) keyInsertFailedInTransaction(ctx context.Context, u *execution.Unit, x *exchange, tx *transaction) error {
 	g.endTransaction(tx, true)
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
-		return keyNotStored(x.KeyFailure)
+		return keyNotStoredError(x.KeyFailure)
 	}
 	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
 }
 
-func keyNotStored(e *wire.Failure) error {
+func keyNotStoredError(e *wire.Failure) error {
 	return result.New(result.UpstreamUnreachable, "the request key was not stored: %s %s", e.Code, e.Message)
 }
 
-// lookUpKeyOutcome returns the outcome recorded in an existing key row, after the row is
-// confirmed: a row that only a replaced primary holds proves nothing.
+// lookUpKeyOutcome returns, as a result code, the outcome recorded in an existing key row. The row
+// must be confirmed first: a row that only a replaced primary holds proves nothing.
 func (g *Group) lookUpKeyOutcome(ctx context.Context, key requestKey) error {
-	outcome, err := g.readKey(ctx, key)
+	outcome, err := g.readKeyOutcome(ctx, key)
 	if err != nil {
 		return result.New(result.TombstoneFailed, "the key's row could not be read").WithCause(err)
 	}
@@ -99,7 +99,7 @@
 	return result.New(result.TombstoneWritten, "key %q", key.name), true
 }
 
-func (g *Group) readKey(ctx context.Context, key requestKey) (wire.KeyOutcome, error) {
+func (g *Group) readKeyOutcome(ctx context.Context, key requestKey) (wire.KeyOutcome, error) {
 	x, err := g.runKeyStep(ctx, key.owner, wire.Step{Kind: wire.StepFindKey, Key: key.name})
 	if err != nil {
 		return "", err
--- a/internal/executor/knownhomes.go
+++ b/internal/executor/knownhomes.go
@@ -65,10 +65,12 @@
 	delete(k.answers, home.ID)
 }
 
-// forgetAnswer drops the answer of a home that did not serve a unit it reported it could.
+// forgetAnswer drops the answer of a home that did not serve a unit although it reported that it
+// could.
 func (k *knownHomes) forgetAnswer(home platform.Instance) { delete(k.answers, home.ID) }
 
-// enoughQueried reports whether at least as many homes as two rounds cover were queried recently.
+// enoughQueried reports whether all homes, or at least as many as two rounds cover, were queried
+// recently.
 func (k *knownHomes) enoughQueried(homes []platform.Instance, now time.Time) bool {
 	oldest := now.Add(-homeAnswerTTL)
 	queried := 0
--- a/internal/executor/laggingreplicas.go
+++ b/internal/executor/laggingreplicas.go
@@ -13,22 +13,22 @@
 // laggingReplicas records replicas that recently refused a read because their log did not yet
 // contain the required position.
 type laggingReplicas struct {
-	mu    sync.Mutex
-	until map[string]time.Time
+	mu           sync.Mutex
+	laggingUntil map[string]time.Time
 }
 
 func newLaggingReplicas() *laggingReplicas {
-	return &laggingReplicas{until: make(map[string]time.Time)}
+	return &laggingReplicas{laggingUntil: make(map[string]time.Time)}
 }
 
 func (l *laggingReplicas) add(address string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until[address] = now.Add(laggingPeriod)
+	l.laggingUntil[address] = now.Add(laggingPeriod)
 }
 
 func (l *laggingReplicas) isLagging(address string, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Before(l.until[address])
+	return now.Before(l.laggingUntil[address])
 }
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -35,10 +35,10 @@
 }
 
 const (
-	ownersConnectTime    = 12 * time.Millisecond
-	ownersStatementTime  = 20 * time.Millisecond
-	ownersConnsPerMember = 6
-	ownersRate           = 135
+	ownersConnectTime       = 12 * time.Millisecond
+	ownersStatementTime     = 20 * time.Millisecond
+	ownersConnsPerMember    = 6
+	ownersRequestsPerSecond = 135
 )
 
 func newOwnersWorkload() *ownersWorkload {
@@ -82,7 +82,7 @@
 	}
 }
 
-// nearestFirst returns the homes with those of a failure domain first.
+// nearestFirst returns the homes with those in the given failure domain first.
 func (w *ownersWorkload) nearestFirst(domain string) []platform.Instance {
 	var near, far []platform.Instance
 	for _, i := range w.homes {
@@ -99,7 +99,7 @@
 func (w *ownersWorkload) run(byOwner bool, length time.Duration) float64 {
 	var running sync.WaitGroup
 	for until := time.Now().Add(length); time.Now().Before(until); {
-		time.Sleep(time.Duration(w.random.ExpFloat64() / ownersRate * float64(time.Second)))
+		time.Sleep(time.Duration(w.random.ExpFloat64() / ownersRequestsPerSecond * float64(time.Second)))
 		w.requests++
 		owner, domain := w.drawOwner(), fmt.Sprint("z", w.random.IntN(3))
 		homes := w.nearestFirst(domain)
@@ -131,16 +131,16 @@
 // Guards against sending the load of many owners to the nearest home and member: most
 // statements would open a connection while the connections of the other homes are idle.
 func TestOwnersOpenFewerConnectionsWithHomeAffinity(t *testing.T) {
-	figures := make(map[bool]float64)
+	openingsPerRequest := make(map[bool]float64)
 	for _, byOwner := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newOwnersWorkload()
-			figures[byOwner] = w.run(byOwner, 30*time.Second)
+			openingsPerRequest[byOwner] = w.run(byOwner, 30*time.Second)
 			for _, p := range w.pools {
 				_ = p.Close(context.Background())
 			}
 		})
 	}
-	t.Logf("openings for a request: %.2f at the nearest, %.2f by owner", figures[false], figures[true])
-	is.New(t).True(figures[true] < 0.85*figures[false])
+	t.Logf("connections opened per request: %.2f at the nearest home, %.2f with homes by owner", openingsPerRequest[false], openingsPerRequest[true])
+	is.New(t).True(openingsPerRequest[true] < 0.85*openingsPerRequest[false])
 }
--- a/internal/executor/placement.go
+++ b/internal/executor/placement.go
@@ -8,9 +8,9 @@
 	"github.com/topazrock/topazrock/internal/routing"
 )
 
-// pickReplica returns the member that suits a read best, or false if none may answer it. owner
+// pickReadMember returns the member that suits a read best, or false if none may answer it. owner
 // restricts the read to connections of that owner; empty if connections are shared.
-func (g *Group) pickReplica(owner string, req readRequirement, exclude map[string]bool) (group.MemberView, bool) {
+func (g *Group) pickReadMember(owner string, req readRequirement, exclude map[string]bool) (group.MemberView, bool) {
 	now := g.Clock.Now()
 	r := routing.Read{
 		Required:       req.position,
@@ -31,14 +31,14 @@
 	return routing.Replica(g.Tracker.Snapshot(), r, g.Random)
 }
 
-// spillThreshold is how many more statements of this instance than the primary a replica must
-// have before a bounded-staleness read goes to the primary. When one of two replicas was lost, all
-// such reads of a group went to the other one, whose queue then also delayed the confirmation of
-// writes, while the primary had free capacity.
+// spillThreshold is how many more statements of this instance than the primary a replica must have
+// before a bounded-staleness read goes to the primary. Without spilling, the loss of one of two
+// replicas sends all such reads of a group to the other one, whose queue then also delays the
+// confirmation of writes while the primary has free capacity.
 const spillThreshold = 2
 
-// primarySpill returns spillThreshold, or zero if a read at the primary needs more than a log
-// position.
+// primarySpill returns spillThreshold, or zero to keep reads off the primary if members do not
+// check positions: a read at the primary then needs more than a log position.
 func (g *Group) primarySpill() int {
 	if g.Wire.ChecksPosition {
 		return spillThreshold
@@ -79,7 +79,8 @@
 	return s, err
 }
 
-// primaryMissingSince returns since when the known primary has failed its probes, or now.
+// primaryMissingSince returns since when the known primary has failed its probes; if it has not, or
+// if no primary is known, it returns the current time.
 func (g *Group) primaryMissingSince() time.Time {
 	s := g.Tracker.Snapshot()
 	if m, known := s.Find(s.Primary); known && !m.Failing.IsZero() {
@@ -102,8 +103,9 @@
 	return s, nil
 }
 
-// canConfirmWrites reports whether replicas have answered recently and make progress. If none has
-// for as long as a confirmation may take, none is likely to within that time.
+// canConfirmWrites reports whether replicas have answered recently and make progress. If they have
+// been stalled for longer than a confirmation may take, the next write is unlikely to be confirmed
+// in time.
 func (g *Group) canConfirmWrites(s *group.Snapshot) bool {
 	now := g.Clock.Now()
 	stalled := !s.StalledSince.IsZero() && now.Sub(s.StalledSince) > g.Service().Limits.ConfirmTimeout
--- a/internal/executor/placement_test.go
+++ b/internal/executor/placement_test.go
@@ -13,8 +13,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// All instances have lost power, and one replica still counts their connections. Reads must go
-// to the other replica and to the primary; none may be spent on finding the replica full again.
+// All instances have lost power, and one replica still counts their connections. Reads must go to
+// the other replica and to the primary; no read may be sent to the full replica only to be refused.
 func TestReadsAvoidMemberWithoutFreeConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -91,9 +91,9 @@
 func TestPrimaryWithMissedProbeIsNotOfferedToOtherHomes(t *testing.T) {
 	is := is.New(t)
 	g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
-	is.Equal(g.capability(), capability{Writes: true, Reads: true})
+	is.Equal(g.currentCapability(), capability{Writes: true, Reads: true})
 	cluster.snapshot.Members[0].Failing, cluster.snapshot.Members[0].Failures = time.Now(), 1
 	_, err := g.findWritablePrimary()
 	is.NoErr(err)
-	is.Equal(g.capability(), capability{Reads: true})
+	is.Equal(g.currentCapability(), capability{Reads: true})
 }
--- a/internal/executor/plan.go
+++ b/internal/executor/plan.go
@@ -33,10 +33,10 @@
 	maxQueue   int
 	timeout    time.Duration
 	objective  time.Duration
-	// wantedBy is when the objective ends, counted from the unit's arrival; zero if the class
-	// has no objective.
-	wantedBy time.Time
-	limits   document.Limits
+	// objectiveDeadline is when the objective ends, counted from the unit's arrival; zero if the
+	// class has no objective.
+	objectiveDeadline time.Time
+	limits            document.Limits
 }
 
 // newPlan looks up the unit's class in the service document. A unit without a class is treated as
@@ -113,7 +113,7 @@
 		Priority: p.priority,
 		MaxQueue: p.maxQueue,
 		Deadline: deadline,
-		WantedBy: p.wantedBy,
+		WantedBy: p.objectiveDeadline,
 		Member:   member,
 	}
 	if inTransaction {
--- a/internal/executor/primary.go
+++ b/internal/executor/primary.go
@@ -7,9 +7,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// executeWrite runs a unit at the primary, once. It is sent again only if it is proved not to
-// have run, or if it only reads.
-func (g *Group) executeWrite(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
+// executeAtPrimary runs a unit at the primary, once. The unit is sent again only if it is proved
+// not to have run, or if it only reads.
+func (g *Group) executeAtPrimary(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
 	for attempt := 1; ; attempt++ {
 		reply, err := g.runAtPrimary(ctx, u, p, partial)
 		if err == nil {
@@ -54,7 +54,7 @@
 	x := newExchange(c, u, p, partial)
 	x.term = s.Term
 	x.keyed = p.keyed(u)
-	if err := g.prepareReadProof(ctx, u, p, x); err != nil {
+	if err := g.setReadRequirement(ctx, u, p, x); err != nil {
 		releaseUnusedSlot(slot)
 		g.Pool.Release(c)
 		return nil, err
@@ -72,15 +72,15 @@
 		x.verification.Drop()
 		g.Pool.Release(c)
 		g.reportBrokenConn(c, err)
-		return nil, unknownOutcome(ctx, err)
+		return nil, unknownOutcomeError(ctx, err)
 	}
 	return g.completeAtPrimary(ctx, u, p, x, slot)
 }
 
-// prepareReadProof sets what reads at the primary require, including those of a transaction that
-// the unit opens. A fresh read requires a proof that the primary had not been replaced when the
-// read began; a bounded-staleness read requires a log position.
-func (g *Group) prepareReadProof(ctx context.Context, u *execution.Unit, p plan, x *exchange) error {
+// setReadRequirement sets in x what reads at the primary require, including those of a transaction
+// that the unit opens. A fresh read requires a proof that the primary had not been replaced when
+// the read began; a bounded-staleness read requires a log position.
+func (g *Group) setReadRequirement(ctx context.Context, u *execution.Unit, p plan, x *exchange) error {
 	if !g.Wire.ChecksPosition || !u.ReadOnly && !u.Begins {
 		return nil
 	}
@@ -89,8 +89,8 @@
 		x.verification = v
 		return err
 	}
-	n, err := g.checkedRequirement(ctx, u, p)
-	x.Required = n.mark
+	req, err := g.checkedRequirement(ctx, u, p)
+	x.Required = req.mark
 	return err
 }
 
--- a/internal/executor/primarywait.go
+++ b/internal/executor/primarywait.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// join adds a waiting unit of a class and returns its deadline. It returns false if the class
-// already has maxWaiting units or the deadline has passed.
-func (w *primaryWait) join(now time.Time, class string, maxWaiting int) (time.Time, bool) {
+// addWaiting adds a waiting unit of a class and returns the time until which it may wait. It
+// returns false if the class already has maxWaiting units or that time has passed.
+func (w *primaryWait) addWaiting(now time.Time, class string, maxWaiting int) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	until := now.Add(failoverWait)
@@ -54,7 +54,7 @@
 	return until, true
 }
 
-func (w *primaryWait) leave(class string) {
+func (w *primaryWait) removeWaiting(class string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.waiting[class]--
@@ -62,11 +62,11 @@
 
 // awaitPrimary waits until there is a writable primary and reports whether there is one.
 func (g *Group) awaitPrimary(ctx context.Context, p plan) bool {
-	until, ok := g.primaryWait.join(g.Clock.Now(), p.class, p.maxQueue)
+	until, ok := g.primaryWait.addWaiting(g.Clock.Now(), p.class, p.maxQueue)
 	if !ok {
 		return false
 	}
-	defer g.primaryWait.leave(p.class)
+	defer g.primaryWait.removeWaiting(p.class)
 	for {
 		if _, err := g.writablePrimary(); err == nil {
 			return true
--- a/internal/executor/read.go
+++ b/internal/executor/read.go
@@ -9,7 +9,8 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// executeRead runs a declared read at a replica that is proved recent enough, or at the primary.
+// executeRead runs a unit of a read class at a replica that is proved recent enough, or at the
+// primary.
 func (g *Group) executeRead(ctx context.Context, u *execution.Unit, p plan, partial func([]byte) error) (*execution.Reply, error) {
 	if onlyPrepares(u) {
 		if reply, done, err := g.prepareAtReplica(ctx, u, p, partial); done {
@@ -23,7 +24,7 @@
 	exclude := make(map[string]bool)
 	waitUntil := g.Clock.Now().Add(replicaApplyWait)
 	for attempt := 1; ; attempt++ {
-		m, ok := g.pickReplica(u.Owner, req, exclude)
+		m, ok := g.pickReadMember(u.Owner, req, exclude)
 		if !ok && g.waitForReplicaApply(ctx, exclude, waitUntil) {
 			clear(exclude)
 			attempt = 0
@@ -46,13 +47,14 @@
 	if g.canHedge(u, p) {
 		return g.readWithHedge(ctx, u, p, m, req, exclude, partial)
 	}
-	reply, streamed, err := g.runAtReplica(ctx, u, p, m, req, partial)
+	reply, streamed, err := g.runReadAtMember(ctx, u, p, m, req, partial)
 	return readAttempt{m.Address, reply, streamed, err}
 }
 
-// onlyPrepares reports whether a unit returns no rows and changes none. The objects that its
-// statements name must exist, so sessions that may have created them elsewhere just before are
-// excluded.
+// onlyPrepares reports whether a unit returns no rows and changes none. It returns false for a
+// session that came without a token and has not run anything here yet: the session may just have
+// created, through another instance, the objects that its statements name, and replicas may not
+// have them yet.
 func onlyPrepares(u *execution.Unit) bool {
 	return !u.Runs() && !(u.Roaming && u.Token.IsZero())
 }
@@ -68,17 +70,17 @@
 		return nil, false, nil
 	}
 	req := readRequirement{position: position, token: u.Token}
-	m, ok := g.pickReplica(u.Owner, req, nil)
+	m, ok := g.pickReadMember(u.Owner, req, nil)
 	if !ok {
 		return nil, false, nil
 	}
-	reply, streamed, err := g.runAtReplica(ctx, u, p, m, req, partial)
+	reply, streamed, err := g.runReadAtMember(ctx, u, p, m, req, partial)
 	return reply, streamed || err == nil && !reply.Failed, err
 }
 
-// runAtReplica runs the read at one replica. The second result reports whether part of the answer
-// was already passed on, after which the read cannot be sent to another member.
-func (g *Group) runAtReplica(ctx context.Context, u *execution.Unit, p plan, m group.MemberView, req readRequirement, partial func([]byte) error) (*execution.Reply, bool, error) {
+// runReadAtMember runs the read at one member, usually a replica. The second result reports whether
+// part of the answer was already passed on, after which the read cannot be sent to another member.
+func (g *Group) runReadAtMember(ctx context.Context, u *execution.Unit, p plan, m group.MemberView, req readRequirement, partial func([]byte) error) (*execution.Reply, bool, error) {
 	slot, err := g.acquireSlot(ctx, p, m.Address)
 	if err != nil {
 		return nil, false, err
@@ -106,7 +108,7 @@
 	if err := g.runExchange(ctx, p, x, wire.Step{Kind: wire.StepUnit}); err != nil {
 		g.Pool.Release(c)
 		g.reportBrokenConn(c, err)
-		return nil, x.Streamed, unknownOutcome(ctx, err)
+		return nil, x.Streamed, unknownOutcomeError(ctx, err)
 	}
 	if x.refused() {
 		slot.Refused()
--- a/internal/executor/readrequirement.go
+++ b/internal/executor/readrequirement.go
@@ -26,8 +26,8 @@
 	token logpos.Token
 }
 
-// requirementFor computes what the read must see. A fresh read, and the first read of a session
-// that came without a token, take a barrier.
+// requirementFor computes what the read must see. If members do not check positions, a fresh read
+// and the first read of a session that came without a token take a barrier.
 func (g *Group) requirementFor(ctx context.Context, u *execution.Unit, p plan) (readRequirement, error) {
 	if g.Wire.ChecksPosition {
 		return g.checkedRequirement(ctx, u, p)
@@ -57,7 +57,7 @@
 		if mark, err = g.fetchFloor(ctx, p); err != nil {
 			return readRequirement{}, err
 		}
-		// The query may have proved a lower mark as well.
+		// The fetch may also have proved a lower mark that is recent enough.
 		if older, ok := g.provenMark(p); ok {
 			mark = older
 		}
@@ -72,10 +72,10 @@
 	return g.Tracker.Proven(g.Clock.Now().Add(readMargin - p.maxAge))
 }
 
-// refreshRequirement computes the requirement again before the read is sent, where it is measured
-// against the time of sending. It stays unchanged where members do not check positions, because
-// the age of each replica is proved separately, and for a fresh read, whose requirement is
-// measured against its arrival.
+// refreshRequirement computes the requirement again just before the read is sent, because the
+// maximum age counts from then. The requirement stays unchanged in two cases: if members do not
+// check positions, because the age of each replica is proved separately; and for a fresh read,
+// because its requirement counts from its arrival.
 func (g *Group) refreshRequirement(ctx context.Context, u *execution.Unit, p plan, req readRequirement) (readRequirement, error) {
 	if !g.Wire.ChecksPosition || p.fresh {
 		return req, nil
@@ -87,12 +87,12 @@
 	if _, err := g.snapshotForToken(ctx, u.Token); err != nil {
 		return readRequirement{}, err
 	}
-	if err := g.awaitBarrierPossible(ctx, p); err != nil {
+	if err := g.awaitBarrierAvailable(ctx, p); err != nil {
 		return readRequirement{}, err
 	}
-	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	confirmCtx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	mark, err := g.Tracker.Barrier(bounded)
+	mark, err := g.Tracker.Barrier(confirmCtx)
 	if err != nil {
 		return readRequirement{}, g.barrierError(err)
 	}
@@ -102,26 +102,27 @@
 	return readRequirement{position: mark.Position, token: g.newToken(mark)}, nil
 }
 
-// fetchFloor queries a position that covers all writes acknowledged before the query.
+// fetchFloor has the tracker determine a position that covers all writes acknowledged before the
+// call.
 func (g *Group) fetchFloor(ctx context.Context, p plan) (logpos.Mark, error) {
 	if !g.Tracker.Snapshot().MajorityAnswers() {
-		if err := g.awaitBarrierPossible(ctx, p); err != nil {
+		if err := g.awaitBarrierAvailable(ctx, p); err != nil {
 			return logpos.Mark{}, err
 		}
 	}
-	bounded, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
+	confirmCtx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	mark, err := g.Tracker.Floor(bounded)
+	mark, err := g.Tracker.Floor(confirmCtx)
 	if err != nil {
 		return logpos.Mark{}, g.barrierError(err)
 	}
 	return mark, nil
 }
 
-// awaitBarrierPossible returns an error if no replica would confirm a barrier. It fails
-// immediately if the group has been without a primary for longer than a failover takes, as in an
-// isolated failure domain, and otherwise after waiting for that time.
-func (g *Group) awaitBarrierPossible(ctx context.Context, p plan) error {
+// awaitBarrierAvailable waits until the group has a primary for which replicas would confirm a
+// barrier. It fails immediately if the group has been without one for longer than a failover takes,
+// as in an isolated failure domain, and otherwise when that time has passed.
+func (g *Group) awaitBarrierAvailable(ctx context.Context, p plan) error {
 	_, err := g.writablePrimary()
 	if err == nil || g.awaitPrimary(ctx, p) {
 		return nil
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -29,8 +29,8 @@
 	return time.Since(start)
 }
 
-// Guards against a queue that persists after a time in which replicas were behind or full: they
-// refuse immediately, so refusals must not count as statement durations.
+// Guards against reads that keep queueing after replicas lagged or were full for a while: such
+// replicas refuse immediately, so refusals must not count as statement durations.
 func TestMemberIsFullyUsedAfterRefusals(t *testing.T) {
 	for _, kind := range []wire.FailureKind{wire.FailureBehind, wire.FailureBusy} {
 		synctest.Test(t, func(t *testing.T) {
@@ -40,19 +40,19 @@
 			for range 40 {
 				readConcurrently(t, g, 2)
 			}
-			refuse := func(f *wire.Failure, after time.Duration) {
+			setReplicaResponse := func(f *wire.Failure, delay time.Duration) {
 				cluster.mu.Lock()
 				defer cluster.mu.Unlock()
 				for _, r := range []*fakeMember{r1, r2} {
-					r.failure, r.delay = f, after
+					r.failure, r.delay = f, delay
 				}
 			}
-			refuse(&wire.Failure{Kind: kind}, time.Millisecond)
+			setReplicaResponse(&wire.Failure{Kind: kind}, time.Millisecond)
 			for range 100 {
 				_, _, _ = readOnce(t, g)
 				time.Sleep(laggingPeriod)
 			}
-			refuse(nil, statementTime)
+			setReplicaResponse(nil, statementTime)
 			time.Sleep(time.Second)
 			for range 10 {
 				// Twice the slots of two replicas.
--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -25,9 +25,10 @@
 // failure domains and a usual statement.
 const minRelayTime = 50 * time.Millisecond
 
-// executeAtHome runs a unit of a group that this instance is home to. If this instance cannot
-// serve the unit, it passes the unit on to a home that can. Local execution is tried first: most
-// units that are refused for lack of a primary wait for a promotion that no instance has made yet.
+// executeAtHome runs a unit of a group that this instance is home to. If this instance cannot serve
+// the unit, it passes the unit on to a home that can. Local execution is tried first: most units
+// that are refused here for lack of a primary would be refused by any home, because no replica has
+// been promoted yet.
 func (r *Router) executeAtHome(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	start := r.clock.Now()
 	reply, err := g.Execute(ctx, u, partial)
@@ -105,8 +106,9 @@
 // relaySeparator separates a unit's ID from the number of the relay.
 const relaySeparator = "~"
 
-// relayError returns the caller's error after another home has failed: that home's error, unless
-// an earlier home may have run the unit; the earlier error is kept then.
+// relayError returns the error for the caller after another home has failed. This is that home's
+// error, unless the unit was not sent to it or an earlier home may have run the unit; in both cases
+// the previous error is kept.
 func relayError(previous, err error) error {
 	if errors.Is(err, peer.ErrNotSent) {
 		return previous
@@ -129,9 +131,9 @@
 		return others
 	}
 	query := func(ctx context.Context, home platform.Instance) (capability, error) {
-		var s capability
-		err := r.caller.Call(ctx, home.PeerAddress, methodCapability, objectRef{Group: g.Group}, &s)
-		return s, err
+		var answer capability
+		err := r.caller.Call(ctx, home.PeerAddress, methodCapability, objectRef{Group: g.Group}, &answer)
+		return answer, err
 	}
 	return newHomeFinder(r.clock, g.forkRandom(), homes, query)
 }
@@ -146,5 +148,5 @@
 	if g == nil {
 		return capability{}, nil
 	}
-	return g.capability(), nil
+	return g.currentCapability(), nil
 }
--- a/internal/executor/relay_test.go
+++ b/internal/executor/relay_test.go
@@ -37,7 +37,7 @@
 	unitIDs []string
 	// cancelled receives the cancel requests that reach homes.
 	cancelled chan string
-	// sawUnmarkedUnit is set when a unit arrives without the mark that prevents another relay.
+	// sawUnmarkedUnit is set when a unit arrives without Relayed, which prevents another relay.
 	sawUnmarkedUnit bool
 	// onUnit is called when a unit has arrived at a home; may be nil.
 	onUnit func()
@@ -240,9 +240,9 @@
 	})
 }
 
-// Two instances each believe that the other one can serve a unit. A relayed unit carries a
-// mark, and an instance that cannot serve a marked unit must refuse it; otherwise the unit
-// would be passed back and forth until its timeout.
+// Two instances each believe that the other one can serve a unit. A relayed unit is marked by
+// Relayed, and an instance that cannot serve such a unit must refuse it; otherwise the unit would
+// be passed back and forth until its timeout.
 func TestRelayedUnitIsNotRelayedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/executor/remoteunits.go
+++ b/internal/executor/remoteunits.go
@@ -7,9 +7,9 @@
 	unitID string
 }
 
-// addRemoteUnit records where a unit runs until the returned function is called. If this
-// instance is also home to the group, the group does not know such a unit, and a cancel request
-// for it would be lost.
+// addRemoteUnit records where a unit runs until the returned function is called. Without the
+// record, a cancel request would be lost if this instance is also home to the group, because the
+// group does not know units that run elsewhere.
 func (r *Router) addRemoteUnit(unitID string, remote remoteUnit) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/executor/retries.go
+++ b/internal/executor/retries.go
@@ -41,10 +41,11 @@
 	result.ReadFailed:          retry.Failed,
 }
 
-// mayReadElsewhere reports whether a read for the primary may go to any member whose log contains
-// what a majority proves: there is no primary, or it failed the read, and members check positions
-// themselves. Reads of a group that lost its primary thus continue while it is replaced, which
-// takes seconds, and in a failure domain that cannot replace it.
+// mayReadElsewhere reports whether a read that failed for lack of a primary, or at the primary, may
+// go to any member whose log contains the position that a majority proves. This requires that
+// members check positions themselves and that a majority answers. Reads of a group that lost its
+// primary thus continue while it is replaced, which takes seconds, and in a failure domain that
+// cannot replace it.
 func (g *Group) mayReadElsewhere(u *execution.Unit, p plan, err error) bool {
 	if !g.Wire.ChecksPosition || !p.read || !u.ReadOnly || u.Begins && !u.ReadTransaction {
 		return false
@@ -68,9 +69,9 @@
 const replicaApplyWait = 150 * time.Millisecond
 
 // waitForReplicaApply waits for one poll interval and reports whether the members that were tried
-// may be tried again, which is so if there is no primary to use. Replicas apply what they have
-// received a few milliseconds later, and a floor includes entries that are received but not yet
-// applied.
+// may be tried again: only before until, and only if there is no primary to use but a majority
+// answers. The position that a read requires may be a floor, which includes entries that replicas
+// have received but apply only a few milliseconds later.
 func (g *Group) waitForReplicaApply(ctx context.Context, tried map[string]bool, until time.Time) bool {
 	if !g.Wire.ChecksPosition || len(tried) == 0 || !g.Clock.Now().Before(until) {
 		return false
@@ -81,7 +82,8 @@
 	return g.sleepPollInterval(ctx) == nil
 }
 
-// mayResend waits until a write that was refused before it ran may be sent again.
+// mayResend reports whether a write that was refused before it ran may be sent again. It waits
+// first for a primary and, after a failed connection attempt, for the retry budget.
 func (g *Group) mayResend(ctx context.Context, p plan, err error, attempt int) bool {
 	e, ok := result.As(err)
 	if !ok || attempt >= maxWriteAttempts {
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -12,7 +12,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Homes returns the instances that are home to a group, nearest first.
+// Homes looks up instances. The homes of a group are returned nearest first.
 type Homes interface {
 	Homes(group string) []platform.Instance
 	// FindInstance returns the instance with the given ID.
@@ -118,7 +118,7 @@
 	return g
 }
 
-// Local returns the group if this instance runs its units itself, and nil otherwise.
+// LocalGroup returns the group if this instance runs its units itself, and nil otherwise.
 func (r *Router) LocalGroup(group string) *Group {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/executor/runningunits.go
+++ b/internal/executor/runningunits.go
@@ -12,7 +12,8 @@
 	conn wire.Conn
 	// sentAt is when the unit was sent.
 	sentAt time.Time
-	// cancelled means that a cancel request for the connection may be in flight.
+	// cancelled means that the unit was interrupted, or that a cancel request for the connection
+	// may be in flight. The connection is not reused.
 	cancelled bool
 }
 
@@ -24,7 +25,7 @@
 	load  map[string]int
 	// lastAnswer is when each member last completed a unit.
 	lastAnswer map[string]time.Time
-	// wake is signalled (with capacity for one signal) when the first unit starts.
+	// wake receives a signal when a unit starts while no other is running; it buffers one signal.
 	wake chan struct{}
 	// closed means that units were interrupted for good and no new one may start.
 	closed bool
--- a/internal/executor/timeouts.go
+++ b/internal/executor/timeouts.go
@@ -16,8 +16,8 @@
 	// retryAfterBusy is the retry delay suggested to callers when a member has no free capacity:
 	// about the duration of one statement.
 	retryAfterBusy = 50 * time.Millisecond
-	// rollbackTimeout bounds the rollback of an abandoned transaction. It is long compared with
-	// a round trip and short compared with how long a lock may be blocked.
+	// rollbackTimeout bounds the rollback of an abandoned transaction. It is long compared with a
+	// round trip and short compared with how long others may wait for the transaction's locks.
 	rollbackTimeout = time.Second
 	// maxReadAttempts is the number of members that one read may be sent to.
 	maxReadAttempts = 3
--- a/internal/executor/transactions.go
+++ b/internal/executor/transactions.go
@@ -12,7 +12,7 @@
 	prefix     string
 	lastNumber uint64
 	open       map[string]*transaction
-	// opened is signalled (with capacity for one signal) when a transaction is opened.
+	// opened receives a signal when a transaction is opened; it buffers one signal.
 	opened chan struct{}
 }
 
