--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -87,13 +87,13 @@
 		change func(*group.Snapshot)
 		code   result.Code
 	}{
-		"healthy":      {func(*group.Snapshot) {}, 0},
-		"one probe":    {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 1}} }, 0},
-		"brief stall":  {func(s *group.Snapshot) { s.StalledSince = now.Add(-100 * time.Millisecond) }, 0},
-		"none known":   {func(s *group.Snapshot) { s.Primary = "" }, result.NoPrimary},
-		"lost":         {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 3}} }, result.NoPrimary},
-		"long stall":   {func(s *group.Snapshot) { s.StalledSince = now.Add(-time.Minute) }, result.NoConfirmingReplica},
-		"none replies": {func(s *group.Snapshot) { s.ConfirmedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
+		"healthy":            {func(*group.Snapshot) {}, 0},
+		"one probe":          {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 1}} }, 0},
+		"brief stall":        {func(s *group.Snapshot) { s.StalledSince = now.Add(-100 * time.Millisecond) }, 0},
+		"no primary known":   {func(s *group.Snapshot) { s.Primary = "" }, result.NoPrimary},
+		"primary lost":       {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 3}} }, result.NoPrimary},
+		"long stall":         {func(s *group.Snapshot) { s.StalledSince = now.Add(-time.Minute) }, result.NoConfirmingReplica},
+		"no replica reports": {func(s *group.Snapshot) { s.ConfirmedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
 	} {
 		s := healthy
 		c.change(&s)
--- a/internal/executor/exchange.go
+++ b/internal/executor/exchange.go
@@ -88,8 +88,9 @@
 	}
 }
 
-// reportBrokenConn reports a connection that failed during an exchange to the pool and the
-// tracker. It does nothing if the unit was not sent.
+// reportBrokenConn reports a connection that failed during an exchange to the tracker and, if it
+// timed out, to the pool, which then also probes idle connections that were not used recently. It
+// does nothing if the unit was not sent.
 func (g *Group) reportBrokenConn(c wire.Conn, err error) {
 	if _, ok := result.As(err); ok {
 		return
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, u.Timeout+forwardGrace)
 	defer cancel()
 	reply := new(execution.Reply)
-	if err := r.caller.Call(ctx, home.PeerAddress, methodExecute, u, reply); err != nil {
+	if err := r.peerClient.Call(ctx, home.PeerAddress, methodExecute, u, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
@@ -152,7 +152,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
-		_ = r.caller.Call(ctx, to.PeerAddress, method, ref, nil)
+		_ = r.peerClient.Call(ctx, to.PeerAddress, method, ref, nil)
 	}()
 }
 
@@ -182,7 +182,7 @@
 // waits until the previous one was accepted, which bounds the data in flight.
 func (r *Router) partialSender(ctx context.Context, u *execution.Unit) func([]byte) error {
 	return func(bytes []byte) error {
-		return r.caller.Call(ctx, u.ReplyTo, methodPartial, answerChunk{ID: u.ID, Bytes: bytes}, nil)
+		return r.peerClient.Call(ctx, u.ReplyTo, methodPartial, answerChunk{ID: u.ID, Bytes: bytes}, nil)
 	}
 }
 
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -26,13 +26,13 @@
 		report *member.Status
 		fresh  bool
 	}{
-		"leads":                      {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
-		"stepped down":               {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
-		"fenced":                     {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
-		"leads a later term":         {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
-		"no report":                  {},
-		"took a transaction":         {unit: execution.Unit{Begins: true}, fresh: true},
-		"took a reading transaction": {unit: execution.Unit{Begins: true, ReadTransaction: true}},
+		"primary":                               {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
+		"now a replica":                         {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
+		"fenced":                                {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
+		"primary of a later term":               {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
+		"no report":                             {},
+		"accepted a transaction that may write": {unit: execution.Unit{Begins: true}, fresh: true},
+		"accepted a read transaction":           {unit: execution.Unit{Begins: true, ReadTransaction: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -246,10 +246,10 @@
 // error for the caller.
 func TestFailedReadIsRetriedAtAnotherReplica(t *testing.T) {
 	for name, broken := range map[string]*fakeMember{
-		"broken": {err: net.ErrClosed},
-		"failed": {failure: &wire.Failure{Kind: wire.FailureRan, Code: "FAILED"}},
-		"behind": {failure: &wire.Failure{Kind: wire.FailureBehind}},
-		"full":   {failure: &wire.Failure{Kind: wire.FailureBusy}},
+		"connection broken": {err: net.ErrClosed},
+		"statement failed":  {failure: &wire.Failure{Kind: wire.FailureRan, Code: "FAILED"}},
+		"lagging":           {failure: &wire.Failure{Kind: wire.FailureBehind}},
+		"busy":              {failure: &wire.Failure{Kind: wire.FailureBusy}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -132,7 +132,7 @@
 	}
 	query := func(ctx context.Context, home platform.Instance) (capability, error) {
 		var answer capability
-		err := r.caller.Call(ctx, home.PeerAddress, methodCapability, objectRef{Group: g.Group}, &answer)
+		err := r.peerClient.Call(ctx, home.PeerAddress, methodCapability, objectRef{Group: g.Group}, &answer)
 		return answer, err
 	}
 	return newHomeFinder(r.clock, g.forkRandom(), homes, query)
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -29,7 +29,7 @@
 	selfID       string
 	peerAddress  string
 	homes        Homes
-	caller       peer.Caller
+	peerClient   peer.Caller
 	metrics      *Metrics
 	clock        clock.Clock
 	avoidedHomes avoidedHomes
@@ -56,7 +56,7 @@
 		selfID:          self,
 		peerAddress:     address,
 		homes:           h,
-		caller:          c,
+		peerClient:      c,
 		metrics:         m,
 		clock:           k,
 		groups:          make(map[string]*Group),
@@ -71,7 +71,7 @@
 func (r *Router) Add(g *Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.caller != nil && g.homeFinder == nil {
+	if r.peerClient != nil && g.homeFinder == nil {
 		g.homeFinder = r.newGroupHomeFinder(g)
 	}
 	r.groups[g.Group] = g
@@ -243,7 +243,7 @@
 	r.closeDrainedIfIdle()
 }
 
-// closeDrainedIfIdle closes drained once no unit of a peer is running. The caller must hold r.mu.
+// closeDrainedIfIdle closes drained once no unit of a peer is running. r.mu must be held.
 func (r *Router) closeDrainedIfIdle() {
 	if !r.draining || r.peerUnits > 0 {
 		return
