--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -34,16 +34,16 @@
 	is := is.New(t)
 	tracker := &confirmingTracker{}
 	g := &Group{Config: Config{Tracker: tracker, Clock: clock.System{}}}
-	limits := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
+	confirmPlan := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
 	report := &member.Status{Role: member.RolePrimary, Entered: 3, Last: logpos.Mark{Term: 3, Position: 90}}
 
-	_, err := g.confirm(t.Context(), limits, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	_, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
 	e, ok := result.As(err)
 	is.True(ok)
 	is.Equal(e.Code, result.PrimaryReplaced)
 	is.Equal(len(tracker.confirmed), 0)
 
-	mark, err := g.confirm(t.Context(), limits, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	mark, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
 	is.NoErr(err)
 	is.Equal(tracker.confirmed, []logpos.Mark{mark})
 }
@@ -87,13 +87,13 @@
 		change func(*group.Snapshot)
 		code   result.Code
 	}{
-		"healthy":      {func(*group.Snapshot) {}, 0},
-		"one probe":    {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 1}} }, 0},
-		"brief stall":  {func(s *group.Snapshot) { s.StalledSince = now.Add(-100 * time.Millisecond) }, 0},
-		"none known":   {func(s *group.Snapshot) { s.Primary = "" }, result.NoPrimary},
-		"lost":         {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 3}} }, result.NoPrimary},
-		"long stall":   {func(s *group.Snapshot) { s.StalledSince = now.Add(-time.Minute) }, result.NoConfirmingReplica},
-		"none replies": {func(s *group.Snapshot) { s.ConfirmedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
+		"healthy":            {func(*group.Snapshot) {}, 0},
+		"one probe":          {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 1}} }, 0},
+		"brief stall":        {func(s *group.Snapshot) { s.StalledSince = now.Add(-100 * time.Millisecond) }, 0},
+		"no primary known":   {func(s *group.Snapshot) { s.Primary = "" }, result.NoPrimary},
+		"primary lost":       {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 3}} }, result.NoPrimary},
+		"long stall":         {func(s *group.Snapshot) { s.StalledSince = now.Add(-time.Minute) }, result.NoConfirmingReplica},
+		"no replica reports": {func(s *group.Snapshot) { s.ConfirmedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
 	} {
 		s := healthy
 		c.change(&s)
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -15,24 +15,24 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// A primary steps down for a promotion that fenced it and one replica. The other replica was
-// not fenced, so it proves the old term, and the old primary, now a replica, still answers
-// reads. A caller that asks for fresh data would get data from before the promotion. The member
-// must have shown that it is the primary of the proved term; of transactions, only one that may
-// write shows this by being accepted.
+// A primary steps down for a promotion that fenced it and one replica. The other replica was not
+// fenced, so it proves the old term, and the old primary, now a replica, still answers reads. A
+// caller that asks for fresh data would get data from before the promotion. The member must have
+// shown that it is the primary of the proved term. Accepting a transaction shows this only if the
+// transaction may write, because replicas accept read transactions.
 func TestFreshReadRequiresCurrentPrimary(t *testing.T) {
 	for name, c := range map[string]struct {
 		unit   execution.Unit
 		report *member.Status
 		fresh  bool
 	}{
-		"leads":                      {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
-		"stepped down":               {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
-		"fenced":                     {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
-		"leads a later term":         {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
-		"no report":                  {},
-		"took a transaction":         {unit: execution.Unit{Begins: true}, fresh: true},
-		"took a reading transaction": {unit: execution.Unit{Begins: true, ReadTransaction: true}},
+		"primary":                               {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
+		"now a replica":                         {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
+		"fenced":                                {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
+		"primary of a later term":               {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
+		"no report":                             {},
+		"accepted a transaction that may write": {unit: execution.Unit{Begins: true}, fresh: true},
+		"accepted a read transaction":           {unit: execution.Unit{Begins: true, ReadTransaction: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
