--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -70,10 +70,10 @@
 	return nil, r.metrics.countRefusal(u.Group, unreachable)
 }
 
-// avoidFailedHome records a home that refuses new units because it is shutting down, and one that
-// cannot be reached. Until the instance list shows the shutdown, units sent to the former would
-// race with the closing of its connections; without the record, every unit would wait for the
-// latter again.
+// avoidFailedHome records a home that refuses new units because it is shutting down, or that cannot
+// be reached. Units sent to a home that is shutting down would race with the closing of its
+// connections until the instance list shows the shutdown. Every unit sent to an unreachable home
+// would wait for it again.
 func (r *Router) avoidFailedHome(home platform.Instance, err error) {
 	now := r.clock.Now()
 	if errors.Is(err, peer.ErrNotSent) {
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, u.Timeout+forwardGrace)
 	defer cancel()
 	reply := new(execution.Reply)
-	if err := r.caller.Call(ctx, home.PeerAddress, methodExecute, u, reply); err != nil {
+	if err := r.peerClient.Call(ctx, home.PeerAddress, methodExecute, u, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
@@ -152,7 +152,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
-		_ = r.caller.Call(ctx, to.PeerAddress, method, ref, nil)
+		_ = r.peerClient.Call(ctx, to.PeerAddress, method, ref, nil)
 	}()
 }
 
@@ -182,7 +182,7 @@
 // waits until the previous one was accepted, which bounds the data in flight.
 func (r *Router) partialSender(ctx context.Context, u *execution.Unit) func([]byte) error {
 	return func(bytes []byte) error {
-		return r.caller.Call(ctx, u.ReplyTo, methodPartial, answerChunk{ID: u.ID, Bytes: bytes}, nil)
+		return r.peerClient.Call(ctx, u.ReplyTo, methodPartial, answerChunk{ID: u.ID, Bytes: bytes}, nil)
 	}
 }
 
--- /dev/null
+++ b/internal/instance/instancelistwait.go
@@ -0,0 +1,32 @@
+package instance
+
+import "time"
+
+// instanceListTimeout bounds the wait for the list of instances. It allows for a few slow
+// answers of the platform.
+const instanceListTimeout = 3 * time.Second
+
+// instanceListWait delays the start of homes until the list of instances is known.
+//
+// It matters when a whole fleet restarts. Documents and members' entries arrive before the
+// list of instances, and an instance that knows of no other is home to every group. All
+// instances would then open connections to all members. The members refuse the connections
+// beyond their limit, because they still count those from before the restart, and a moment
+// later all but a few homes would be retired. It does no I/O.
+type instanceListWait struct {
+	// groupsKnownSince is when groups were first known.
+	groupsKnownSince time.Time
+}
+
+// pending reports whether to start no homes yet. It ends after instanceListTimeout even
+// without the list: an outage of the platform may be long, and until it ends each home
+// serves with a small share.
+func (w *instanceListWait) pending(now time.Time, groups int, listKnown bool) bool {
+	if groups == 0 {
+		return true
+	}
+	if w.groupsKnownSince.IsZero() {
+		w.groupsKnownSince = now
+	}
+	return !listKnown && now.Sub(w.groupsKnownSince) < instanceListTimeout
+}
--- a/internal/instance/matrix_page_test.go
+++ b/internal/instance/matrix_page_test.go
@@ -16,15 +16,15 @@
 
 const (
 	matrixPage = "../../docs/FAULT-MATRIX.md"
-	// matrixMark stands in the page where the table begins; what is before it is
-	// written by hand.
-	matrixMark = "<!-- the table below is written by the run -->\n"
+	// tableMarker is the line in the page where the generated table begins; the text
+	// before it is written by hand.
+	tableMarker = "<!-- the table below is written by the run -->\n"
 )
 
-// matrixTable renders the run, faults as rows and steps as columns.
-func matrixTable(cells map[string]cell) string {
+// matrixTable renders the results with faults as rows and steps as columns.
+func matrixTable(cells map[string]cellResult) string {
 	var out strings.Builder
-	out.WriteString(matrixMark + "\n| step | flow | point |\n| --- | --- | --- |\n")
+	out.WriteString(tableMarker + "\n| step | flow | point |\n| --- | --- | --- |\n")
 	for i, s := range allSteps {
 		fmt.Fprintf(&out, "| %d | %s | %s |\n", i+1, s.flow, s.name)
 	}
@@ -37,9 +37,9 @@
 	for _, f := range allFaults {
 		fmt.Fprintf(&out, "| %s |", f.name)
 		for _, s := range allSteps {
-			verdict := cells[cellName(f, s)].verdict()
-			counts[verdict]++
-			fmt.Fprintf(&out, " %s |", verdict)
+			status := cells[cellName(f, s)].status()
+			counts[status]++
+			fmt.Fprintf(&out, " %s |", status)
 		}
 		out.WriteString("\n")
 	}
@@ -48,12 +48,12 @@
 	return out.String()
 }
 
-// checkMatrixPage compares the run with the page, or writes the page.
-func checkMatrixPage(t *testing.T, cells map[string]cell) {
+// checkMatrixPage compares the results with the page, or updates the page.
+func checkMatrixPage(t *testing.T, cells map[string]cellResult) {
 	is := is.New(t)
 	page, err := os.ReadFile(matrixPage)
 	is.NoErr(err)
-	head, _, found := strings.Cut(string(page), matrixMark)
+	head, _, found := strings.Cut(string(page), tableMarker)
 	is.True(found)
 	table := matrixTable(cells)
 	if *matrixWrite {
@@ -65,8 +65,8 @@
 	}
 }
 
-// The page names the test that fails when a promise's mechanism is taken out.
-// Each name must be that of a test in the repository.
+// The page names, for each guarantee, the test that fails when its mechanism is removed.
+// Every test it names must exist in the repository.
 func TestPageNamesTestsThatExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(matrixPage)
--- a/internal/instance/matrix_test.go
+++ b/internal/instance/matrix_test.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// struckFor is how long a fault lasts.
-	struckFor = 2 * time.Second
-	// recovery is how long after a fault every instance must serve again.
-	recovery = 15 * time.Second
+	// faultDuration is how long a fault lasts.
+	faultDuration = 2 * time.Second
+	// recoveryTimeout bounds the time until every instance must serve again after a fault.
+	recoveryTimeout = 15 * time.Second
 )
 
-// cell is the outcome of one fault at one step.
-type cell struct {
-	reached bool
-	found   []string
-	reads   int
-	writes  int
+// cellResult is the result of one fault at one step.
+type cellResult struct {
+	reached    bool
+	violations []string
+	reads      int
+	writes     int
 }
 
-func (c cell) verdict() string {
+func (c cellResult) status() string {
 	switch {
-	case len(c.found) > 0:
+	case len(c.violations) > 0:
 		return "RED"
 	case !c.reached:
 		return "not run"
@@ -48,14 +48,14 @@
 	return strings.ReplaceAll(fmt.Sprintf("%s/%s/%s", f.name, s.flow, s.name), " ", "_")
 }
 
-// Callers write, pay, transact and roam through three instances while one fault
-// strikes at one named step of one flow, lasts two seconds and is healed. What
-// the callers were told must agree with the rows that are left, no session may
-// miss its own write, the connections stay within their total, and every
-// instance serves again. Each cell of the matrix is one such run.
+// Callers write, pay, run transactions and move between three instances while one fault is
+// injected at one named step of one flow, lasts two seconds and is healed. What callers
+// were told must agree with the remaining rows, every session must see its own writes,
+// connections must stay within their limit, and every instance must serve again. Each cell
+// of the matrix is one such run.
 func TestFaultMatrix(t *testing.T) {
 	var mu sync.Mutex
-	cells := make(map[string]cell)
+	cells := make(map[string]cellResult)
 	t.Run("cells", func(t *testing.T) {
 		for _, f := range allFaults {
 			for _, s := range allSteps {
@@ -66,10 +66,10 @@
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
 					c := runCell(t, f, s, *matrixSeed)
-					for _, found := range c.found {
-						t.Errorf("%s", found)
+					for _, violation := range c.violations {
+						t.Errorf("%s", violation)
 					}
-					t.Logf("%s: %d reads, %d writes acknowledged", c.verdict(), c.reads, c.writes)
+					t.Logf("%s: %d reads, %d writes acknowledged", c.status(), c.reads, c.writes)
 					mu.Lock()
 					defer mu.Unlock()
 					cells[name] = c
@@ -82,75 +82,76 @@
 	}
 }
 
-func runCell(t *testing.T, f matrixFault, s matrixStep, seed uint64) cell {
-	var c cell
-	inBed(t, func(b *bed) {
-		l := startLoad(b, seed)
+func runCell(t *testing.T, f matrixFault, s matrixStep, seed uint64) cellResult {
+	var c cellResult
+	withCluster(t, func(tc *testCluster) {
+		l := startLoad(tc, seed)
 		time.Sleep(300 * time.Millisecond)
 		var reached atomic.Bool
-		s.arm(b, func() {
+		s.arm(tc, func() {
 			reached.Store(true)
-			f.strike(b)
+			f.inject(tc)
 		})
-		time.Sleep(struckFor)
-		b.disarm()
-		f.heal(b)
-		b.revive()
-		found := b.awaitService()
-		l.end()
-		c = cell{reached: reached.Load(), found: append(found, l.verdict()...), reads: l.reads, writes: l.writes}
+		time.Sleep(faultDuration)
+		tc.removeHooks()
+		f.heal(tc)
+		tc.restartStopped()
+		violations := tc.waitUntilServing()
+		l.stopAndWait()
+		c = cellResult{reached: reached.Load(), violations: append(violations, l.checkInvariants()...), reads: l.reads, writes: l.writes}
 	})
 	return c
 }
 
-// disarm takes every hook off.
-func (b *bed) disarm() {
-	for _, n := range b.nodes {
+// removeHooks removes all hooks.
+func (tc *testCluster) removeHooks() {
+	for _, n := range tc.nodes {
 		n.SetHook(nil)
 	}
-	b.store.SetHook(nil)
-	b.failoverHook.Store(nil)
-	b.loadHook.Store(nil)
+	tc.store.SetHook(nil)
+	tc.failoverHook.Store(nil)
+	tc.loadHook.Store(nil)
 }
 
-// revive starts what a step has stopped: the first primary, or a drained instance.
-func (b *bed) revive() {
-	for i, n := range b.nodes {
+// restartStopped restarts what a step has stopped: the first primary, or a drained
+// instance.
+func (tc *testCluster) restartStopped() {
+	for i, n := range tc.nodes {
 		if !n.Running() {
-			b.restartMember(i)
+			tc.restartMember(i)
 		}
 	}
-	for i := range b.draining {
-		err := <-b.ended[i]
-		b.ended[i] <- err
-		b.replaceInstance(i)
+	for i := range tc.draining {
+		err := <-tc.runErrors[i]
+		tc.runErrors[i] <- err
+		tc.replaceInstance(i)
 	}
 }
 
-// awaitService waits until a write and a fresh read go through every instance.
-func (b *bed) awaitService() []string {
-	deadline := time.Now().Add(recovery)
-	var found []string
-	for i := range bedDomains {
+// waitUntilServing waits until every instance serves a write and a fresh read.
+func (tc *testCluster) waitUntilServing() []string {
+	deadline := time.Now().Add(recoveryTimeout)
+	var violations []string
+	for i := range testDomains {
 		for {
-			err := b.tryService(i)
+			err := tc.checkServing(i)
 			if err == nil {
 				break
 			}
 			if time.Now().After(deadline) {
-				found = append(found, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recovery, err))
+				violations = append(violations, fmt.Sprintf("instance %d does not serve %s after the fault: %v", i, recoveryTimeout, err))
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	return found
+	return violations
 }
 
-func (b *bed) tryService(i int) error {
+func (tc *testCluster) checkServing(i int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	c, err := pgx.ConnectConfig(ctx, b.config(i, ""))
+	c, err := pgx.ConnectConfig(ctx, tc.config(i, ""))
 	if err != nil {
 		return err
 	}
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -12,82 +12,83 @@
 const (
 	// methodReach asks a home how many of its groups it reaches.
 	methodReach = "instance.reach"
-	// reachAskInterval is the time between two such questions, and reachAskTimeout
-	// bounds an answer, many times a slow one inside a failure domain.
-	reachAskInterval = 500 * time.Millisecond
-	reachAskTimeout  = 200 * time.Millisecond
-	// reachAsked is how many homes are asked: two, because one may be down.
-	reachAsked = 2
-	// hintedAskInterval is the time between two questions as long as a hint counts.
-	hintedAskInterval = 50 * time.Millisecond
+	// peerReachInterval is the time between two polls of other homes. peerReachTimeout
+	// bounds an answer; it is many times the time of a slow one inside a failure domain.
+	peerReachInterval = 500 * time.Millisecond
+	peerReachTimeout  = 200 * time.Millisecond
+	// maxPolledHomes is how many homes are polled: two, because one may be down.
+	maxPolledHomes = 2
+	// hintedPeerReachInterval is the time between two polls while a hint is valid.
+	hintedPeerReachInterval = 50 * time.Millisecond
 )
 
-// reached is how many groups there are, and how many are reached by a majority.
-type reached struct {
+// reachCounts holds the number of groups and how many of them are reached, that is, by a
+// majority of their members.
+type reachCounts struct {
 	Groups  int `json:"groups"`
 	Reached int `json:"reached"`
 }
 
-// add counts one group.
-func (r *reached) add(isReached bool) {
+// addGroup counts one group.
+func (r *reachCounts) addGroup(isReached bool) {
 	r.Groups++
 	if isReached {
 		r.Reached++
 	}
 }
 
-// plus returns the sum of both.
-func (r reached) plus(o reached) reached {
-	return reached{Groups: r.Groups + o.Groups, Reached: r.Reached + o.Reached}
+// plus returns the sum of both counts.
+func (r reachCounts) plus(o reachCounts) reachCounts {
+	return reachCounts{Groups: r.Groups + o.Groups, Reached: r.Reached + o.Reached}
 }
 
-// ownReach is what this instance reaches by itself.
-func (n *Instance) ownReach() reached {
-	var r reached
+// ownReach counts the groups that this instance is home to and those it reaches.
+func (n *Instance) ownReach() reachCounts {
+	var r reachCounts
 	for _, h := range n.homesCopy() {
-		r.add(h.watcher.Snapshot().MajorityAnswers())
+		r.addGroup(h.watcher.Snapshot().MajorityAnswers())
 	}
 	return r
 }
 
-// serveReach answers instances that are home to few groups.
+// serveReach registers the handler for instances that are home to few groups.
 func (n *Instance) serveReach() {
 	n.peers.Handle(methodReach, func(context.Context, string, json.RawMessage) (any, error) {
 		return n.ownReach(), nil
 	})
 }
 
-// peersReach keeps what the homes near this instance reach. An instance that is home to
-// no group sees no member, and so would never know that its failure domain is cut off:
-// it stayed ready, the balancer then sent callers to all instances of the domain, cut
-// off as they were, and all their requests were refused until the cut healed.
-type peersReach struct {
+// peerReach holds what nearby homes reach. An instance that is home to no group probes no
+// member, and could not detect that its failure domain is cut off. It would stay ready, the
+// balancer would then send callers to all instances of the failure domain even though they
+// are cut off, and all requests would be refused until the cut heals.
+type peerReach struct {
 	mu  sync.Mutex
-	sum reached
+	sum reachCounts
 }
 
-func (p *peersReach) set(r reached) {
+func (p *peerReach) set(r reachCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sum = r
 }
 
-func (p *peersReach) get() reached {
+func (p *peerReach) get() reachCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sum
 }
 
-// askReach asks homes near this instance what they reach, as long as it is home to less
-// than half of the groups, until ctx ends.
-func (n *Instance) askReach(ctx context.Context, p *peersReach) {
+// pollPeerReach asks nearby homes what they reach while this instance is home to less than
+// half of the groups, until ctx ends.
+func (n *Instance) pollPeerReach(ctx context.Context, p *peerReach) {
 	var hinted time.Time
 	for {
-		interval := reachAskInterval
-		if n.options.Clock.Now().Sub(hinted) < hintCounts {
-			interval = hintedAskInterval
+		interval := peerReachInterval
+		if n.options.Clock.Now().Sub(hinted) < hintValidity {
+			interval = hintedPeerReachInterval
 		}
-		woken, err := n.sleepOr(ctx, interval, n.lookPeers)
+		woken, err := n.sleepOrWake(ctx, interval, n.wakePeerReach)
 		if err != nil {
 			return
 		}
@@ -95,49 +96,49 @@
 			hinted = n.options.Clock.Now()
 			continue
 		}
-		var sum reached
+		var sum reachCounts
 		if 2*len(n.homesCopy()) < len(n.documents.Groups()) {
-			sum = n.askHomes(ctx, n.homesToAsk())
+			sum = n.pollHomes(ctx, n.homesToPoll())
 		}
 		p.set(sum)
 	}
 }
 
-// homesToAsk returns the nearest homes of the groups that this instance is not home to,
-// those of its own failure domain where there are any.
-func (n *Instance) homesToAsk() []platform.Instance {
+// homesToPoll returns the nearest homes of the groups that this instance is not home to.
+// Homes in its own failure domain are the nearest.
+func (n *Instance) homesToPoll() []platform.Instance {
 	var chosen []platform.Instance
-	taken := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, g := range n.documents.Groups() {
 		homes := n.members.Homes(g.Name)
-		if len(homes) == 0 || homes[0].ID == n.self().ID || taken[homes[0].ID] {
+		if len(homes) == 0 || homes[0].ID == n.self().ID || seen[homes[0].ID] {
 			continue
 		}
-		taken[homes[0].ID] = true
+		seen[homes[0].ID] = true
 		chosen = append(chosen, homes[0])
-		if len(chosen) == reachAsked {
+		if len(chosen) == maxPolledHomes {
 			break
 		}
 	}
 	return chosen
 }
 
-// askHomes sums up what homes reach. One that does not answer counts as a group that is
-// not reached.
-func (n *Instance) askHomes(ctx context.Context, homes []platform.Instance) reached {
-	ctx, cancel := context.WithTimeout(ctx, reachAskTimeout)
+// pollHomes returns the sum of what the homes reach. A home that does not answer counts as
+// one group that is not reached.
+func (n *Instance) pollHomes(ctx context.Context, homes []platform.Instance) reachCounts {
+	ctx, cancel := context.WithTimeout(ctx, peerReachTimeout)
 	defer cancel()
-	answers := make(chan reached, len(homes))
+	answers := make(chan reachCounts, len(homes))
 	for _, home := range homes {
 		go func() {
-			told := reached{Groups: 1}
-			if err := n.client.Call(ctx, home.PeerAddress, methodReach, struct{}{}, &told); err != nil {
-				told = reached{Groups: 1}
+			counts := reachCounts{Groups: 1}
+			if err := n.client.Call(ctx, home.PeerAddress, methodReach, struct{}{}, &counts); err != nil {
+				counts = reachCounts{Groups: 1}
 			}
-			answers <- told
+			answers <- counts
 		}()
 	}
-	var sum reached
+	var sum reachCounts
 	for range homes {
 		sum = sum.plus(<-answers)
 	}
