--- a/internal/failover/attacher.go
+++ b/internal/failover/attacher.go
@@ -10,7 +10,7 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// attacher makes detached members follow the primary: those that come back with an
+// attacher makes detached members follow the primary: those that answer again with an
 // old term, and those that were fenced but not attached. Any instance may do so at
 // any time: the calls are idempotent, carry the term, and name a primary that
 // reported its own role.
@@ -71,7 +71,7 @@
 	return attachments
 }
 
-// maxAttachDoublings limits how often the delay between tries doubles. Without the
+// maxAttachDoublings limits how often the delay between tries doubles. Without this
 // backoff, a member that rejects the call for a long time, such as one that is cut
 // off only from its primary, would be dialed several times per second.
 const maxAttachDoublings = 4
--- a/internal/failover/attempt.go
+++ b/internal/failover/attempt.go
@@ -132,11 +132,11 @@
 	grace := a.claimer.Clock.NewTimer(a.claimer.Settings.SwitchGrace)
 	defer grace.Stop()
 	planned := a.claim.record.Cause.planned()
-	var all, others []fencedMember
+	var all, preferred []fencedMember
 	for {
 		switch {
-		case a.isQuorum(others):
-			return others, nil
+		case a.isQuorum(preferred):
+			return preferred, nil
 		case a.isQuorum(all) && !planned:
 			return all, nil
 		}
@@ -144,7 +144,7 @@
 		case f := <-a.fenced:
 			all = append(all, f)
 			if planned && !f.memberAttempt.avoid {
-				others = append(others, f)
+				preferred = append(preferred, f)
 			}
 		case <-grace.C:
 			planned = false
@@ -187,7 +187,7 @@
 		if s.Term == a.term && s.Primary == a.target && !s.ConfirmedAt.IsZero() || m.Failures > 0 {
 			return
 		}
-		// Attaching a replica does not signal a change of the view, so poll for it.
+		// The view signals no change when a replica attaches, so poll for it.
 		a.claimer.pause(ctx, attachPollInterval, changed)
 	}
 }
--- a/internal/failover/claim_test.go
+++ b/internal/failover/claim_test.go
@@ -60,9 +60,9 @@
 				if dead == nil {
 					x.t.Fatal("the step was not reached")
 				}
-				term, leading := x.primaries()
-				if len(leading) != 1 || term > 3 {
-					x.t.Fatalf("term %d, leading %v", term, leading)
+				term, primaries := x.primaries()
+				if len(primaries) != 1 || term > 3 {
+					x.t.Fatalf("term %d, primaries %v", term, primaries)
 				}
 				x.wantWritable(x.survivor(dead), "after")
 			})
@@ -70,8 +70,9 @@
 	}
 }
 
-// The same, but the claimer freezes at the step and resumes after five seconds, when
-// another instance has claimed the next term. What it does then must change nothing.
+// The primary is killed, and the instance that claims the next term freezes at one step of
+// the failover. It resumes after five seconds, when another instance has claimed the
+// following term. What it does then must change nothing.
 func TestClaimerFreezesAtEachStepAndThaws(t *testing.T) {
 	for _, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
@@ -89,13 +90,13 @@
 					x.t.Fatal("the step was not reached")
 				}
 				x.wantWritable(x.survivor(frozen), "while frozen")
-				term, leading := x.primaries()
+				term, primaries := x.primaries()
 				x.net.Thaw(frozen.ip)
 				close(thaw)
 				x.advance(5 * time.Second)
-				termAfter, leadingAfter := x.primaries()
-				if termAfter != term || len(leadingAfter) != 1 || leadingAfter[0] != leading[0] {
-					x.t.Errorf("term %d led by %v became %d led by %v", term, leading, termAfter, leadingAfter)
+				termAfter, primariesAfter := x.primaries()
+				if termAfter != term || len(primariesAfter) != 1 || primariesAfter[0] != primaries[0] {
+					x.t.Errorf("term %d with primaries %v became %d with primaries %v", term, primaries, termAfter, primariesAfter)
 				}
 				x.wantWritable(frozen, "thawed")
 			})
@@ -163,9 +164,9 @@
 		}
 		x.nodes[0].Kill()
 		x.advance(30 * time.Second)
-		term, leading := x.primaries()
+		term, primaries := x.primaries()
 		is.Equal(int(term), 1)
-		is.Equal(len(leading), 1) // the last state of the killed primary
+		is.Equal(len(primaries), 1) // the killed primary's last status
 		is.True(x.write(x.instances[1], "refused") != nil)
 		x.store.SetFaults(store.Faults{Delay: platformDelay})
 		x.advance(2 * time.Second)
@@ -176,16 +177,16 @@
 
 // The platform is slow when the primary is lost, slower than the timeout of a call:
 // answers arrive after the claimer gave up, but the updates still take effect.
-func TestPlatformSlowerThanItsBound(t *testing.T) {
+func TestPlatformSlowerThanCallTimeout(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		x.store.SetFaults(store.Faults{Delay: 700 * time.Millisecond})
 		x.nodes[0].Kill()
 		x.advance(5 * time.Second)
 		x.store.SetFaults(store.Faults{Delay: platformDelay})
 		x.advance(3 * time.Second)
-		_, leading := x.primaries()
-		if len(leading) != 1 {
-			x.t.Fatalf("leading %v", leading)
+		_, primaries := x.primaries()
+		if len(primaries) != 1 {
+			x.t.Fatalf("primaries %v", primaries)
 		}
 		x.wantWritable(x.instances[1], "k")
 	})
--- a/internal/failover/config.go
+++ b/internal/failover/config.go
@@ -16,7 +16,7 @@
 	// Self is this instance; only its ID and failure domain are used.
 	Self platform.Instance
 	// Instances returns the known instances that follow the group, this one included.
-	// The list may lag. Nil means this one alone.
+	// The list may be outdated. Nil means this one alone.
 	Instances func() []platform.Instance
 	View      View
 	Platform  platform.API
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -16,7 +16,7 @@
 	cause      Cause
 	causeSince time.Time
 	// termIncreases counts the increases of the term since the group was last stable.
-	// unstableAt is when the term last increased, its primary last missed a probe, or
+	// unstableAt is when the term last increased, a probe of its primary last failed, or
 	// it last had no primary.
 	termIncreases int
 	unstableAt    time.Time
@@ -69,7 +69,8 @@
 			wait += d.settings.StallTimeout * firstAttachFactor
 		}
 	case CauseLeaving:
-		// The primary still serves, so other ranks leave more time to the first-ranked instance.
+		// The primary still serves, so a claim is not urgent: a stagger ten times as long
+		// leaves the claim to the first-ranked instance.
 		wait *= 10
 	}
 	return assessment{cause: cause, since: since, due: since.Add(wait)}
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -23,9 +23,9 @@
 		healthy := lostSnapshot(term, time.Time{}, now)
 		detector.assess(now, healthy, 0)
 		lost := lostSnapshot(term, now, now)
-		v := detector.assess(now, lost, 0)
-		is.Equal(v.cause, CauseLost)
-		return v.due.Sub(now)
+		a := detector.assess(now, lost, 0)
+		is.Equal(a.cause, CauseLost)
+		return a.due.Sub(now)
 	}
 	is.Equal(detection(1, 0), settings.Detect)
 	is.Equal(detection(2, time.Second), 2*settings.Detect)
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// The same after a failover: the cut-off instance never hears from the new primary
-// itself, and must not conclude that the term has no primary.
+// An instance's link to the new primary is cut before the failover, so that this instance
+// never gets a report of the new primary. It must not conclude that the term has no primary.
 func TestOneCutLinkToANewPrimaryCausesNoFailover(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		x.nodes[0].Kill()
@@ -135,9 +135,9 @@
 		x.advance(5 * time.Second)
 		term, _ := x.primaries()
 		x.advance(30 * time.Second)
-		termAfter, leading := x.primaries()
-		if termAfter != term || len(leading) != 1 {
-			x.t.Errorf("term %d became %d, leading %v", term, termAfter, leading)
+		termAfter, primaries := x.primaries()
+		if termAfter != term || len(primaries) != 1 {
+			x.t.Errorf("term %d became %d, primaries %v", term, termAfter, primaries)
 		}
 	})
 }
@@ -159,8 +159,9 @@
 	}
 }
 
-// A replica has a longer tail from an older term. The shorter log of the newer
-// term must win: the tail was never acknowledged, and must be dropped.
+// A replica has a longer log, with a tail from an older term. The member with the shorter
+// log of the newer term must be promoted: the tail was never acknowledged, and must be
+// dropped.
 func TestLongerTailOfAnOlderTermIsDiscarded(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -235,26 +235,26 @@
 // are primary in it.
 func (x *cluster) primaries() (logpos.Term, []int) {
 	var highest logpos.Term
-	var leading []int
+	var primaries []int
 	for _, n := range x.nodes {
 		highest = max(highest, n.Status().Entered)
 	}
 	for k, n := range x.nodes {
 		if s := n.Status(); s.Role == member.RolePrimary && s.Entered == highest {
-			leading = append(leading, k)
+			primaries = append(primaries, k)
 		}
 	}
-	return highest, leading
+	return highest, primaries
 }
 
 // wantPrimary checks that there is one primary in the term, and returns it.
 func (x *cluster) wantPrimary(term logpos.Term) int {
 	x.t.Helper()
-	highest, leading := x.primaries()
-	if highest != term || len(leading) != 1 {
-		x.t.Fatalf("seed %d: term %d, leading %v; want term %d with one primary", x.seed, highest, leading, term)
+	highest, primaries := x.primaries()
+	if highest != term || len(primaries) != 1 {
+		x.t.Fatalf("seed %d: term %d, primaries %v; want term %d with one primary", x.seed, highest, primaries, term)
 	}
-	return leading[0]
+	return primaries[0]
 }
 
 // wantWritable checks that a write through the instance is acknowledged.
--- a/internal/failover/gap.go
+++ b/internal/failover/gap.go
@@ -6,7 +6,8 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Gap holds the duration of each phase of one failover, as measured by its claimer.
+// Gap holds the duration of each phase of one failover, as measured by its claimer. Each
+// phase begins when the previous one ends.
 type Gap struct {
 	Group   string
 	Term    logpos.Term
--- a/internal/failover/gap_test.go
+++ b/internal/failover/gap_test.go
@@ -27,8 +27,8 @@
 type gapCase struct {
 	name         string
 	breakPrimary func(x *cluster)
-	// median is the upper bound of the median; zero for the baseline.
-	median time.Duration
+	// maxMedian is the upper bound of the median gap; zero for the baseline.
+	maxMedian time.Duration
 	// lease is the length of the baseline's lease; zero for the design under test.
 	lease time.Duration
 }
@@ -41,9 +41,9 @@
 	kill := func(x *cluster) { x.nodes[0].Kill() }
 	cut := func(x *cluster) { x.cutDomain(0, x.net.Cut) }
 	for _, c := range []gapCase{
-		{name: "kill", breakPrimary: kill, median: maxMedianGap},
-		{name: "cut", breakPrimary: cut, median: maxMedianGap},
-		{name: "kill, claimer dies", median: maxP99Gap, breakPrimary: func(x *cluster) {
+		{name: "kill", breakPrimary: kill, maxMedian: maxMedianGap},
+		{name: "cut", breakPrimary: cut, maxMedian: maxMedianGap},
+		{name: "kill, claimer dies", maxMedian: maxP99Gap, breakPrimary: func(x *cluster) {
 			x.onFirstStep(failover.StepClaimed, x.killInstance)
 			kill(x)
 		}},
@@ -68,7 +68,7 @@
 		for _, name := range []string{"detect", "claim", "fence", "promote", "learn"} {
 			t.Logf("  %-18s p50=%v p99=%v", name, percentile(phases[name], 50), percentile(phases[name], 99))
 		}
-		if c.lease == 0 && (percentile(gaps, 50) > c.median || percentile(gaps, 99) > maxP99Gap) {
+		if c.lease == 0 && (percentile(gaps, 50) > c.maxMedian || percentile(gaps, 99) > maxP99Gap) {
 			t.Errorf("%s: gap too long: %v", c.name, gaps)
 		}
 	}
--- a/internal/failover/groupsize_test.go
+++ b/internal/failover/groupsize_test.go
@@ -30,7 +30,7 @@
 			x.advance(2 * time.Second)
 			p := x.wantPrimary(2)
 			if p == 0 || p == ahead {
-				x.t.Errorf("member %d leads", p)
+				x.t.Errorf("member %d is primary", p)
 			}
 			for k, n := range x.nodes {
 				n.SetReplicationLag(replicationLag)
--- a/internal/failover/metrics.go
+++ b/internal/failover/metrics.go
@@ -13,7 +13,10 @@
 	attaches *prometheus.CounterVec
 }
 
-// Values of the outcome label.
+// Values of the outcome label. A claim is refused if other failure domains reach the primary
+// or the cause no longer applies, lost if the term was granted to another claim, rival if
+// another claim has not expired yet, and unavailable after any other error. A won claim is
+// counted again as done or abandoned when its attempt ends. Attaches are done or abandoned.
 const (
 	outcomeWon         = "won"
 	outcomeLost        = "lost"
--- a/internal/failover/monitor.go
+++ b/internal/failover/monitor.go
@@ -19,8 +19,8 @@
 	detector failureDetector
 	rival    rivalClaim
 	backoff  backoff
-	// holdUntil is the time before which no claim is made.
-	holdUntil time.Time
+	// earliestClaim is the time before which no claim is made.
+	earliestClaim time.Time
 }
 
 func newPrimaryMonitor(c *Claimer) *primaryMonitor {
@@ -38,8 +38,8 @@
 		now, s := m.claimer.Clock.Now(), m.claimer.View.Snapshot()
 		a := m.detector.assess(now, s, m.claimer.rank(s))
 		due := a.due
-		if due.Before(m.holdUntil) {
-			due = m.holdUntil
+		if due.Before(m.earliestClaim) {
+			due = m.earliestClaim
 		}
 		switch {
 		case a.cause == CauseNone:
@@ -59,7 +59,7 @@
 	c.callHook(StepSuspected)
 	if !a.cause.planned() && !m.lossConfirmed(ctx, s) {
 		c.Metrics.countClaim(a.cause, outcomeRefused)
-		m.holdFor(c.Settings.MinBackoff)
+		m.delayClaims(c.Settings.MinBackoff)
 		return
 	}
 	c.callHook(StepWitnessed)
@@ -78,14 +78,14 @@
 	if err := newAttempt(c, won, s).run(ctx, &gap); err != nil {
 		c.log.Warn("Claimed term was left.", "term", won.record.Term, "error", err)
 		c.Metrics.countClaim(a.cause, outcomeAbandoned)
-		m.holdFor(m.backoff.nextDelay())
+		m.delayClaims(m.backoff.nextDelay())
 		return
 	}
 	c.Metrics.countClaim(a.cause, outcomeDone)
 	m.backoff.reset()
 	m.reportGap(gap)
 	if a.cause.planned() && gap.Primary == s.Primary {
-		m.holdFor(c.Settings.SwitchCooldown)
+		m.delayClaims(c.Settings.SwitchCooldown)
 	}
 }
 
@@ -107,21 +107,21 @@
 	switch {
 	case errors.Is(err, ErrRivalClaim):
 		outcome = outcomeRival
-		m.holdUntil = m.rival.deadline
+		m.earliestClaim = m.rival.deadline
 	case errors.Is(err, ErrLostClaim):
 		outcome = outcomeLost
-		m.holdFor(m.claimer.Settings.MinBackoff)
+		m.delayClaims(m.claimer.Settings.MinBackoff)
 	case errors.Is(err, errRecovered):
 		outcome = outcomeRefused
-		m.holdFor(m.claimer.Settings.MinBackoff)
+		m.delayClaims(m.claimer.Settings.MinBackoff)
 	default:
 		m.claimer.log.Warn("Claim failed.", "error", err)
-		m.holdFor(m.backoff.nextDelay())
+		m.delayClaims(m.backoff.nextDelay())
 	}
 	m.claimer.Metrics.countClaim(a.cause, outcome)
 }
 
-func (m *primaryMonitor) holdFor(d time.Duration) { m.holdUntil = m.claimer.Clock.Now().Add(d) }
+func (m *primaryMonitor) delayClaims(d time.Duration) { m.earliestClaim = m.claimer.Clock.Now().Add(d) }
 
 func (m *primaryMonitor) reportGap(gap Gap) {
 	m.claimer.Metrics.observeGap(gap)
--- a/internal/failover/peerwitness.go
+++ b/internal/failover/peerwitness.go
@@ -40,13 +40,13 @@
 // call may queue behind another one's dial to a peer that is cut off, and failover
 // must not wait for that.
 func (w *PeerWitness) Query(ctx context.Context, request WitnessRequest) []WitnessReport {
-	asked := w.choosePeers()
-	reports := make(chan WitnessReport, len(asked))
-	for _, i := range asked {
+	peers := w.choosePeers()
+	reports := make(chan WitnessReport, len(peers))
+	for _, i := range peers {
 		go func() { reports <- w.queryPeer(ctx, i, request) }()
 	}
 	var all []WitnessReport
-	for range asked {
+	for range peers {
 		select {
 		case report := <-reports:
 			all = append(all, report)
@@ -73,6 +73,7 @@
 	w.mu.Lock()
 	order := w.rand.Perm(len(instances))
 	w.mu.Unlock()
+	// The own domain counts as complete, so that none of its instances is chosen.
 	chosenPerDomain := map[string]int{w.self.FailureDomain: witnessesPerDomain}
 	var chosen []platform.Instance
 	for _, k := range order {
--- a/internal/failover/random_test.go
+++ b/internal/failover/random_test.go
@@ -45,13 +45,13 @@
 				stop()
 			}
 			x.advance(5 * time.Second)
-			term, leading := x.primaries()
-			if len(leading) != 1 {
-				x.t.Fatalf("seed %d: term %d, leading %v", s, term, leading)
+			term, primaries := x.primaries()
+			if len(primaries) != 1 {
+				x.t.Fatalf("seed %d: term %d, primaries %v", s, term, primaries)
 			}
 			for k, i := range x.instances {
 				x.wantWritable(i, "end-"+domain(k))
-				if k != leading[0] {
+				if k != primaries[0] {
 					x.wantAttached(k, term)
 				}
 			}
--- a/internal/failover/rank.go
+++ b/internal/failover/rank.go
@@ -18,8 +18,8 @@
 
 // rank returns the position of self among the instances, from 0, by rendezvous hash
 // over the group's name. Instances that are leaving, or that share the failure domain
-// of a failing primary, come last: they are the likeliest to be gone as well. The list
-// may lag; an instance that is not in it ranks after all others.
+// of a failing primary, come last: they are the most likely to fail as well. The list may
+// be outdated; an instance that is not in it ranks after all others.
 func rank(group, self, failingDomain string, instances []platform.Instance) int {
 	var list []rankedInstance
 	for _, i := range instances {
--- a/internal/failover/settings.go
+++ b/internal/failover/settings.go
@@ -4,13 +4,16 @@
 
 // Settings holds the timing parameters of failover. None of them affects safety.
 type Settings struct {
-	// Detect is how long probes on new connections must have failed.
+	// Detect is how long probes on new connections must have failed before the primary
+	// counts as lost.
 	Detect time.Duration
-	// StablePeriod is how long the term must not have increased and its primary must not
-	// have missed a probe before past term increases stop extending the detection time.
+	// StablePeriod is how long the group must have had a primary, without a term increase
+	// or a failed probe of it, before earlier term increases stop extending the detection
+	// time.
 	StablePeriod time.Duration
-	// MinFailures is how many of these probes must have failed. In a process that was
-	// paused, the probe in flight times out, but only that one; see group.Watcher.
+	// MinFailures is how many consecutive probes on new connections must have failed. After
+	// this process was paused, the probe in flight has timed out, but only that one; see
+	// group.Watcher.
 	MinFailures int
 	// Stagger is the delay between the starts of claimers of successive ranks.
 	Stagger time.Duration
--- a/internal/failover/slowness_test.go
+++ b/internal/failover/slowness_test.go
@@ -73,9 +73,9 @@
 			}
 		}
 		x.advance(30 * time.Second)
-		term, leading := x.primaries()
-		if term > 3 || len(leading) != 1 {
-			x.t.Errorf("term %d, leading %v", term, leading)
+		term, primaries := x.primaries()
+		if term > 3 || len(primaries) != 1 {
+			x.t.Errorf("term %d, primaries %v", term, primaries)
 		}
 		x.advance(2 * time.Minute)
 		if termAfter, _ := x.primaries(); termAfter != term {
@@ -88,23 +88,23 @@
 				}
 			}
 		}
-		x.nodes[leading[0]].Kill()
+		x.nodes[primaries[0]].Kill()
 		x.advance(30 * time.Second)
-		termAfter, leadingAfter := x.primaries()
-		if termAfter == term || len(leadingAfter) != 1 || leadingAfter[0] == leading[0] {
-			x.t.Errorf("the primary was killed in term %d; term %d is led by %v", term, termAfter, leadingAfter)
+		termAfter, primariesAfter := x.primaries()
+		if termAfter == term || len(primariesAfter) != 1 || primariesAfter[0] == primaries[0] {
+			x.t.Errorf("the primary was killed in term %d; term %d has primaries %v", term, termAfter, primariesAfter)
 		}
 	})
 }
 
 // The current primary is under a load that stops it for 400 ms each second. If it were
-// replaced immediately each time, the load and the stops would move to its successor
-// without end. After a few terms the group must keep its primary.
+// replaced immediately each time, the load and the stops would move to each successor in
+// turn. After a few terms the group must keep its primary.
 func TestStallingPrimariesDoNotDeposeEachOther(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		for range 50 {
-			_, leading := x.primaries()
-			for _, k := range leading {
+			_, primaries := x.primaries()
+			for _, k := range primaries {
 				x.net.Freeze(x.hosts[k])
 			}
 			x.advance(400 * time.Millisecond)
--- a/internal/failover/step.go
+++ b/internal/failover/step.go
@@ -3,7 +3,8 @@
 // Step is a point during a failover at which Config.Hook is called.
 type Step string
 
-// Steps of a failover, in order.
+// Steps of a failover, in order, except that StepRecorded and StepLearned are reached
+// concurrently.
 const (
 	StepSuspected Step = "suspected"
 	StepWitnessed Step = "witnessed"
--- a/internal/failover/witnessreport.go
+++ b/internal/failover/witnessreport.go
@@ -44,11 +44,10 @@
 )
 
 // observePrimary determines the state of the primary from the view, and rechecks the
-// members if their last answers are too old. The recheck is necessary where answers to
-// statements replace reports and in groups with little traffic: the primary may not have
-// answered anything for seconds. Without it, a claimer whose own link was cut would find
-// no witness that reaches the primary, and would replace a primary that serves every
-// other instance.
+// members if their last answers are too old. Where answers to statements replace reports,
+// and in groups with little traffic, this instance may have received nothing from the
+// primary for seconds. Without the recheck, a claimer whose own link was cut would find no witness that
+// reaches the primary, and would replace a primary that serves every other instance.
 func observePrimary(ctx context.Context, clk clock.Clock, v View, request WitnessRequest, detect time.Duration) PrimaryState {
 	started := clk.Now()
 	rechecked := false
@@ -77,10 +76,10 @@
 
 // primaryStateFrom determines the state of the primary from a snapshot and the times of
 // the members' last answers. The state is unknown if this instance has not seen the term,
-// or if it has heard nothing for longer than the detection time without a failed probe. It
-// is also unknown if the primary answers but too few members for a quorum do: this instance
-// may be cut off, together with the primary, from all other members.
-func primaryStateFrom(now time.Time, s *group.Snapshot, heardAt func(address string) time.Time, request WitnessRequest, detect time.Duration) PrimaryState {
+// or if the primary's last answer is older than the detection time and no probe of it has
+// failed yet. It is also unknown if the primary answers but too few members for a quorum do:
+// this instance may be cut off, together with the primary, from all other members.
+func primaryStateFrom(now time.Time, s *group.Snapshot, lastAnswerAt func(address string) time.Time, request WitnessRequest, detect time.Duration) PrimaryState {
 	if s.Term < request.Term || (s.Term == 0 && s.Primary == "") {
 		return PrimaryUnknown
 	}
@@ -88,10 +87,10 @@
 	if !known || m.Failures > 0 {
 		return PrimaryLost
 	}
-	heard := func(m group.MemberView) bool {
-		return m.Failing.IsZero() && now.Sub(heardAt(m.Address)) <= detect
+	answeredRecently := func(m group.MemberView) bool {
+		return m.Failing.IsZero() && now.Sub(lastAnswerAt(m.Address)) <= detect
 	}
-	if heard(m) && s.Enough(heard) {
+	if answeredRecently(m) && s.Enough(answeredRecently) {
 		return PrimaryAlive
 	}
 	return PrimaryUnknown
--- a/internal/failover/witnessreport_test.go
+++ b/internal/failover/witnessreport_test.go
@@ -15,17 +15,17 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-func TestAgreementCountsDomainsAndNotInstances(t *testing.T) {
+func TestMajorityReportsLossCountsDomains(t *testing.T) {
 	lost := func(d string) WitnessReport { return WitnessReport{d, PrimaryLost} }
 	alive := func(d string) WitnessReport { return WitnessReport{d, PrimaryAlive} }
-	none := func(d string) WitnessReport { return WitnessReport{d, PrimaryUnknown} }
+	unknown := func(d string) WitnessReport { return WitnessReport{d, PrimaryUnknown} }
 	for _, c := range []struct {
 		name    string
 		answers []WitnessReport
 		want    bool
 	}{
 		{"nobody answers", nil, true},
-		{"nobody can tell", []WitnessReport{none("b"), none("c")}, true},
+		{"nobody can tell", []WitnessReport{unknown("b"), unknown("c")}, true},
 		{"all agree", []WitnessReport{lost("b"), lost("c")}, true},
 		{"one cut link", []WitnessReport{alive("b"), alive("c")}, false},
 		{"one against one", []WitnessReport{alive("b")}, false},
@@ -47,14 +47,14 @@
 		m.Address = "p"
 		return &group.Snapshot{Term: 2, Primary: "p", Members: []group.MemberView{m}}
 	}
-	heardIn := func(s *group.Snapshot) func(string) time.Time {
+	lastAnswers := func(s *group.Snapshot) func(string) time.Time {
 		return func(address string) time.Time {
 			m, _ := s.Find(address)
 			return m.SeenAt
 		}
 	}
 	state := func(s *group.Snapshot, q WitnessRequest) PrimaryState {
-		return primaryStateFrom(now, s, heardIn(s), q, detect)
+		return primaryStateFrom(now, s, lastAnswers(s), q, detect)
 	}
 	fresh := snapshot(group.MemberView{SeenAt: now.Add(-detect)})
 	is.Equal(state(fresh, WitnessRequest{Term: 2}), PrimaryAlive)
@@ -74,11 +74,11 @@
 	now := time.Unix(1000, 0)
 	detect := 150 * time.Millisecond
 	s := &group.Snapshot{Term: 2, Primary: "p", Size: 3, Members: []group.MemberView{{Address: "p"}, {Address: "r"}, {Address: "q"}}}
-	heard := map[string]time.Time{"p": now}
-	heardAt := func(address string) time.Time { return heard[address] }
-	is.Equal(primaryStateFrom(now, s, heardAt, WitnessRequest{Term: 2}, detect), PrimaryUnknown)
-	heard["r"] = now.Add(-detect)
-	is.Equal(primaryStateFrom(now, s, heardAt, WitnessRequest{Term: 2}, detect), PrimaryAlive)
+	answeredAt := map[string]time.Time{"p": now}
+	lastAnswerAt := func(address string) time.Time { return answeredAt[address] }
+	is.Equal(primaryStateFrom(now, s, lastAnswerAt, WitnessRequest{Term: 2}, detect), PrimaryUnknown)
+	answeredAt["r"] = now.Add(-detect)
+	is.Equal(primaryStateFrom(now, s, lastAnswerAt, WitnessRequest{Term: 2}, detect), PrimaryAlive)
 }
 
 // idleView is the View of a group that has received no requests for minutes. Its members
@@ -88,8 +88,8 @@
 	snapshot    group.Snapshot
 	answerDelay time.Duration
 
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu         sync.Mutex
+	answeredAt map[string]time.Time
 }
 
 // Snapshot implements View.
@@ -99,28 +99,28 @@
 func (v *idleView) HeardAt(address string) time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.heard[address]
+	return v.answeredAt[address]
 }
 
 // Recheck implements View.
 func (v *idleView) Recheck(address string) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	time.AfterFunc(v.answerDelay, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.heard[address] = asked
+		v.answeredAt[address] = requestedAt
 	})
 }
 
 // One instance loses its link to the primary of a mostly idle group and queries its
-// witnesses, which have not heard from the primary for a long time. They recheck it and
+// witnesses, which the primary has not answered for a long time. They recheck it and
 // report it alive within the claimer's timeout. If it does not answer, they report it as
 // unknown.
 func TestWitnessRechecksStaleMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for answerDelay, want := range map[time.Duration]PrimaryState{5 * time.Millisecond: PrimaryAlive, time.Hour: PrimaryUnknown} {
-			v := &idleView{answerDelay: answerDelay, heard: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
+			v := &idleView{answerDelay: answerDelay, answeredAt: make(map[string]time.Time), snapshot: group.Snapshot{Term: 2, Primary: "p", Size: 3,
 				Members: []group.MemberView{{Address: "p"}, {Address: "r"}, {Address: "q"}}}}
 			start := time.Now()
 			is.Equal(observePrimary(t.Context(), clock.System{}, v, WitnessRequest{Term: 2}, 150*time.Millisecond), want)
@@ -161,11 +161,11 @@
 	list := []platform.Instance{
 		{ID: "i1", FailureDomain: "a"}, {ID: "i2", FailureDomain: "b"}, {ID: "i3", FailureDomain: "c", Leaving: true}, {ID: "i4", FailureDomain: "b"},
 	}
-	places := map[int]bool{}
+	ranks := map[int]bool{}
 	for _, i := range list {
-		places[rank("g", i.ID, "a", list)] = true
+		ranks[rank("g", i.ID, "a", list)] = true
 	}
-	is.Equal(len(places), len(list))
+	is.Equal(len(ranks), len(list))
 	is.True(rank("g", "i2", "a", list) < 2)
 	is.True(rank("g", "i4", "a", list) < 2)
 	is.Equal(rank("g", "unlisted", "", list), len(list))
--- a/internal/failover/writes_test.go
+++ b/internal/failover/writes_test.go
@@ -67,7 +67,7 @@
 	var raw net.Conn
 	cfg.DialFunc = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		if raw != nil {
-			return nil, errors.New("one dial is enough")
+			return nil, errors.New("unexpected second dial")
 		}
 		var err error
 		raw, err = i.network.Dial(ctx, address)
@@ -111,12 +111,12 @@
 // checkAcked fails the test if the primary lacks an acknowledged write.
 func (x *cluster) checkAcked() {
 	x.t.Helper()
-	_, leading := x.primaries()
-	if len(leading) != 1 {
-		x.t.Errorf("seed %d: primaries at the end: %v", x.seed, leading)
+	_, primaries := x.primaries()
+	if len(primaries) != 1 {
+		x.t.Errorf("seed %d: primaries at the end: %v", x.seed, primaries)
 		return
 	}
-	rows := x.nodes[leading[0]].Rows("kv")
+	rows := x.nodes[primaries[0]].Rows("kv")
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var lost []string
