--- a/internal/group/barrier.go
+++ b/internal/group/barrier.go
@@ -15,7 +15,7 @@
 func (w *Watcher) Barrier(ctx context.Context) (logpos.Mark, error) {
 	start := w.clock.Now()
 	mark, err := w.barrier(ctx)
-	w.metrics.barrier.WithLabelValues(w.group, outcome(err)).Observe(w.since(start))
+	w.metrics.barrier.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
 	return mark, err
 }
 
--- a/internal/group/confirm.go
+++ b/internal/group/confirm.go
@@ -18,15 +18,15 @@
 	return w.confirm(ctx, mark, true)
 }
 
-func (w *Watcher) confirm(ctx context.Context, mark logpos.Mark, commit bool) error {
+func (w *Watcher) confirm(ctx context.Context, mark logpos.Mark, isCommit bool) error {
 	start := w.clock.Now()
-	err := w.awaitConfirm(ctx, mark, commit)
-	w.metrics.confirm.WithLabelValues(w.group, outcome(err)).Observe(w.since(start))
+	err := w.awaitConfirm(ctx, mark, isCommit)
+	w.metrics.confirm.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
 	return err
 }
 
-func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.Mark, commit bool) error {
-	wt, err := w.startConfirm(mark, commit)
+func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.Mark, isCommit bool) error {
+	wt, err := w.startConfirm(mark, isCommit)
 	if err != nil || wt == nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 }
 
 // startConfirm returns nil without an error if there is nothing to wait for.
-func (w *Watcher) startConfirm(mark logpos.Mark, commit bool) (*waiter, error) {
+func (w *Watcher) startConfirm(mark logpos.Mark, isCommit bool) (*waiter, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// The mark was reported by a primary, so its term exists.
@@ -50,15 +50,15 @@
 		return nil, nil
 	}
 	wt := w.addWaiter(mark, true)
-	wt.commit = commit
+	wt.isCommit = isCommit
 	return wt, nil
 }
 
-func (w *Watcher) since(start time.Time) float64 {
+func (w *Watcher) secondsSince(start time.Time) float64 {
 	return w.clock.Now().Sub(start).Seconds()
 }
 
-// outcome is the metric label of an error: its result code, or ok.
+// outcome is the metric label of an error: ok if there is none, else its result code.
 func outcome(err error) string {
 	if err == nil {
 		return "ok"
--- a/internal/group/floor.go
+++ b/internal/group/floor.go
@@ -31,7 +31,7 @@
 func (w *Watcher) Floor(ctx context.Context) (logpos.Mark, error) {
 	start := w.clock.Now()
 	mark, err := w.awaitMark(ctx, w.startFloor())
-	w.metrics.floor.WithLabelValues(w.group, outcome(err)).Observe(w.since(start))
+	w.metrics.floor.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
 	return mark, err
 }
 
@@ -39,18 +39,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	wt := w.addWaiter(logpos.Mark{}, false)
-	wt.floor, wt.reported = true, make(map[uint64]logpos.Mark)
+	wt.isFloor, wt.reported = true, make(map[uint64]logpos.Mark)
 	return wt
 }
 
 // countFloorReport counts a member's report for a waiter for a floor.
 func (w *Watcher) countFloorReport(wt *waiter, p *poller, reported logpos.Mark) {
-	wt.reported[p.bit()] = highest(wt.reported[p.bit()], reported)
+	wt.reported[p.bit()] = combineHighest(wt.reported[p.bit()], reported)
 	w.completeFloor(wt)
 }
 
-// highest combines the higher term and the higher position of two marks.
-func highest(a, b logpos.Mark) logpos.Mark {
+// combineHighest returns the higher term and the higher position of two marks.
+func combineHighest(a, b logpos.Mark) logpos.Mark {
 	return logpos.Mark{Term: max(a.Term, b.Term), Position: max(a.Position, b.Position)}
 }
 
@@ -59,7 +59,7 @@
 	if !w.majorityFloorAllowed() {
 		return
 	}
-	mark, ok := w.floorOf(wt)
+	mark, ok := w.provenFloor(wt)
 	if !ok {
 		return
 	}
@@ -68,10 +68,10 @@
 	w.completeWaiter(wt, nil)
 }
 
-// floorOf returns the floor that the reports prove. If the replicas alone are a quorum,
+// provenFloor returns the floor that the reports prove. If the replicas alone are a quorum,
 // the primary's report is ignored: its log may extend past everything acknowledged, to a
 // position that no replica has.
-func (w *Watcher) floorOf(wt *waiter) (logpos.Mark, bool) {
+func (w *Watcher) provenFloor(wt *waiter) (logpos.Mark, bool) {
 	primary := w.primaryBit()
 	if mark, ok := w.highestReported(wt, func(bit uint64) bool { return bit != primary }); ok {
 		return mark, true
@@ -86,7 +86,7 @@
 	var set uint64
 	for bit, reported := range wt.reported {
 		if include(bit) {
-			mark = highest(mark, reported)
+			mark = combineHighest(mark, reported)
 			set |= bit
 		}
 	}
@@ -102,7 +102,7 @@
 
 // primaryBit identifies the primary in bit sets; zero if the primary is unknown.
 func (w *Watcher) primaryBit() uint64 {
-	if p := w.find(w.primary); p != nil {
+	if p := w.findPoller(w.primary); p != nil {
 		return p.bit()
 	}
 	return 0
@@ -111,7 +111,7 @@
 // floorNeedsReport reports whether a waiter for a floor needs a report of this member.
 func (w *Watcher) floorNeedsReport(p *poller) bool {
 	for wt := range w.waiters {
-		if _, done := wt.reported[p.bit()]; wt.floor && !done {
+		if _, done := wt.reported[p.bit()]; wt.isFloor && !done {
 			return w.majorityFloorAllowed()
 		}
 	}
--- a/internal/group/floor_test.go
+++ b/internal/group/floor_test.go
@@ -17,15 +17,15 @@
 		is.NoErr(x.w.Confirm(x.t.Context(), mark))
 		x.nodes[0].Stop()
 		x.advance(time.Second)
-		asked := time.Now()
+		requestedAt := time.Now()
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
 		floor, err := x.w.Floor(ctx)
 		is.NoErr(err)
 		is.True(!floor.Less(mark))
-		kept, ok := x.w.Proven(asked)
+		proven, ok := x.w.Proven(requestedAt)
 		is.True(ok)
-		is.Equal(kept, floor)
+		is.Equal(proven, floor)
 	})
 }
 
--- a/internal/group/floorterm_test.go
+++ b/internal/group/floorterm_test.go
@@ -22,11 +22,11 @@
 	w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 		Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
 	before := time.Now()
-	x := w.startFloor()
+	wt := w.startFloor()
 	for address, end := range map[string]logpos.Position{"b": 10, "c": 12} {
 		w.Observe(address, w.Ask(), member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: end}})
 	}
-	is.True(x.ended())
+	is.True(wt.ended())
 	mark, ok := w.Proven(before)
 	is.True(ok)
 	is.Equal(mark, logpos.Mark{Term: 1, Position: 12})
--- a/internal/group/intervals.go
+++ b/internal/group/intervals.go
@@ -6,7 +6,7 @@
 type Intervals struct {
 	// PrimaryPoll is the time between two samples of the primary.
 	PrimaryPoll time.Duration
-	// ReplicaPoll is the time between two reports of a replica that no waiter needs.
+	// ReplicaPoll is the time between two reports of a replica whose reports no waiter needs.
 	ReplicaPoll time.Duration
 	// FastPoll is the minimum time between two reports while no write can be confirmed in
 	// the term.
--- a/internal/group/members.go
+++ b/internal/group/members.go
@@ -25,7 +25,7 @@
 		return true
 	})
 	for _, m := range members {
-		if w.find(m.Address) == nil {
+		if w.findPoller(m.Address) == nil {
 			p := w.addPoller(m)
 			if w.startPoller != nil {
 				w.startPoller(p)
@@ -38,7 +38,7 @@
 	}
 	w.minSize = minSize
 	w.updateQuorum()
-	w.notify()
+	w.signalChange()
 	w.publishSnapshot()
 }
 
--- a/internal/group/observation.go
+++ b/internal/group/observation.go
@@ -6,9 +6,9 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Observation is what the answer to a caller's statement reveals about a member. It comes
-// at no extra cost, so members that serve statements do not need to be polled if their
-// answers include it.
+// Observation is what the answer to a caller's statement reveals about a member. It costs no
+// extra query, so a member whose answers include it is not polled while it serves
+// statements.
 type Observation struct {
 	// Log is the end of the member's log.
 	Log logpos.Mark
@@ -18,35 +18,35 @@
 }
 
 // Observed implements Tracker.
-func (w *Watcher) Observed(address string, t Ticket, s Observation) {
+func (w *Watcher) Observed(address string, t Ticket, o Observation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.find(address)
+	p := w.findPoller(address)
 	if p == nil {
 		return
 	}
-	p.observedAt = t.at
+	p.answeredStatementAt = t.at
 	p.recordRecovery()
-	if s.Committed {
-		w.advanceTerm(s.Log.Term)
+	if o.Committed {
+		w.advanceTerm(o.Log.Term)
 	}
-	if s.Log.Term != w.term {
+	if o.Log.Term != w.term {
 		return
 	}
 	switch {
-	case s.Committed:
-		p.ledTerm = max(p.ledTerm, s.Log.Term)
-		w.head = max(w.head, s.Log.Position)
-		w.samples.add(p.index, t, s.Log)
+	case o.Committed:
+		p.ledTerm = max(p.ledTerm, o.Log.Term)
+		w.primaryPosition = max(w.primaryPosition, o.Log.Position)
+		w.samples.add(p.index, t, o.Log)
 	case address != w.primary && p.ledTerm != w.term:
-		w.observedReplica(p, t, s.Log)
+		w.recordReplicaPosition(p, t, o.Log)
 	}
 }
 
-// observedReplica records a lower bound on a replica's log. A log that holds a commit of
-// the term proves that the commit came before any fencing of the replica, but not that the
-// replica has not been fenced since, so only waiters for a commit count it.
-func (w *Watcher) observedReplica(p *poller, t Ticket, log logpos.Mark) {
+// recordReplicaPosition records a lower bound on a replica's log. A log that holds a commit
+// of the term proves that the commit came before any fencing of the replica, but not that
+// the replica has not been fenced since, so only waiters for a commit count it.
+func (w *Watcher) recordReplicaPosition(p *poller, t Ticket, log logpos.Mark) {
 	if t.number > p.newestTicket && attached(p.view.Status, w.term) {
 		p.attachedAt = t.at
 		p.view.Status.Last = log
--- a/internal/group/observe.go
+++ b/internal/group/observe.go
@@ -13,7 +13,7 @@
 func (w *Watcher) Observe(address string, t Ticket, s member.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.find(address)
+	p := w.findPoller(address)
 	if p == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	w.metrics.termChanges.WithLabelValues(w.group).Inc()
 	w.samples.startTerm(w.isQuorum)
 	w.term, w.primary, w.termStart = term, "", 0
-	w.head = 0
+	w.primaryPosition = 0
 	// A promotion is in progress and will end soon.
 	w.searchingSince = time.Time{}
 	w.lastFloor = sample{}
@@ -69,7 +69,7 @@
 		p.wake()
 	}
 	w.failOlderTerms(term)
-	w.notify()
+	w.signalChange()
 }
 
 // updatePrimary sets or clears the primary according to the newest report of p's member.
@@ -84,10 +84,10 @@
 	case isPrimary && w.primary == "":
 		w.log.Info("Primary found.", "group", w.group, "term", w.term, "member", p.view.Address)
 		w.primary, w.termStart = p.view.Address, s.TermStart
-		w.notify()
+		w.signalChange()
 	case !isPrimary && w.primary == p.view.Address:
 		w.primary = ""
-		w.notify()
+		w.signalChange()
 	}
 }
 
@@ -150,7 +150,7 @@
 // at that time or later, reported themselves attached in the term.
 func (w *Watcher) confirmedAt() time.Time {
 	if w.quorum.requiredReplicas() == 0 {
-		if p := w.find(w.primary); p != nil {
+		if p := w.findPoller(w.primary); p != nil {
 			return p.view.SeenAt
 		}
 		return time.Time{}
--- a/internal/group/observe_test.go
+++ b/internal/group/observe_test.go
@@ -16,7 +16,7 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// newPassiveWatcher returns a watcher that queries nobody: the test passes in each report.
+// newPassiveWatcher returns a watcher that sends no queries: the test passes in each report.
 func newPassiveWatcher(members ...string) *group.Watcher {
 	var list []document.Member
 	for _, m := range members {
@@ -46,7 +46,7 @@
 // A replica answers a query and is fenced in the next term immediately afterwards. The
 // answer is still in transit when a read arrives and starts a barrier. The old answer must
 // not satisfy the barrier, because a newer primary may already have acknowledged writes.
-func TestReportAskedForBeforeTheBarrierDoesNotCount(t *testing.T) {
+func TestReportRequestedBeforeTheBarrierDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newPassiveWatcher("p", "r", "q")
--- a/internal/group/poller.go
+++ b/internal/group/poller.go
@@ -31,16 +31,16 @@
 	view MemberView
 	// newestTicket is the ticket number of the report in view.
 	newestTicket uint64
-	// askedAt is when the last query was sent, and observedAt is when the last statement
-	// was sent that the member answered. waitEndedEarly is set if the last wait for a
-	// position returned early without reaching it, and misses counts consecutive answers
-	// that did not reach a position that a waiter needs. connected is set if the last
-	// query was answered.
-	askedAt        time.Time
-	observedAt     time.Time
-	waitEndedEarly bool
-	misses         int
-	connected      bool
+	// queriedAt is when the last query was sent, and answeredStatementAt is when the last
+	// statement that the member answered was sent. waitEndedEarly is set if the last wait
+	// for a position returned early without reaching it, and misses counts consecutive
+	// answers that did not reach a position that a waiter needs. connected is set if the
+	// last query was answered.
+	queriedAt           time.Time
+	answeredStatementAt time.Time
+	waitEndedEarly      bool
+	misses              int
+	connected           bool
 	// busy is set if the last probe found the member overloaded, and busySince is when the
 	// current run of such probes began.
 	busy      bool
@@ -55,11 +55,11 @@
 	ledTerm logpos.Term
 	// freshPosition is the position that proved view.FreshAsOf.
 	freshPosition logpos.Position
-	// reconnect requests a new connection, and reconnectAt is when it was last set;
-	// cancelQuery cancels the query in flight.
-	reconnect   bool
-	reconnectAt time.Time
-	cancelQuery context.CancelFunc
+	// reconnectRequested is set if the next query must open a new connection, and
+	// reconnectRequestedAt is when it was last set. cancelQuery cancels the query in flight.
+	reconnectRequested   bool
+	reconnectRequestedAt time.Time
+	cancelQuery          context.CancelFunc
 	// stop ends run; nil before run was started.
 	stop context.CancelFunc
 }
@@ -86,7 +86,7 @@
 func (p *poller) run(ctx context.Context) {
 	defer p.disconnect()
 	for ctx.Err() == nil {
-		if p.takeReconnect() {
+		if p.clearReconnectRequest() {
 			p.disconnect()
 		}
 		q := p.nextQuery()
@@ -162,7 +162,7 @@
 func (p *poller) answeredSince(since time.Time) bool {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
-	return p.observedAt.After(since)
+	return p.answeredStatementAt.After(since)
 }
 
 // detectSilentConnection calls onSilence if a kept connection never answered while a new
@@ -213,16 +213,16 @@
 	}
 }
 
-func (p *poller) takeReconnect() bool {
+func (p *poller) clearReconnectRequest() bool {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
-	requested := p.reconnect
-	p.reconnect = false
+	requested := p.reconnectRequested
+	p.reconnectRequested = false
 	return requested
 }
 
 // beginQuery takes the ticket of a query. Only a query on the kept connection can be
-// cancelled; a query on a new connection is already the probe that reconnect requests.
+// cancelled; a query on a new connection is already the requested probe.
 func (p *poller) beginQuery(cancel context.CancelFunc, newConnection bool) Ticket {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
@@ -231,7 +231,7 @@
 	}
 	p.busy = false
 	t := p.w.newTicket()
-	p.askedAt = t.at
+	p.queriedAt = t.at
 	return t
 }
 
--- a/internal/group/polling_test.go
+++ b/internal/group/polling_test.go
@@ -142,11 +142,11 @@
 		start := time.Now()
 		is.NoErr(w.ConfirmCommit(context.Background(), markAt(200)))
 		is.True(time.Since(start) <= 12*time.Millisecond)
-		asked := members[lagging].queryCount()
+		queries := members[lagging].queryCount()
 		start = time.Now()
 		is.NoErr(w.ConfirmCommit(context.Background(), markAt(200)))
 		is.True(time.Since(start) <= 2*time.Millisecond)
-		is.Equal(members[lagging].queryCount(), asked)
+		is.Equal(members[lagging].queryCount(), queries)
 	})
 }
 
@@ -159,8 +159,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		is.True(w.ConfirmCommit(ctx, markAt(300)) != nil)
-		asked := members["r"].queryCount() + members["q"].queryCount() - before
-		is.True(asked < 60)
+		queries := members["r"].queryCount() + members["q"].queryCount() - before
+		is.True(queries < 60)
 	})
 }
 
@@ -205,8 +205,8 @@
 	})
 }
 
-// The primary is lost, and another instance promotes a replica. This instance took no part
-// in the promotion, and it polls its replicas rarely. It must still learn of the new
+// The primary is lost, and another instance promotes a replica. This instance is not
+// involved in the promotion, and it polls the replicas rarely. It must still learn of the new
 // primary within tens of milliseconds; otherwise its callers are refused for another
 // second.
 func TestNewPrimaryIsLearnedByOtherInstances(t *testing.T) {
--- a/internal/group/protocol_model_test.go
+++ b/internal/group/protocol_model_test.go
@@ -65,8 +65,8 @@
 )
 
 // runWalk takes steps until an invariant is violated, and returns the simulation.
-func runWalk(seed uint64, f fault, replaces bool, steps int) *sim {
-	x := newSim(seed, f, replaces)
+func runWalk(seed uint64, f fault, withReplacement bool, steps int) *sim {
+	x := newSim(seed, f, withReplacement)
 	for range steps {
 		x.step()
 		if x.violation != "" {
--- a/internal/group/protocol_sim_checks_test.go
+++ b/internal/group/protocol_sim_checks_test.go
@@ -19,19 +19,19 @@
 	term    logpos.Term
 	// current is set if the primary had not been replaced when the check began.
 	current bool
-	// asked is set once the primary has answered, and leads if it answered as the term's
-	// primary.
-	asked, leads bool
-	waiter       *waiter
+	// answered is set once the primary has answered the read, and answeredAsPrimary is set
+	// if it was primary of the term at that time.
+	answered, answeredAsPrimary bool
+	waiter                      *waiter
 }
 
 // commitWrite writes at a member that considers itself the primary.
 func (x *sim) commitWrite(i *simInstance, m *simMember) {
-	if !m.up || !m.primary || i.w.find(m.address) == nil || len(m.log) > 12 {
+	if !m.up || !m.isPrimary || i.w.findPoller(m.address) == nil || len(m.log) > 12 {
 		return
 	}
-	x.lastNumber++
-	e := entry{m.term, x.lastNumber}
+	x.lastEntryNumber++
+	e := entry{m.term, x.lastEntryNumber}
 	m.log = append(m.log, e)
 	w := &simWrite{entry: e, at: m}
 	x.writes = append(x.writes, w)
@@ -51,7 +51,7 @@
 	}
 	for _, m := range x.members {
 		if m.address == i.w.Snapshot().Primary {
-			x.checks = append(x.checks, &simCheck{primary: m, term: v.Term, current: x.leader == m, waiter: v.waiter})
+			x.checks = append(x.checks, &simCheck{primary: m, term: v.Term, current: x.primary == m, waiter: v.waiter})
 			x.logStep("%s verifies %s", i.name, m.address)
 		}
 	}
@@ -63,10 +63,10 @@
 		return
 	}
 	c := x.checks[x.rand.IntN(len(x.checks))]
-	if c.asked || !c.primary.up {
+	if c.answered || !c.primary.up {
 		return
 	}
-	c.asked, c.leads = true, c.primary.primary && c.primary.term == c.term || x.fault == faultRoleNotChecked
+	c.answered, c.answeredAsPrimary = true, c.primary.isPrimary && c.primary.term == c.term || x.fault == faultRoleNotChecked
 	x.logStep("%s answers a fresh read", c.primary.address)
 }
 
@@ -80,12 +80,12 @@
 		x.logStep("write %d is confirmed", w.entry.number)
 		// A write that a replaced primary accepted is confirmed only if a later primary
 		// has it.
-		if !holds(x.leader, w.entry) {
-			x.fail("write %d of %s is confirmed and the primary %s does not have it", w.entry.number, w.at.address, x.leader.address)
+		if !hasEntry(x.primary, w.entry) {
+			x.fail("write %d of %s is confirmed and the primary %s does not have it", w.entry.number, w.at.address, x.primary.address)
 		}
 	}
 	for _, c := range x.checks {
-		if c.leads && waiterEnded(c.waiter) && c.waiter.err == nil && !c.current {
+		if c.answeredAsPrimary && waiterEnded(c.waiter) && c.waiter.err == nil && !c.current {
 			x.fail("%s was verified after it had been replaced", c.primary.address)
 		}
 	}
--- a/internal/group/protocol_sim_claims_test.go
+++ b/internal/group/protocol_sim_claims_test.go
@@ -14,8 +14,8 @@
 	ended  bool
 }
 
-// beginClaim claims the next term. The store grants a term to one claim at a time, and the
-// next term only after the time limit of the last claim and of its orders has passed.
+// beginClaim claims the next term. The platform grants a term to one claim at a time, and
+// the next term only after the time limit of the last claim and of its orders has passed.
 func (x *sim) beginClaim(i *simInstance) {
 	s := i.w.Snapshot()
 	if s.Led == 0 || s.Led < x.term || x.claim != nil && !x.claim.ended {
@@ -39,8 +39,8 @@
 	}
 	switch {
 	case x.fault == faultUnfenced:
-	case m.primary:
-		m.primary, m.source = false, nil
+	case m.isPrimary:
+		m.isPrimary, m.source = false, nil
 		if c.term > m.term+1 && x.fault != faultOldPrimaryNotHeld {
 			m.heldFor = c.term
 		}
@@ -57,7 +57,7 @@
 	if c == nil || c.ended || c.target != nil || len(c.fenced) == 0 {
 		return
 	}
-	need := func(m MemberView) bool {
+	isFenced := func(m MemberView) bool {
 		for f := range c.fenced {
 			if f.address == m.Address {
 				return true
@@ -69,7 +69,7 @@
 	if x.fault == faultLeavingIgnored {
 		view = withoutLeaving(view)
 	}
-	if !view.Enough(need) && !(x.fault == faultFenceTooSmall && len(c.fenced) > 0) {
+	if !view.Enough(isFenced) && !(x.fault == faultFenceTooSmall && len(c.fenced) > 0) {
 		return
 	}
 	for m, log := range c.fenced {
@@ -93,7 +93,7 @@
 	return s
 }
 
-// promote executes an order.
+// promote executes a random promotion order.
 func (x *sim) promote() {
 	if len(x.promotionOrders) == 0 {
 		return
@@ -104,18 +104,18 @@
 	if x.claim != nil && x.claim.target == m {
 		x.claim.ended = true
 	}
-	if m.gone {
+	if m.removed {
 		return
 	}
-	if !m.up || m == x.leader {
+	if !m.up || m == x.primary {
 		return
 	}
 	x.term++
-	x.leader = m
-	m.primary, m.source, m.term, m.heldFor = true, nil, x.term, 0
+	x.primary = m
+	m.isPrimary, m.source, m.term, m.heldFor = true, nil, x.term, 0
 	x.logStep("%s becomes primary in term %d with %d records", m.address, x.term, len(m.log))
 	for _, w := range x.writes {
-		if w.confirmed && !holds(m, w.entry) {
+		if w.confirmed && !hasEntry(m, w.entry) {
 			x.fail("write %d was confirmed and %s does not have it", w.entry.number, m.address)
 		}
 	}
--- a/internal/group/protocol_sim_floors_test.go
+++ b/internal/group/protocol_sim_floors_test.go
@@ -89,7 +89,7 @@
 			f.mark, f.proven = reported, true
 		}
 	default:
-		f.mark, f.proven = f.by.w.floorOf(f.waiter)
+		f.mark, f.proven = f.by.w.provenFloor(f.waiter)
 	}
 	if f.proven && x.fault == faultFloorSingleMark {
 		f.mark = f.highestReported
@@ -110,7 +110,7 @@
 
 func (x *sim) checkFloor(f *simFloor, m *simMember) {
 	for _, e := range f.covered {
-		if !holds(m, e) {
+		if !hasEntry(m, e) {
 			x.fail("%s reads with the floor %v at %s, which lacks write %d", f.by.name, f.mark, m.address, e.number)
 		}
 	}
--- a/internal/group/protocol_sim_members_test.go
+++ b/internal/group/protocol_sim_members_test.go
@@ -16,17 +16,18 @@
 
 // simMember is a member that behaves as the line protocol specifies.
 type simMember struct {
-	address string
-	domain  string
-	up      bool
-	gone    bool
-	leaving bool
-	primary bool
-	// term is the highest term that the member has learned of, and heldFor the term that
-	// it is held for; zero while it receives records.
+	address   string
+	domain    string
+	up        bool
+	removed   bool
+	leaving   bool
+	isPrimary bool
+	// term is the highest term that the member has learned of. heldFor is set while a
+	// claim holds the member, that is, keeps it from receiving records: it is the claimed
+	// term, and zero otherwise.
 	term, heldFor logpos.Term
 	log           []entry
-	// source is the member that it receives from; nil if it knows no primary of its term.
+	// source is the member that it receives records from; nil if it knows no primary of its term.
 	source *simMember
 }
 
@@ -34,7 +35,7 @@
 func (m *simMember) status() member.Status {
 	s := member.Status{Entered: m.term, Last: m.mark(), Attached: m.term, Role: member.RoleReplica}
 	switch {
-	case m.primary:
+	case m.isPrimary:
 		s.Role = member.RolePrimary
 	case m.heldFor > m.term:
 		s.Role, s.Entered, s.Attached = member.RoleFenced, m.heldFor, 0
@@ -60,7 +61,7 @@
 func (x *sim) listed() []document.Member {
 	var list []document.Member
 	for _, m := range x.members {
-		if !m.gone {
+		if !m.removed {
 			list = append(list, document.Member{Address: m.address, FailureDomain: m.domain})
 		}
 	}
@@ -70,7 +71,7 @@
 // replicate copies the primary's next record to a replica.
 func (x *sim) replicate(m *simMember) {
 	s := m.source
-	if !m.up || m.primary || m.heldFor > m.term || s == nil || !s.up || !s.primary || s.term != m.term || len(m.log) >= len(s.log) {
+	if !m.up || m.isPrimary || m.heldFor > m.term || s == nil || !s.up || !s.isPrimary || s.term != m.term || len(m.log) >= len(s.log) {
 		return
 	}
 	m.log = append(m.log, s.log[len(m.log)])
@@ -80,7 +81,7 @@
 // query sends a query, or a caller's read, to a member. The member answers immediately,
 // and the answer is in transit until it is delivered.
 func (x *sim) query(i *simInstance, m *simMember) {
-	if !m.up || i.w.find(m.address) == nil {
+	if !m.up || i.w.findPoller(m.address) == nil {
 		return
 	}
 	r := simReport{address: m.address, ticket: i.w.Ask(), status: m.status()}
@@ -92,7 +93,7 @@
 	x.logStep("%s queries %s: %+v", i.name, m.address, r.status)
 }
 
-func holds(m *simMember, e entry) bool {
+func hasEntry(m *simMember, e entry) bool {
 	for _, o := range m.log {
 		if o == e {
 			return true
@@ -105,15 +106,15 @@
 // primary does not have; an old primary becomes a replica. A hold for a later term
 // persists.
 func (x *sim) learnTerm(m *simMember) {
-	if !m.up || m == x.leader || m.term >= x.term || !x.leader.up {
+	if !m.up || m == x.primary || m.term >= x.term || !x.primary.up {
 		return
 	}
 	if m.heldFor <= x.term || x.fault == faultNewsReleasesHold {
 		m.heldFor = 0
 	}
-	m.term, m.primary, m.source = x.term, false, x.leader
+	m.term, m.isPrimary, m.source = x.term, false, x.primary
 	common := 0
-	for common < len(m.log) && common < len(x.leader.log) && m.log[common] == x.leader.log[common] {
+	for common < len(m.log) && common < len(x.primary.log) && m.log[common] == x.primary.log[common] {
 		common++
 	}
 	m.log = m.log[:common:common]
@@ -132,7 +133,7 @@
 // forget it.
 func (x *sim) startMember() {
 	for _, m := range x.members {
-		if m.up || m.gone {
+		if m.up || m.removed {
 			continue
 		}
 		m.up = true
@@ -140,7 +141,7 @@
 			m.heldFor = 0
 		}
 		// A primary that was replaced restarts as a replica.
-		m.primary = m.primary && m == x.leader
+		m.isPrimary = m.isPrimary && m == x.primary
 		x.logStep("%s starts", m.address)
 		return
 	}
@@ -150,7 +151,7 @@
 func (x *sim) refreshMembers(i *simInstance) {
 	var leaving []string
 	for _, m := range x.members {
-		if m.leaving && !m.gone {
+		if m.leaving && !m.removed {
 			leaving = append(leaving, m.address)
 		}
 	}
@@ -170,23 +171,23 @@
 	switch {
 	case len(x.members) == 3:
 		m := x.addMember(old.domain)
-		m.term, m.source = x.leader.term, x.leader
+		m.term, m.source = x.primary.term, x.primary
 		x.logStep("%s joins as the successor of %s", m.address, old.address)
 	case !old.leaving:
 		old.leaving = true
 		x.logStep("%s is listed as leaving", old.address)
-	case !old.gone && old != x.leader && x.caughtUp(old):
-		old.gone, old.up = true, false
+	case !old.removed && old != x.primary && x.readyForRemoval(old):
+		old.removed, old.up = true, false
 		x.logStep("%s is removed", old.address)
 	}
 }
 
-// caughtUp reports whether the successor has all records of the member and every instance
-// has seen that the member leaves.
-func (x *sim) caughtUp(old *simMember) bool {
+// readyForRemoval reports whether the leaving member can be removed: its successor has all
+// of its records, and every instance has seen that it leaves.
+func (x *sim) readyForRemoval(old *simMember) bool {
 	successor := x.members[3]
 	for _, e := range old.log {
-		if !holds(successor, e) {
+		if !hasEntry(successor, e) {
 			return false
 		}
 	}
--- a/internal/group/protocol_sim_test.go
+++ b/internal/group/protocol_sim_test.go
@@ -43,26 +43,26 @@
 	// with the end of their log, instead of the term of its last record. The specification
 	// leaves open which of the two they report.
 	memberTerms bool
-	leader      *simMember
+	primary     *simMember
 	term        logpos.Term
 	claim       *simClaim
 	// promotionOrders are promotions that the platform may still execute.
 	promotionOrders []*simMember
-	lastNumber      int
+	lastEntryNumber int
 	steps           []string
 	violation       string
 }
 
-func newSim(seed uint64, f fault, replaces bool) *sim {
-	x := &sim{rand: rand.New(rand.NewPCG(seed, 1)), fault: f, withReplacement: replaces, term: 1}
+func newSim(seed uint64, f fault, withReplacement bool) *sim {
+	x := &sim{rand: rand.New(rand.NewPCG(seed, 1)), fault: f, withReplacement: withReplacement, term: 1}
 	x.floorRand, x.memberTerms = rand.New(rand.NewPCG(seed, 2)), seed%4 >= 2
 	for i := range 3 {
 		x.addMember(string(rune('a' + i)))
 	}
-	x.leader = x.members[0]
-	x.leader.primary, x.leader.source = true, nil
+	x.primary = x.members[0]
+	x.primary.isPrimary, x.primary.source = true, nil
 	for _, m := range x.members[1:] {
-		m.source = x.leader
+		m.source = x.primary
 	}
 	for i := range 2 {
 		x.instances = append(x.instances, &simInstance{name: fmt.Sprintf("i%d", i), w: NewWatcher(Config{
--- a/internal/group/quorum.go
+++ b/internal/group/quorum.go
@@ -7,13 +7,13 @@
 // confirmed a position.
 //
 // A majority of the listed members is always sufficient. While one member leaves and its
-// successor in the same failure domain is already listed, a second kind of set is too: a
-// set of stable members, which are those of the other failure domains, that is a majority
-// of the group's size with one of those two left out of the count. Such a set is a
-// majority of the group before the successor joined and of the group after the leaving
-// member is gone, and it intersects every majority of the group with both members. Without this
-// rule, losing that one failure domain removes two of four members and with them every
-// majority.
+// successor in the same failure domain is already listed, the members of the other failure
+// domains are the stable ones, and a set with enough of them is sufficient as well: a
+// majority of the group's size minus one, because the leaving member and its successor are
+// counted as one. Such a set is a majority of the group before the successor joined and of
+// the group after the leaving member is removed, and it intersects every majority of the
+// group that contains both. Without this rule, losing that one failure domain removes two
+// of four members and with them every majority.
 type quorum struct {
 	// size is the number of members that a majority is counted over.
 	size int
@@ -39,11 +39,11 @@
 		return q
 	}
 	successors := 0
-	for _, s := range members {
+	for _, m := range members {
 		switch {
-		case s.failureDomain != domain:
-			q.stable |= s.bit
-		case !s.leaving:
+		case m.failureDomain != domain:
+			q.stable |= m.bit
+		case !m.leaving:
 			successors++
 		}
 	}
@@ -60,9 +60,9 @@
 // or more than one leaves.
 func leavingDomain(members []quorumMember) (string, bool) {
 	domain, leaving := "", 0
-	for _, s := range members {
-		if s.leaving {
-			domain = s.failureDomain
+	for _, m := range members {
+		if m.leaving {
+			domain = m.failureDomain
 			leaving++
 		}
 	}
@@ -111,7 +111,7 @@
 		switch {
 		case wt.hasMark && w.confirmedBy(wt.holders):
 			w.completeWaiter(wt, nil)
-		case wt.floor:
+		case wt.isFloor:
 			w.completeFloor(wt)
 		}
 	}
@@ -126,7 +126,7 @@
 // withPrimary adds the primary, which holds every position that replicas are queried for.
 // A primary that is no longer listed is not added: quorums are counted without it.
 func (w *Watcher) withPrimary(replicas uint64) uint64 {
-	if p := w.find(w.primary); p != nil {
+	if p := w.findPoller(w.primary); p != nil {
 		return replicas | p.bit()
 	}
 	return replicas
--- a/internal/group/quorum_test.go
+++ b/internal/group/quorum_test.go
@@ -12,9 +12,9 @@
 }
 
 // listedOnly removes members that the list does not contain from a set.
-func (v memberList) listedOnly(set uint64) uint64 {
+func (l memberList) listedOnly(set uint64) uint64 {
 	var listed uint64
-	for _, s := range v {
+	for _, s := range l {
 		listed |= s.bit
 	}
 	return set & listed
@@ -24,25 +24,25 @@
 // after the other, each by a successor in the same failure domain: before, with the
 // successor, with the old member leaving, and without it.
 func sequentialReplacements(domains []string) []memberList {
-	var now memberList
+	var current memberList
 	next := 0
 	add := func(v memberList, domain string) memberList {
 		next++
 		return append(append(memberList(nil), v...), quorumMember{bit: 1 << (next - 1), failureDomain: domain})
 	}
 	for _, d := range domains {
-		now = add(now, d)
+		current = add(current, d)
 	}
-	views := []memberList{now}
+	views := []memberList{current}
 	for i := range domains {
-		joined := add(now, domains[i])
+		joined := add(current, domains[i])
 		leaving := append(memberList(nil), joined...)
 		leaving[0].leaving = true
 		// A view may also show the leaving member before its successor.
-		alone := append(memberList(nil), now...)
+		alone := append(memberList(nil), current...)
 		alone[0].leaving = true
-		now = append(memberList(nil), joined[1:]...)
-		views = append(views, alone, joined, leaving, now)
+		current = append(memberList(nil), joined[1:]...)
+		views = append(views, alone, joined, leaving, current)
 	}
 	return views
 }
@@ -72,11 +72,11 @@
 	return append(views, after)
 }
 
-// Members of a group are replaced one after the other, and instances see the steps at
-// different times. Wherever the majorities of two views intersect, all their quorums must
-// too: a set that the rule for replacements adds is never disjoint from a set that another
-// instance fences or confirms by.
-func TestQuorumsOfChangingGroupsMeet(t *testing.T) {
+// Members of a group are replaced one after the other or two at a time, and instances see
+// the steps at different times. Wherever the majorities of two views intersect, all their
+// quorums must too: a set that the rule for replacements adds is never disjoint from a set
+// with which another instance fences or confirms.
+func TestQuorumsOfChangingGroupsIntersect(t *testing.T) {
 	for name, domains := range map[string][]string{
 		"three domains":               {"a", "b", "c"},
 		"two members in one domain":   {"a", "a", "b"},
@@ -111,13 +111,13 @@
 
 // intersects reports whether every set that is a quorum under q, among the members of v,
 // intersects every set that is a quorum under r, among those of u. Bits are below n.
-func (v memberList) intersects(u memberList, q, r quorum, n int) bool {
+func (l memberList) intersects(other memberList, q, r quorum, n int) bool {
 	var first, second []uint64
 	for set := uint64(0); set < 1<<n; set++ {
-		if v.listedOnly(set) == set && q.satisfiedBy(set) {
+		if l.listedOnly(set) == set && q.satisfiedBy(set) {
 			first = append(first, set)
 		}
-		if u.listedOnly(set) == set && r.satisfiedBy(set) {
+		if other.listedOnly(set) == set && r.satisfiedBy(set) {
 			second = append(second, set)
 		}
 	}
@@ -135,14 +135,14 @@
 // leave must not count over two halves, so only a majority of all four is sufficient.
 func TestLeavingMemberWithoutSuccessorChangesNothing(t *testing.T) {
 	for leaving := range 4 {
-		var seats []quorumMember
+		var members []quorumMember
 		for i := range 4 {
-			seats = append(seats, quorumMember{bit: 1 << i, failureDomain: string(rune('a' + i)), leaving: i == leaving})
+			members = append(members, quorumMember{bit: 1 << i, failureDomain: string(rune('a' + i)), leaving: i == leaving})
 		}
 		for set := uint64(0); set < 1<<4; set++ {
-			q := newQuorum(seats, 3)
+			q := newQuorum(members, 3)
 			if q.satisfiedBy(set) != majorityOnly(q).satisfiedBy(set) {
-				t.Errorf("member %d leaves: set %b is judged differently", leaving, set)
+				t.Errorf("member %d leaves: set %b is evaluated differently", leaving, set)
 			}
 		}
 	}
--- a/internal/group/reachability.go
+++ b/internal/group/reachability.go
@@ -20,8 +20,8 @@
 		p.busySince = now
 	}
 	since := p.busySince
-	if p.observedAt.After(since) {
-		since = p.observedAt
+	if p.answeredStatementAt.After(since) {
+		since = p.answeredStatementAt
 	}
 	return now.Sub(since) > busyTimeout
 }
@@ -51,7 +51,7 @@
 	p.w.log.Info("Member answers again.", "group", p.w.group, "member", p.view.Address)
 	p.view.Failing, p.view.Failures, p.view.Refused = time.Time{}, 0, false
 	p.w.probeFailingMembers(p)
-	p.w.notify()
+	p.w.signalChange()
 }
 
 // probeFailingMembers probes all failing members immediately when one of them answers
@@ -59,15 +59,15 @@
 func (w *Watcher) probeFailingMembers(recovered *poller) {
 	for _, p := range w.pollers {
 		if p != recovered && !p.view.Failing.IsZero() {
-			p.askedAt = time.Time{}
+			p.queriedAt = time.Time{}
 			p.wake()
 		}
 	}
 }
 
 // searchForPrimary queries the other members when the primary fails. One of them may
-// already be primary, promoted by another instance, and their next polls may be seconds
-// off.
+// already be primary, promoted by another instance, and the next polls of the members may
+// be due only in seconds.
 func (w *Watcher) searchForPrimary(failing *poller) {
 	if failing.view.Address != w.primary {
 		return
@@ -91,6 +91,6 @@
 	}
 	p.view.Failures++
 	p.view.Refused = errors.Is(err, syscall.ECONNREFUSED)
-	p.w.notify()
+	p.w.signalChange()
 	p.w.publishSnapshot()
 }
--- a/internal/group/schedule.go
+++ b/internal/group/schedule.go
@@ -61,7 +61,7 @@
 func (p *poller) nextPrimaryQuery() query {
 	q := query{timeout: p.responseTimes.timeout(p.w.intervals.Probe)}
 	switch {
-	case p.w.barrierNeedsMark():
+	case p.w.primaryMarkNeeded():
 	case !p.w.stalledSince().IsZero():
 		// The primary may have died after its last answer while all callers wait for
 		// confirmations, so that no statement would detect it.
@@ -85,8 +85,8 @@
 	case p.w.writesImpossible():
 		q.delay = p.untilNextQuery(max(p.w.intervals.FastPoll, p.w.searchInterval()))
 	case !p.stalledAt.IsZero():
-		// A stall blocks writes and eventually counts against the primary. Without polls
-		// it would outlast its cause.
+		// A stall blocks writes and, if it lasts, causes a failover. Without polls it would
+		// continue here after the replica has caught up.
 		q.delay = p.untilNextQuery(min(p.w.intervals.ReplicaPoll, stalledPoll))
 	default:
 		q.delay = p.untilNextPoll(p.w.intervals.ReplicaPoll)
@@ -166,16 +166,16 @@
 // untilNextPoll is the time left until the member is polled while no waiter needs its
 // report. An answer to a statement carries the same information and counts as a poll.
 func (p *poller) untilNextPoll(interval time.Duration) time.Duration {
-	last := p.askedAt
-	if p.observedAt.After(last) {
-		last = p.observedAt
+	last := p.queriedAt
+	if p.answeredStatementAt.After(last) {
+		last = p.answeredStatementAt
 	}
 	return p.jitter(interval) - p.w.clock.Now().Sub(last)
 }
 
 // untilNextQuery is the time left of an interval that began at the last query.
 func (p *poller) untilNextQuery(interval time.Duration) time.Duration {
-	return interval - p.w.clock.Now().Sub(p.askedAt)
+	return interval - p.w.clock.Now().Sub(p.queriedAt)
 }
 
 func (p *poller) jitter(d time.Duration) time.Duration {
@@ -195,6 +195,6 @@
 // writesImpossible reports whether the term has no responding primary, or too few replicas
 // have reported themselves attached in it.
 func (w *Watcher) writesImpossible() bool {
-	p := w.find(w.primary)
+	p := w.findPoller(w.primary)
 	return p == nil || p.view.Failures > 0 || w.confirmedAt().IsZero()
 }
--- a/internal/group/search_test.go
+++ b/internal/group/search_test.go
@@ -21,16 +21,16 @@
 		is := is.New(t)
 		w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 			Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
-		asked := 0
-		var atFirst int
+		queries := 0
+		var earlyQueries int
 		for began := time.Now(); time.Since(began) < 7*time.Second; time.Sleep(w.searchInterval()) {
-			asked++
+			queries++
 			if time.Since(began) < 700*time.Millisecond {
-				atFirst = asked
+				earlyQueries = queries
 			}
 		}
-		is.True(atFirst >= 30)
+		is.True(earlyQueries >= 30)
 		// With the minimum interval throughout it would be 350.
-		is.True(asked < 120)
+		is.True(queries < 120)
 	})
 }
--- a/internal/group/stall.go
+++ b/internal/group/stall.go
@@ -15,17 +15,17 @@
 		return
 	}
 	if s.Role == member.RolePrimary {
-		w.head = max(w.head, s.Last.Position)
+		w.primaryPosition = max(w.primaryPosition, s.Last.Position)
 		return
 	}
-	progressed := s.Last.Position > p.highestPosition || s.Last.Position >= w.head
+	progressed := s.Last.Position > p.highestPosition || s.Last.Position >= w.primaryPosition
 	switch {
 	case attached(s, w.term) && progressed:
 		p.highestPosition, p.stalledAt = s.Last.Position, time.Time{}
 	case p.stalledAt.IsZero():
 		p.stalledAt = t.at
 		p.wake()
-		if primary := w.find(w.primary); primary != nil {
+		if primary := w.findPoller(w.primary); primary != nil {
 			primary.wake()
 		}
 	}
@@ -42,8 +42,7 @@
 		case !p.stalledAt.IsZero():
 			stalled = append(stalled, stalledReplica{p.stalledAt, p.bit()})
 		case !p.view.Failing.IsZero():
-			// The member's last report before it became unreachable says nothing about its
-			// current state.
+			// The member is unreachable; its last report does not show its current state.
 			stalled = append(stalled, stalledReplica{p.view.Failing, p.bit()})
 		case !p.attachedAt.IsZero():
 			progressing |= p.bit()
--- a/internal/group/unlistedprimary_test.go
+++ b/internal/group/unlistedprimary_test.go
@@ -35,16 +35,16 @@
 		w.Observe(address, w.Ask(), member.Status{Role: role, Entered: 1, Attached: 1, Last: mark})
 	}
 	report("m0", member.RolePrimary)
-	x, err := w.startConfirm(mark, true)
+	wt, err := w.startConfirm(mark, true)
 	is.NoErr(err)
 	report("m1", member.RoleReplica)
-	is.True(!waiterEnded(x)) // two of four
+	is.True(!waiterEnded(wt)) // two of four
 
 	w.SetMembers(listed("m1", "m2", "m3"), document.MinMembers)
-	is.True(!waiterEnded(x)) // one of three
+	is.True(!waiterEnded(wt)) // one of three
 	report("m1", member.RoleReplica)
-	is.True(!waiterEnded(x))
+	is.True(!waiterEnded(wt))
 	report("m2", member.RoleReplica)
-	is.True(waiterEnded(x))
-	is.NoErr(x.err)
+	is.True(waiterEnded(wt))
+	is.NoErr(wt.err)
 }
--- a/internal/group/waiter.go
+++ b/internal/group/waiter.go
@@ -16,14 +16,15 @@
 	// position.
 	hasMark bool
 	mark    logpos.Mark
-	// holders has one bit for each member that counts, by index.
+	// holders has one bit for each member known to hold the mark, by index.
 	holders uint64
-	// commit is set if the mark is that of a commit, which no other primary can produce: a
+	// isCommit is set if the mark is that of a commit, which no other primary can produce: a
 	// log that holds it proves it regardless of when the report was requested.
-	commit bool
-	// floor is set if reports of a majority also end the wait; reported is the highest
-	// mark that each member has reported since the wait began, keyed by the member's bit.
-	floor    bool
+	isCommit bool
+	// isFloor is set for a Floor, which the reports of a majority may complete as well.
+	// reported is the highest mark that each member has reported since the wait began,
+	// keyed by the member's bit.
+	isFloor  bool
 	reported map[uint64]logpos.Mark
 	// done is closed at the end, after err was set.
 	done chan struct{}
@@ -71,14 +72,14 @@
 		if !t.After(wt.ticket) {
 			continue
 		}
-		w.setBarrierMark(wt, s)
+		w.setMarkFromPrimary(wt, s)
 		if wt.hasMark && attached(s, wt.mark.Term) && s.Last.Position >= wt.mark.Position {
 			wt.holders |= p.bit()
 		}
 		if wt.hasMark && w.confirmedBy(wt.holders) {
 			w.completeWaiter(wt, nil)
 		}
-		if wt.floor && !wt.ended() {
+		if wt.isFloor && !wt.ended() {
 			w.countFloorReport(wt, p, s.Last)
 		}
 	}
@@ -98,7 +99,7 @@
 // holds.
 func (w *Watcher) countLogPosition(p *poller, log logpos.Mark) {
 	for wt := range w.waiters {
-		if !wt.commit || wt.mark.Term != log.Term || wt.mark.Position > log.Position {
+		if !wt.isCommit || wt.mark.Term != log.Term || wt.mark.Position > log.Position {
 			continue
 		}
 		wt.holders |= p.bit()
@@ -108,8 +109,8 @@
 	}
 }
 
-// wantedSince returns the start of the oldest wait that the member's position has not yet
-// satisfied; now if there is none.
+// wantedSince returns the start of the oldest wait for a mark that the member is not yet
+// known to hold; now if there is none.
 func (w *Watcher) wantedSince(p *poller) time.Time {
 	since := w.clock.Now()
 	for wt := range w.waiters {
@@ -120,8 +121,8 @@
 	return since
 }
 
-// setBarrierMark sets a barrier's mark from a report of the primary.
-func (w *Watcher) setBarrierMark(wt *waiter, s member.Status) {
+// setMarkFromPrimary sets the mark of a barrier or a floor from a report of the primary.
+func (w *Watcher) setMarkFromPrimary(wt *waiter, s member.Status) {
 	if wt.hasMark || s.Role != member.RolePrimary || s.Entered != w.term {
 		return
 	}
@@ -138,7 +139,7 @@
 	for wt := range w.waiters {
 		switch {
 		case !wt.hasMark || wt.mark.Term >= term:
-		case wt.floor:
+		case wt.isFloor:
 			wt.hasMark, wt.mark, wt.holders = false, logpos.Mark{}, 0
 		default:
 			w.completeWaiter(wt, result.New(result.PrimaryReplaced, "term %d was replaced by %d", wt.mark.Term, term))
@@ -161,9 +162,9 @@
 	return lowest, found
 }
 
-// barrierNeedsMark reports whether a barrier or a floor is waiting for the primary's
+// primaryMarkNeeded reports whether a barrier or a floor is waiting for the primary's
 // position.
-func (w *Watcher) barrierNeedsMark() bool {
+func (w *Watcher) primaryMarkNeeded() bool {
 	for wt := range w.waiters {
 		if !wt.hasMark {
 			return true
--- a/internal/group/walks_race_test.go
+++ b/internal/group/walks_race_test.go
@@ -2,6 +2,6 @@
 
 package group
 
-// defaultModelWalks is lower under the race detector: a walk has no second goroutine, so
-// the detector finds nothing there and makes it ten times slower.
+// defaultModelWalks is lower under the race detector, which makes a walk ten times slower
+// and finds nothing in it, because a walk has no second goroutine.
 const defaultModelWalks = 1500
--- a/internal/group/watcher.go
+++ b/internal/group/watcher.go
@@ -28,20 +28,20 @@
 	mu      sync.Mutex
 	rand    *rand.Rand
 	pollers []*poller
-	// quorum decides which sets of pollers' members are sufficient.
+	// quorum decides which sets of the members are sufficient.
 	quorum quorum
 	// minSize is Config.Size, dialer opens the pollers' connections, and startPoller
 	// starts a poller; startPoller is nil while the Watcher is not running.
 	minSize     int
 	dialer      member.Dialer
 	startPoller func(p *poller)
-	tickets     uint64
+	lastTicket  uint64
 	term        logpos.Term
 	primary     string
 	termStart   logpos.Position
 	ledTerm     logpos.Term
-	// head is the highest position that the primary has reported in the term.
-	head logpos.Position
+	// primaryPosition is the highest position that the primary has reported in the term.
+	primaryPosition logpos.Position
 	// searchingSince is when the search for a responding primary began; zero while there
 	// is one.
 	searchingSince time.Time
@@ -166,7 +166,7 @@
 	}
 	if changed {
 		w.updateQuorum()
-		w.notify()
+		w.signalChange()
 		w.publishSnapshot()
 	}
 }
@@ -176,17 +176,17 @@
 func (w *Watcher) ReportFailure(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.find(address)
+	p := w.findPoller(address)
 	if p == nil {
 		return
 	}
 	// Hundreds of statements fail together when a member dies or is overloaded. One new
 	// connection is enough to check the member; more would only add load.
 	now := w.clock.Now()
-	if now.Sub(p.view.SeenAt) < w.intervals.FastPoll || now.Sub(p.reconnectAt) < w.intervals.Wait {
+	if now.Sub(p.view.SeenAt) < w.intervals.FastPoll || now.Sub(p.reconnectRequestedAt) < w.intervals.Wait {
 		return
 	}
-	p.reconnect, p.reconnectAt = true, now
+	p.reconnectRequested, p.reconnectRequestedAt = true, now
 	if p.cancelQuery != nil {
 		p.cancelQuery()
 	}
@@ -197,11 +197,11 @@
 func (w *Watcher) Recheck(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.find(address)
-	if p == nil || w.clock.Now().Sub(p.askedAt) < w.intervals.FastPoll {
+	p := w.findPoller(address)
+	if p == nil || w.clock.Now().Sub(p.queriedAt) < w.intervals.FastPoll {
 		return
 	}
-	p.askedAt, p.observedAt = time.Time{}, time.Time{}
+	p.queriedAt, p.answeredStatementAt = time.Time{}, time.Time{}
 	p.wake()
 }
 
@@ -210,12 +210,12 @@
 func (w *Watcher) HeardAt(address string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.find(address)
+	p := w.findPoller(address)
 	switch {
 	case p == nil:
 		return time.Time{}
-	case p.observedAt.After(p.view.SeenAt):
-		return p.observedAt
+	case p.answeredStatementAt.After(p.view.SeenAt):
+		return p.answeredStatementAt
 	default:
 		return p.view.SeenAt
 	}
@@ -229,11 +229,11 @@
 }
 
 func (w *Watcher) newTicket() Ticket {
-	w.tickets++
-	return Ticket{number: w.tickets, at: w.clock.Now()}
+	w.lastTicket++
+	return Ticket{number: w.lastTicket, at: w.clock.Now()}
 }
 
-func (w *Watcher) find(address string) *poller {
+func (w *Watcher) findPoller(address string) *poller {
 	for _, p := range w.pollers {
 		if p.view.Address == address {
 			return p
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// notify wakes all receivers of Changes.
-func (w *Watcher) notify() {
+// signalChange wakes all receivers of Changes.
+func (w *Watcher) signalChange() {
 	close(w.changes)
 	w.changes = make(chan struct{})
 }
--- a/internal/group/watcher_test.go
+++ b/internal/group/watcher_test.go
@@ -119,7 +119,7 @@
 // The group is idle, so every replica has held the last position for some time. The
 // replicas are cut off from the watcher and another primary is promoted. A barrier must
 // not succeed based on reports from before it began.
-func TestBarrierNeedsReportsAskedForAfterIt(t *testing.T) {
+func TestBarrierNeedsReportsRequestedAfterIt(t *testing.T) {
 	withGroup(t, 3, func(x *fixture) {
 		is := is.New(x.t)
 		x.net.Cut(watcherIP, x.hosts[1])
