--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -25,7 +25,7 @@
 }
 
 // maxTimeoutDoublings limits how often the detection time doubles, once for each increase
-// of the term since the group was last stable. Load that makes a primary answer late
+// of the term since the group was last stable, and how often the takeover timeout does. Load that makes a primary answer late
 // makes its successor answer late as well; without more time after each increase, they
 // would depose each other for as long as the load lasts. A primary that is lost
 // after a stable period is detected without any extra delay.
