--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -5,8 +5,9 @@
 // before those that cannot. Each of the two groups is ordered by priority, then by the time
 // at which the answer is due, then by arrival. Every eighth slot granted from the queue
 // goes to the waiter of the same group that has waited longest, so that a low priority
-// keeps a small share under any load and the others lose no more than that share. Late
-// waiters get the slots that no waiter still within its objective needs.
+// keeps a small share under any load and the others lose no more than that share. Waiters
+// that cannot meet their objective any more (late waiters) get only the slots that the
+// others do not need.
 //
 // Lock order: Controller.mu is the only lock. Only the clock, the random source and the
 // metrics are called while it is held.
--- a/internal/admission/burst_test.go
+++ b/internal/admission/burst_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Three times the usual number of callers arrive for three seconds, half as many again as
-// the member can serve. In order of arrival, nearly every caller waits until it is late,
+// Three times the usual number of callers arrive for three seconds, 1.5 times as many as the
+// member can serve. Served in order of arrival, nearly every caller waits until it is late,
 // first in the member's queue, and so do callers that arrive for some time after the burst.
 // With objectives, the member answers most of what it can within the objective, and more of
 // the callers after the burst are in time as well.
--- a/internal/admission/clairvoyant_test.go
+++ b/internal/admission/clairvoyant_test.go
@@ -45,7 +45,8 @@
 }
 
 // Checks that the bounds of the burst and slow-member tests can be met: with all arrivals
-// known, from one second after each, as many callers are in time as those tests require.
+// known, as many callers are in time as those tests require, counted from one second after
+// the burst or the slowdown.
 // Any shortfall there is therefore caused by the gates.
 func TestClairvoyantScheduleMeetsTheBounds(t *testing.T) {
 	is := is.New(t)
--- a/internal/admission/class.go
+++ b/internal/admission/class.go
@@ -19,8 +19,9 @@
 	// holdTime is the moving average of the time from admission to release, over slots that
 	// transactions kept after the answer; zero before the first such slot.
 	holdTime time.Duration
-	// slowAverage is an average of the service time over more answers. unloadedTime is the
-	// lowest value it has had: the service time when the member is idle.
+	// slowAverage is a moving average of the service time over more answers than
+	// serviceTime. unloadedTime follows its lowest value, which estimates the service time
+	// when the member is idle.
 	slowAverage  time.Duration
 	unloadedTime time.Duration
 	answerCount  int
@@ -28,7 +29,7 @@
 	waitTime     prometheus.Observer
 }
 
-// movingAverage adds a sample to a moving average. An average of zero has no samples yet.
+// movingAverage adds a sample to a moving average. Zero means that it has no samples yet.
 func movingAverage(average, sample time.Duration) time.Duration {
 	if average == 0 {
 		return sample
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -34,10 +34,11 @@
 	return len(c.inUse) < c.slots && c.inFlight < c.concurrency.current()
 }
 
-// nextWaiter returns the waiter to serve next, or nil if there is none. The grants by
-// longest wait exist for waiters of low priority. Late waiters do not compete for them:
-// they have always waited longest, and each such grant would make a waiter late that can
-// still meet its objective.
+// nextWaiter returns the waiter to serve next, or nil if there is none. Every
+// longestWaitInterval-th grant goes to the waiter that has waited longest, so that low
+// priorities are served too. Late waiters get none of these grants while another waiter can
+// still meet its objective: they have always waited longest, and each such grant would make
+// the other waiter late.
 func (c *Controller) nextWaiter() *waiter {
 	items := c.queue.Items()
 	if len(items) == 0 {
@@ -91,8 +92,8 @@
 	s.notExecuted = true
 }
 
-// recordAnswer ends the time in flight of a slot's request and records its service time.
-// Only the first call for a slot has an effect.
+// recordAnswer stops counting a slot's request as in flight and records its service time,
+// unless the member did not execute it. Only the first call for a slot has an effect.
 func (c *Controller) recordAnswer(s *Slot) {
 	if s.answered {
 		return
--- a/internal/admission/enter.go
+++ b/internal/admission/enter.go
@@ -131,7 +131,7 @@
 }
 
 // cancelWait removes w from the queue, or releases its slot if it was granted one
-// meanwhile.
+// meanwhile. It returns the error for the caller.
 func (c *Controller) cancelWait(w *waiter) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admission/late.go
+++ b/internal/admission/late.go
@@ -7,11 +7,11 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// When a burst exceeds what the slots can serve in time, its queue outlives it. In order of
-// arrival every waiter in that queue would be answered slightly late, and so would every
-// request that arrives before the queue is empty. Waiters that can no longer meet their
-// objective therefore yield to those that can, and are refused as soon as they cannot meet
-// their deadline.
+// When a burst exceeds what the slots can serve in time, its queue outlives it. If requests
+// were served in order of arrival, every waiter in that queue would be answered slightly
+// late, and so would every request that arrives before the queue is empty. Waiters that can
+// no longer meet their objective therefore yield to those that can, and are refused as soon
+// as they cannot meet their deadline.
 
 // updateLateWaiters moves waiters that have become late behind the others, and refuses late
 // ones that cannot finish by their deadline. It is called with the lock held.
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -35,7 +35,7 @@
 	random     *rand.Rand
 
 	mu sync.Mutex
-	// completed counts the requests of a class that ended before their deadline.
+	// completed counts the requests that ended before their deadline, by class.
 	completed map[string]int
 	// waitTimes holds the time from arrival to admission of admitted requests, by class.
 	waitTimes map[string][]time.Duration
@@ -43,8 +43,8 @@
 	refusedAt map[result.Code][]time.Duration
 }
 
-// runLoad offers factor times the capacity, a tenth of it renewals, which is up to half of
-// the capacity, and returns the results.
+// runLoad offers factor times the capacity and returns the results. A tenth of the requests
+// are renewals; at the highest factor, five, they amount to half of the capacity.
 func runLoad(factor float64, requestTimeout time.Duration) *openLoad {
 	l := &openLoad{
 		controller: New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -38,10 +38,10 @@
 func (s *Slot) Release() { s.releaseOnce() }
 
 // remaining estimates how long the slot stays in use, from the average service time or,
-// after the answer, the average hold time of transactions. A slot in use for longer than
-// the average is assumed to stay in use for as long again as it exceeds it. If its release
-// were assumed to be imminent, requests would fill the queue of a stalled member instead of
-// being refused immediately.
+// after the answer, the average hold time of transactions. Once a slot has been in
+// use for longer than the average, it is assumed to need as much time again as it has
+// exceeded the average by. If its release were assumed to be imminent, requests would fill
+// the queue of a stalled member instead of being refused immediately.
 func (s *Slot) remaining(now time.Time) time.Duration {
 	average := s.class.serviceTime
 	if s.answered {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -65,7 +65,7 @@
 	return true
 }
 
-// expireTokens marks tokens that have been held for too long to be returned.
+// expireTokens moves tokens that have reached their lifetime to tokensToReturn.
 func (a *account) expireTokens(now time.Time) {
 	if a.tokens > 0 && !now.Before(a.expiresAt) {
 		a.tokensToReturn += a.tokens
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -47,8 +47,8 @@
 	is.Equal(frequent.tokensToPrefetch(end.Add(accountLifetime)), 0)
 }
 
-// Guards against asking a limiter that had no token again for each operation of a hot
-// workspace, and against never asking it again.
+// Guards against two faults: a limiter without tokens is asked again for each operation of a
+// hot workspace, or is never asked again.
 func TestRefusingLimiterIsNotAskedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/internal/quota/ask.go
+++ b/internal/quota/ask.go
@@ -29,7 +29,8 @@
 	return answer, nil
 }
 
-// markUnreachable excludes a limiter that did not answer for unreachableFor.
+// markUnreachable records that a limiter did not answer, so that it gets no requests for the
+// next unreachableFor.
 func (g *Guard) markUnreachable(ctx context.Context, l platform.Instance, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -55,8 +55,8 @@
 )
 
 // reserveRetry returns the retry-after for the next n refused callers. Each caller's retry time
-// is one token's refill time after the previous one's, so that callers do not retry together
-// and are refused again.
+// is one token's refill time after the previous one's, so that they do not all retry at
+// once, only to be refused again.
 func (b *bucket) reserveRetry(n int, now time.Time, s bucketSize) time.Duration {
 	if b.nextRetryAt.Before(now) {
 		b.nextRetryAt = now
--- a/internal/quota/delegator.go
+++ b/internal/quota/delegator.go
@@ -27,10 +27,10 @@
 // shareState is the limiter that a shard's share is delegated to, and until when.
 type shareState struct {
 	limiter string
-	// leaseEnd is when the latest lease ends at the latest, by this instance's clock.
+	// leaseEnd is the latest time, by this instance's clock, at which the newest lease can end.
 	leaseEnd time.Time
-	// freeSince is when the share became free; zero if a lease has reported the free time so
-	// far, in which case the share is free from leaseEnd on.
+	// freeSince is when the share became free; zero if the newest lease has already reported
+	// the free time before it, in which case the share is free from leaseEnd on.
 	freeSince time.Time
 }
 
@@ -52,9 +52,10 @@
 	return d
 }
 
-// endEarlierLeases frees the shares that an earlier process may have leased, and reports whether
-// it did, once every limiter of the failure domain has answered this process: a limiter that is
-// asked by a new process of an instance drops the lease of the earlier one.
+// endEarlierLeases frees the shares that an earlier process may have leased, if every limiter of
+// the failure domain has answered this process, and reports whether it did. A limiter drops the
+// lease of an instance's earlier process when it receives a request from a new one, so none of
+// those leases is valid by then.
 func (d *Delegator) endEarlierLeases(sameDomain []string, now time.Time) bool {
 	if d.earlierLeasesEnded || !now.Before(d.startedAt.Add(leaseDuration)) {
 		return false
@@ -84,8 +85,8 @@
 }
 
 // newLease creates a lease for a limiter, for the shards whose shares may be delegated to it;
-// nil if there is none or the limiter's clock is not known. limiterFor returns the assigned
-// limiter of a shard.
+// nil if there is none, or if the limiter's clock is not known or was read too long ago.
+// limiterFor returns the assigned limiter of a shard.
 func (d *Delegator) newLease(limiter string, shareCount int, limiterFor func(shard int) string, now time.Time) *lease {
 	c, ok := d.clocks[limiter]
 	if !ok || shareCount <= 0 {
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -38,7 +38,7 @@
 	byID         map[string]platform.Instance
 }
 
-// newAssignment selects the limiters. A failure domain has about as many as the square root of
+// newAssignment selects the limiters. Their number in a failure domain is about the square root of
 // the number of its instances: each instance then delegates to so few limiters that renewals
 // are cheap, and each limiter serves so few instances that its load stays small.
 func newAssignment(f Fleet) *assignment {
--- a/internal/quota/harness_test.go
+++ b/internal/quota/harness_test.go
@@ -195,8 +195,8 @@
 	return true
 }
 
-// startLoad begins operations of a workspace at a rate for a duration, at random instances
-// among those given, or among all.
+// startLoad begins operations of a workspace for a duration, at a rate per second. Each begins at
+// a random instance out of those given, or out of all if none is given.
 func (s *testSystem) startLoad(name string, rate float64, duration time.Duration, at ...int) *sync.WaitGroup {
 	s.seed++
 	r := rand.New(rand.NewPCG(s.seed, 2))
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// clockMicros returns the limiter's own clock, in microseconds since its start. It advances
-// while the process is paused.
+// clockMicros returns the limiter's own clock, in microseconds since its start. It also
+// advances while the process is paused.
 func (l *Limiter) clockMicros(now time.Time) int64 { return now.Sub(l.startedAt).Microseconds() }
 
 // handleRequest answers a request that arrived at now.
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -25,11 +25,11 @@
 	Until int64 `json:"u"`
 	// Sequence orders the leases of one process of the sender.
 	Sequence uint64 `json:"n"`
-	// ShareCount is into how many shares the sender divides each limit.
+	// ShareCount is the number of shares that the sender divides each limit into.
 	ShareCount int   `json:"c"`
 	Shards     []int `json:"s"`
-	// FreeMicros is for how long the share of a shard was not leased before this lease, in
-	// microseconds, by shard.
+	// FreeMicros is the time for which the share of a shard was not leased before this lease,
+	// in microseconds, by shard.
 	FreeMicros map[int]int64 `json:"i,omitempty"`
 }
 
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -235,8 +235,8 @@
 	}
 }
 
-// runOrder runs events in an order. Tokens are taken continuously, or only after the events if
-// idle.
+// runOrder runs the events at the indexes in order and returns the violation, if any. Tokens are
+// taken continuously, or only after the events if idle.
 func runOrder(events []event, order []int, l workspace.Limit, idle bool) string {
 	m := newModel(l)
 	m.delegateLimit()
@@ -256,7 +256,8 @@
 	return ""
 }
 
-// Guards against the same over long random runs, with delivery in reverse order.
+// Guards against the same fault in long random runs, in which pending messages are sometimes
+// delivered in reverse order.
 func TestModelOfLimitsRandom(t *testing.T) {
 	_ = flag.Set("rapid.seed", *modelSeed)
 	_ = flag.Set("rapid.checks", *modelRuns)
--- a/internal/quota/ownership.go
+++ b/internal/quota/ownership.go
@@ -5,7 +5,7 @@
 const (
 	// unlistedGrace is how long an instance that is no longer listed still counts as an owner
 	// of a share. The entries of a failure domain that is cut off are removed before its
-	// instances detect the cut, and these keep using their shares until cutOffGrace, which is
+	// instances detect the cut, and these keep using their shares for cutOffGrace, which is
 	// shorter.
 	unlistedGrace = 60 * time.Second
 	// cutOffGrace is how long an instance that is cut off from most members and instances keeps
@@ -18,7 +18,7 @@
 
 // Ownership determines from the list of instances into how many shares the limits are divided.
 //
-// If two instances count differently, the shares add up to more than the whole limit where the
+// If two instances count differently, the shares add up to more than the whole limit if the
 // lower count is wrong. An instance that is no longer listed is therefore counted for a while
 // longer, and a new one owns nothing until the others count it. Ownership does no I/O and is
 // not safe for concurrent use.
@@ -68,8 +68,8 @@
 	}
 }
 
-// ShareCount returns into how many shares each limit is divided, of which this instance owns
-// one; zero while it owns none.
+// ShareCount returns the number of shares that each limit is divided into, of which this instance
+// owns one; zero while it owns none.
 func (o *Ownership) ShareCount(now time.Time) int {
 	if o.ownsFrom.IsZero() || now.Before(o.ownsFrom) {
 		return 0
--- a/internal/quota/renew.go
+++ b/internal/quota/renew.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// renewalTimeout bounds a request to a limiter that no operation waits for.
+	// renewalTimeout bounds a request to a limiter while no operation waits for the answer.
 	renewalTimeout = 500 * time.Millisecond
 	// unreachableFor is how long a limiter that did not answer is not asked again.
 	unreachableFor = 2 * time.Second
@@ -81,8 +81,8 @@
 	return false
 }
 
-// removeUnusedAccounts removes the accounts of workspaces without operations. The caller holds
-// g.mu.
+// removeUnusedAccounts expires prefetched tokens and removes the accounts of workspaces without
+// operations. The caller holds g.mu.
 func (g *Guard) removeUnusedAccounts(now time.Time) {
 	for name, a := range g.accounts {
 		a.expireTokens(now)
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -14,9 +14,9 @@
 	tokenRequestTimeout = 100 * time.Millisecond
 	// unavailableRetryAfter is the retry-after if no limiter answered.
 	unavailableRetryAfter = 300 * time.Millisecond
-	// maxReturnDelay is how long after it was taken a token can be returned for an operation
-	// that did not run. The operations of a window exceed the limit by the tokens that were
-	// taken before it and returned in it.
+	// maxReturnDelay is the longest time between taking a token and returning it because its
+	// operation did not run. The operations that begin in a window can exceed the limit by the
+	// tokens that were taken before the window and returned in it.
 	maxReturnDelay = 150 * time.Millisecond
 )
 
@@ -67,8 +67,8 @@
 }
 
 // candidateLimiters returns the limiters that may have a token. The limiter that has this
-// instance's own share, or is assigned it, is the first; those of the other failure domains
-// follow.
+// instance's own share, or is assigned it, comes first, followed by those of the other failure
+// domains.
 func (g *Guard) candidateLimiters(w workspace.Workspace, now time.Time) []platform.Instance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,7 +123,8 @@
 }
 
 // newRefusal returns the error for a refused operation. Its retry-after is the earliest retry
-// time that a limiter gave, plus jitter so that the callers refused here do not retry at once.
+// time that a limiter gave, plus jitter so that the callers refused here do not all retry at the same
+// time.
 func (g *Guard) newRefusal(w workspace.Workspace, answered bool) *result.Error {
 	now := g.Clock.Now()
 	g.mu.Lock()
--- a/internal/quota/tolerance.go
+++ b/internal/quota/tolerance.go
@@ -28,13 +28,13 @@
 
 // The excess has three uses. A third adds to the depth of the buckets: a bucket that is divided
 // among failure domains is sometimes empty by chance when an undivided one is not. A third
-// bounds the prefetched tokens. The rest covers answers in flight, and shares that instances
-// count differently while new instances join.
+// bounds the prefetched tokens. The rest covers answers in flight, and share counts that
+// differ between instances while new instances join.
 const excessDivisor = 3
 
-// maxExtraDepth bounds what the excess adds to a bucket's depth, in operations. That much makes
-// up for chance in a small bucket; in a larger one the remainder is left for instances that
-// count differently.
+// maxExtraDepth bounds what the excess adds to a bucket's depth, in operations. This is enough to
+// absorb random variation in a small bucket. In a larger one, the remainder of the third is left
+// to cover share counts that differ between instances.
 const maxExtraDepth = 10
 
 // totalDepth returns how many tokens the buckets of all limiters can hold together.
--- a/internal/retry/attempt.go
+++ b/internal/retry/attempt.go
@@ -4,7 +4,7 @@
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	// Number is the number of the attempt, starting at 1.
+	// Number counts the attempts of a request, starting at 1.
 	Number int
 	Reason Reason
 	// RetryAfter is the minimum pause that the failure requested; it may be zero.
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// addTokens changes the number of tokens, up to the maximum.
+// addTokens adds tokens, up to the maximum. A negative number removes them.
 func (b *Budget) addTokens(tokens float64) {
 	b.tokens = min(b.tokens+tokens, b.cfg.Burst)
 	b.gauge.Set(b.tokens)
@@ -94,8 +94,9 @@
 	return max(time.Duration((1-b.tokens)/b.cfg.PerSecond*float64(time.Second)), time.Millisecond)
 }
 
-// backoff doubles from MinBackoff to MaxBackoff. Jitter between half of the value and the
-// whole value keeps callers that failed together from retrying together.
+// backoff returns the pause after a failed attempt. It doubles with each attempt, from
+// MinBackoff to MaxBackoff. Jitter between half of the value and the whole value keeps
+// callers that failed together from retrying together.
 func (b *Budget) backoff(number int) time.Duration {
 	d := b.cfg.MinBackoff
 	for i := 1; i < number && d < b.cfg.MaxBackoff; i++ {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -103,8 +103,8 @@
 }
 
 func TestIdleGroupEarnsRetriesOverTime(t *testing.T) {
-	// The budget is spent and the group has hardly any requests. After a second one retry
-	// is possible again.
+	// The budget is spent and the group has hardly any requests. After one second, one
+	// retry is possible again.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := fullBudget()
--- a/internal/retry/reason.go
+++ b/internal/retry/reason.go
@@ -16,7 +16,7 @@
 const (
 	// Unreachable: no connection to the member could be opened.
 	Unreachable Reason = "upstream_unreachable"
-	// Full: the connection limit of the member, or of the instance's share, was reached.
+	// Full: the member's connection limit, or this instance's share of it, was reached.
 	Full Reason = "too_many_connections"
 	// ConnectionLost: the connection was lost during a read.
 	ConnectionLost Reason = "connection_lost"
--- a/internal/routing/read.go
+++ b/internal/routing/read.go
@@ -30,7 +30,7 @@
 	// Load returns the number of this instance's statements that run at a member.
 	Load func(address string) int
 	// SpillToPrimary lets the primary answer if each replica runs at least this many more
-	// of the instance's statements. Zero keeps reads off the primary.
+	// of the instance's statements than the primary does. Zero keeps reads off the primary.
 	SpillToPrimary int
 	// Owner restricts the read to connections of this owner; empty if connections are
 	// shared. Reads of an owner prefer one replica, so that few connections serve many
@@ -42,13 +42,14 @@
 	Behind func(address string) bool
 }
 
-// Replica returns the member that suits r best, or false if no member may answer.
+// Replica returns the member with the best score for r, or false if no member may answer.
 //
-// Without an owner, the load decides first, then the failure domain, then chance. With an
-// owner, opening a connection counts as load, and a hash of the owner replaces failure
-// domain and chance: if owners used all replicas in turn, or all the nearest one, the
-// connections of other owners would be idle while owners wait for each other at one
-// replica.
+// Without an owner, the member with the lowest load is chosen. Ties are broken by failure
+// domain, then at random.
+// With an owner, opening a connection counts as load, and a hash of the owner replaces the
+// failure domain and the random choice: if each owner used all replicas in turn, or all
+// owners used the nearest replica, connections to the other replicas would be idle while
+// owners wait for each other at one replica.
 func Replica(s *group.Snapshot, r Read, random *rand.Rand) (group.MemberView, bool) {
 	var best group.MemberView
 	found := false
@@ -65,8 +66,8 @@
 	return best, found
 }
 
-// laggingPenalty is added to the load of a replica known to lag: a refused read costs a
-// round trip, but a long queue costs more.
+// laggingPenalty is added to the load of a replica known to lag, in halves of a statement:
+// a refused read costs a round trip, but a long queue costs more.
 const laggingPenalty = 8
 
 // tieBreakRange is the range of the lowest component of a score, which breaks ties. The
@@ -91,8 +92,8 @@
 	return s*tieBreakRange + r.tieBreak(m.Address, random)
 }
 
-// connectionOpenLoad is the load added for opening a connection, which takes a slot for
-// about as long as a statement does.
+// connectionOpenLoad is the load added for opening a connection, in halves of a statement.
+// Opening one takes a slot for about as long as a statement does.
 const connectionOpenLoad = 2
 
 // tieBreak ranks members whose scores are otherwise equal.
--- a/internal/session/state.go
+++ b/internal/session/state.go
@@ -119,5 +119,5 @@
 // UnsetAll removes all session values.
 func (s *State) UnsetAll() { s.values = nil }
 
-// Values returns the session's values. The caller must not modify them.
+// Values returns the session's values. The slice must not be modified.
 func (s *State) Values() []execution.Value { return s.values }
--- a/internal/waitlist/list.go
+++ b/internal/waitlist/list.go
@@ -45,8 +45,8 @@
 }
 
 // TakeWhere removes and returns the first n items for which match returns true, in order.
-// match is called in order and at most once for each item, and no longer once n items have
-// matched.
+// It calls match in order, at most once for each item, and stops calling it when n items
+// have matched.
 func (l *List[T]) TakeWhere(n int, match func(T) bool) []T {
 	var taken []T
 	l.items = slices.DeleteFunc(l.items, func(item T) bool {
--- a/internal/waitlist/signal.go
+++ b/internal/waitlist/signal.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Signal lets goroutines wait for a condition on state that a mutex guards. Callers of its
-// methods hold that mutex, except for Wait.
+// Signal lets goroutines wait for a condition on state that a mutex guards. All methods
+// except Wait require that mutex to be held.
 type Signal struct {
 	changed chan struct{}
 }
@@ -20,8 +20,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Wait returns nil once done returns true. It calls done with mu held, at first and after
-// each Notify. If ctx ends first, Wait returns the error of ctx.
+// Wait returns nil once done returns true. It calls done with mu held, once at the start and
+// after each Notify. If ctx ends first, Wait returns the error of ctx.
 func (s *Signal) Wait(ctx context.Context, mu *sync.Mutex, done func() bool) error {
 	for {
 		mu.Lock()
--- a/internal/workspace/table.go
+++ b/internal/workspace/table.go
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Find returns the workspace that has a key.
+// Find returns the workspace that the key belongs to.
 func (t *Table) Find(k KeyDigest) (Workspace, bool) {
 	if t == nil {
 		return Workspace{}, false
@@ -117,7 +117,7 @@
 	return w, ok
 }
 
-// Named returns the workspace with a name.
+// Named returns the workspace with the given name.
 func (t *Table) Named(name string) (Workspace, bool) {
 	if t == nil {
 		return Workspace{}, false
