--- a/internal/admission/burstload_test.go
+++ b/internal/admission/burstload_test.go
@@ -34,7 +34,8 @@
 	slowdown float64
 }
 
-// The replayed loads: the time before the overload, the overload, and the time after it.
+// The replayed loads: the time before the overload, the overload, and the time after it. Except
+// in lostReplicaPhases, the first second after the overload is a phase of its own.
 var (
 	burstPhases       = []phase{{5 * time.Second, 0.5, 1}, {3 * time.Second, 1.5, 1}, {time.Second, 0.5, 1}, {3 * time.Second, 0.5, 1}}
 	lostReplicaPhases = []phase{{5 * time.Second, 0.6, 1}, {10 * time.Second, 1.25, 1}, {3 * time.Second, 0.6, 1}}
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -39,9 +39,9 @@
 	limit      float64
 	// slowdown is the moving average of the ratio of service time to unloaded service time.
 	slowdown float64
-	// answersToDecrease is the number of answers to wait for before the limit may be
+	// answersUntilDecrease is the number of answers to wait for before the limit may be
 	// lowered again.
-	answersToDecrease int
+	answersUntilDecrease int
 }
 
 func newConcurrencyLimit(adaptive bool, upperBound int) concurrencyLimit {
@@ -73,11 +73,11 @@
 	}
 	slowdown := state.recordSlowdown(took)
 	l.slowdown += (slowdown - l.slowdown) / slowdownDivisor
-	l.answersToDecrease--
+	l.answersUntilDecrease--
 	switch {
-	case l.slowdown > targetSlowdown && l.answersToDecrease <= 0:
+	case l.slowdown > targetSlowdown && l.answersUntilDecrease <= 0:
 		l.limit = max(l.limit*max(targetSlowdown/l.slowdown, minDecreaseFactor), minConcurrency)
-		l.answersToDecrease = l.current()
+		l.answersUntilDecrease = l.current()
 	case l.slowdown < increaseBelow && inFlight >= l.current():
 		l.limit = min(l.limit+1/max(l.limit, 1), float64(l.upperBound))
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -24,11 +24,11 @@
 	slots int
 	inUse map[*Slot]struct{}
 	// inFlight counts the slots whose requests are not answered yet. concurrency bounds it.
-	inFlight    int
-	concurrency concurrencyLimit
-	classes     map[string]*class
-	queue       waitlist.List[*waiter]
-	arrivals    uint64
+	inFlight     int
+	concurrency  concurrencyLimit
+	classes      map[string]*class
+	queue        waitlist.List[*waiter]
+	arrivalCount uint64
 	// queuedGrants counts the slots granted to waiters from the queue.
 	queuedGrants uint64
 	draining     bool
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -72,7 +72,7 @@
 	c.inUse[s] = struct{}{}
 	c.inFlight++
 	w.class.admitted.Inc()
-	w.class.waitTime.Observe(now.Sub(w.arrived).Seconds())
+	w.class.waitTime.Observe(now.Sub(w.arrivedAt).Seconds())
 	w.grants <- grant{slot: s}
 	c.runningGauge.Set(float64(len(c.inUse)))
 }
--- a/internal/admission/enter.go
+++ b/internal/admission/enter.go
@@ -9,7 +9,7 @@
 
 // Enter implements Gate.
 func (c *Controller) Enter(ctx context.Context, r Request) (*Slot, error) {
-	w, err := c.enqueue(r)
+	w, err := c.admitOrEnqueue(r)
 	if err != nil {
 		return nil, err
 	}
@@ -18,7 +18,7 @@
 		return c.grantResult(g)
 	default:
 	}
-	timer := c.cfg.Clock.NewTimer(w.request.Deadline.Sub(w.arrived))
+	timer := c.cfg.Clock.NewTimer(w.request.Deadline.Sub(w.arrivedAt))
 	defer timer.Stop()
 	select {
 	case g := <-w.grants:
@@ -37,8 +37,8 @@
 	return g.slot, nil
 }
 
-// enqueue admits the request, queues it, or refuses it immediately.
-func (c *Controller) enqueue(r Request) (*waiter, error) {
+// admitOrEnqueue admits the request, queues it, or refuses it immediately.
+func (c *Controller) admitOrEnqueue(r Request) (*waiter, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.classState(r.Class)
@@ -69,8 +69,8 @@
 	if r.MaxQueue <= 0 {
 		r.MaxQueue = DefaultMaxQueue
 	}
-	c.arrivals++
-	w := &waiter{request: r, class: state, arrived: now, sequence: c.arrivals, grants: make(chan grant, 1)}
+	c.arrivalCount++
+	w := &waiter{request: r, class: state, arrivedAt: now, sequence: c.arrivalCount, grants: make(chan grant, 1)}
 	w.late = w.missesObjective(now)
 	return w
 }
@@ -85,7 +85,7 @@
 		return c.newRefusal(result.QueueFull, w.class, expected)
 	}
 	needed := expected + expected/waitMarginDivisor + w.class.serviceTime
-	if c.slots == 0 || w.arrived.Add(needed).After(w.request.Deadline) {
+	if c.slots == 0 || w.arrivedAt.Add(needed).After(w.request.Deadline) {
 		return c.newRefusal(result.DeadlineTooShort, w.class, expected)
 	}
 	return nil
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -39,19 +39,19 @@
 	completed map[string]int
 	// waitTimes holds the time from arrival to admission of admitted requests, by class.
 	waitTimes map[string][]time.Duration
-	// refusedAt holds the time from arrival to refusal, by result code.
-	refusedAt map[result.Code][]time.Duration
+	// refusalTimes holds the time from arrival to refusal, by result code.
+	refusalTimes map[result.Code][]time.Duration
 }
 
 // runLoad offers factor times the capacity and returns the results. A tenth of the requests
 // are renewals; at the highest factor, five, they amount to half of the capacity.
 func runLoad(factor float64, requestTimeout time.Duration) *openLoad {
 	l := &openLoad{
-		controller: New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
-		random:     rand.New(rand.NewPCG(5, 6)),
-		completed:  make(map[string]int),
-		waitTimes:  make(map[string][]time.Duration),
-		refusedAt:  make(map[result.Code][]time.Duration),
+		controller:   New(Config{Group: "contracts", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(3, 4)), Slots: loadSlots}),
+		random:       rand.New(rand.NewPCG(5, 6)),
+		completed:    make(map[string]int),
+		waitTimes:    make(map[string][]time.Duration),
+		refusalTimes: make(map[result.Code][]time.Duration),
 	}
 	var wg sync.WaitGroup
 	end := time.Now().Add(loadDuration)
@@ -78,7 +78,7 @@
 		e, _ := result.As(err)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.refusedAt[e.Code] = append(l.refusedAt[e.Code], waited)
+		l.refusalTimes[e.Code] = append(l.refusalTimes[e.Code], waited)
 		return
 	}
 	_ = clock.Sleep(context.Background(), clock.System{}, service)
@@ -120,11 +120,11 @@
 			l := runLoad(factor, timeout)
 			t.Logf("load %.0fx: goodput %.1f/s of peak %.1f/s, renewal p99 wait %v, lookup p99 wait %v, refused at once %d, in the queue %d",
 				factor, l.goodput(), peak, p99(l.waitTimes["renewal"]), p99(l.waitTimes["lookup"]),
-				len(l.refusedAt[result.DeadlineTooShort])+len(l.refusedAt[result.QueueFull]),
-				len(l.refusedAt[result.QueueTimeout]))
+				len(l.refusalTimes[result.DeadlineTooShort])+len(l.refusalTimes[result.QueueFull]),
+				len(l.refusalTimes[result.QueueTimeout]))
 			is.True(l.goodput() >= 0.9*peak)
-			is.Equal(p99(l.refusedAt[result.DeadlineTooShort]), time.Duration(0))
-			is.Equal(p99(l.refusedAt[result.QueueFull]), time.Duration(0))
+			is.Equal(p99(l.refusalTimes[result.DeadlineTooShort]), time.Duration(0))
+			is.Equal(p99(l.refusalTimes[result.QueueFull]), time.Duration(0))
 			is.True(p99(l.waitTimes["renewal"]) < 5*meanService)
 			is.True(len(l.waitTimes["lookup"]) > 0)
 		}
--- a/internal/admission/waiter.go
+++ b/internal/admission/waiter.go
@@ -14,10 +14,10 @@
 
 // waiter is a request that waits for a slot.
 type waiter struct {
-	request  Request
-	class    *class
-	arrived  time.Time
-	sequence uint64
+	request   Request
+	class     *class
+	arrivedAt time.Time
+	sequence  uint64
 	// late is set once the request can no longer be answered within its objective.
 	late bool
 	// grants receives exactly one grant when the controller removes the waiter from the
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against tokens that are used after their lifetime, in a later window.
-func TestHeldTokensExpire(t *testing.T) {
+func TestPrefetchedTokensExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	a := newAccount(now)
@@ -28,8 +28,8 @@
 	is.True(!a.takeToken(now.Add(prefetchLifetime)))
 }
 
-// The load pattern is a workspace with few operations at an instance, and one with many. Guards
-// against prefetched tokens for operations that do not come.
+// One workspace has few operations at an instance, and another has many. Guards against
+// prefetching tokens for operations that do not come.
 func TestPrefetchFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/internal/quota/delegator.go
+++ b/internal/quota/delegator.go
@@ -15,7 +15,7 @@
 type Delegator struct {
 	process      string
 	lastSequence uint64
-	shards       [shardCount]shareState
+	shares       [shardCount]shareState
 	// startedAt is when this process started. The leases of an earlier process end within
 	// leaseDuration of it, or are known to have ended when earlierLeasesEnded is set.
 	startedAt          time.Time
@@ -46,8 +46,8 @@
 // of the instance may have delegated its shares just before.
 func NewDelegator(process string, startedAt time.Time) *Delegator {
 	d := &Delegator{process: process, startedAt: startedAt, clocks: make(map[string]limiterClock)}
-	for i := range d.shards {
-		d.shards[i] = shareState{leaseEnd: startedAt.Add(leaseDuration), freeSince: startedAt.Add(leaseDuration)}
+	for i := range d.shares {
+		d.shares[i] = shareState{leaseEnd: startedAt.Add(leaseDuration), freeSince: startedAt.Add(leaseDuration)}
 	}
 	return d
 }
@@ -56,18 +56,18 @@
 // the failure domain has answered this process, and reports whether it did. A limiter drops the
 // lease of an instance's earlier process when it receives a request from a new one, so none of
 // those leases is valid by then.
-func (d *Delegator) endEarlierLeases(sameDomain []string, now time.Time) bool {
+func (d *Delegator) endEarlierLeases(limiterIDs []string, now time.Time) bool {
 	if d.earlierLeasesEnded || !now.Before(d.startedAt.Add(leaseDuration)) {
 		return false
 	}
-	for _, id := range sameDomain {
+	for _, id := range limiterIDs {
 		if _, answered := d.clocks[id]; !answered {
 			return false
 		}
 	}
-	d.earlierLeasesEnded = len(sameDomain) > 0
-	for shard := range d.shards {
-		if state := &d.shards[shard]; d.earlierLeasesEnded && state.limiter == "" {
+	d.earlierLeasesEnded = len(limiterIDs) > 0
+	for shard := range d.shares {
+		if state := &d.shares[shard]; d.earlierLeasesEnded && state.limiter == "" {
 			*state = shareState{leaseEnd: now, freeSince: now}
 		}
 	}
@@ -77,7 +77,7 @@
 // currentLimiter returns the limiter to ask for tokens of a shard: the one that holds a valid
 // lease, or else the assigned one.
 func (d *Delegator) currentLimiter(shard int, assigned string, now time.Time) string {
-	state := &d.shards[shard]
+	state := &d.shares[shard]
 	if state.limiter != "" && now.Before(state.leaseEnd) {
 		return state.limiter
 	}
@@ -99,8 +99,8 @@
 	}
 	d.lastSequence++
 	created := &lease{Process: c.process, Until: c.clock + leaseDuration.Microseconds(), Sequence: d.lastSequence, ShareCount: shareCount}
-	for shard := range d.shards {
-		state := &d.shards[shard]
+	for shard := range d.shares {
+		state := &d.shares[shard]
 		if limiterFor(shard) != limiter || state.limiter != limiter && now.Before(state.leaseEnd) {
 			continue
 		}
@@ -121,9 +121,9 @@
 
 // addFreeTime adds to a lease for how long the share of a shard was free.
 func (d *Delegator) addFreeTime(l *lease, shard int, now time.Time) {
-	since := d.shards[shard].freeSince
+	since := d.shares[shard].freeSince
 	if since.IsZero() {
-		since = d.shards[shard].leaseEnd
+		since = d.shares[shard].leaseEnd
 	}
 	if free := now.Sub(since); free > 0 {
 		if l.FreeMicros == nil {
@@ -149,8 +149,8 @@
 	if !known || previous.process == r.Process {
 		return
 	}
-	for shard := range d.shards {
-		state := &d.shards[shard]
+	for shard := range d.shares {
+		state := &d.shares[shard]
 		if state.limiter == limiter && now.Before(state.leaseEnd) {
 			*state = shareState{leaseEnd: now, freeSince: now}
 		}
@@ -163,8 +163,8 @@
 	if _, known := d.clocks[limiter]; !known {
 		return true
 	}
-	for shard := range d.shards {
-		state := d.shards[shard]
+	for shard := range d.shares {
+		state := d.shares[shard]
 		if limiterFor(shard) != limiter {
 			continue
 		}
@@ -182,8 +182,8 @@
 // last answer, so it is shortened by the time between that answer and its creation.
 const renewalMargin = 400 * time.Millisecond
 
-// assignedLimiters returns the distinct limiters that the shards are assigned to.
-func assignedLimiters(limiterFor func(shard int) string) []string {
+// assignedLimiterIDs returns the distinct IDs of the limiters that the shards are assigned to.
+func assignedLimiterIDs(limiterFor func(shard int) string) []string {
 	var all []string
 	for shard := range shardCount {
 		if id := limiterFor(shard); !slices.Contains(all, id) {
--- a/internal/quota/guard.go
+++ b/internal/quota/guard.go
@@ -20,9 +20,9 @@
 const (
 	// renewalInterval is the time between two checks of leases and accounts.
 	renewalInterval = 100 * time.Millisecond
-	// ownershipTicks is the number of checks after which the list of instances is read again even
-	// if no change was reported.
-	ownershipTicks = 50
+	// checksPerOwnershipUpdate is the number of checks after which the list of instances is
+	// read again even if no change was reported.
+	checksPerOwnershipUpdate = 50
 )
 
 // Config is the configuration of a Guard.
@@ -135,7 +135,7 @@
 		case <-timer.C:
 			timer.Reset(renewalInterval)
 		}
-		if n%ownershipTicks == 0 {
+		if n%checksPerOwnershipUpdate == 0 {
 			g.updateOwnership()
 		}
 		for _, l := range g.markDueLimiters() {
--- a/internal/quota/guard_test.go
+++ b/internal/quota/guard_test.go
@@ -33,9 +33,8 @@
 	return all
 }
 
-// The load pattern is normal load: the limit of every workspace is 1.6 times its rate, and
-// operations come to all instances equally. Guards against refusing operations below the
-// limits.
+// Normal load: the limit of every workspace is 1.6 times its rate of operations, which come to
+// all instances equally. Guards against refusing operations below the limits.
 func TestOperationsBelowLimitsAreNotRefused(t *testing.T) {
 	all := manyWorkspaces()
 	runWarmSystem(t, 3, 22, all, func(s *testSystem) {
@@ -57,8 +56,7 @@
 	})
 }
 
-// The load pattern is uneven: all callers of a workspace come to one failure domain, or to one
-// instance.
+// Uneven load: all callers of a workspace come to one failure domain, or to one instance.
 func TestUnevenlyDistributedCallersAreNotRefused(t *testing.T) {
 	w := limitedWorkspace("w", 24, 24)
 	runWarmSystem(t, 3, 22, []workspace.Workspace{w}, func(s *testSystem) {
@@ -69,7 +67,7 @@
 	})
 }
 
-// The load pattern is a workspace whose rate is five times its limit, at all instances.
+// Callers of a workspace request five times its limit, spread over all instances.
 func TestOverloadedWorkspaceGetsItsLimitAndNoMore(t *testing.T) {
 	for _, rate := range []float64{6, 174} {
 		w := limitedWorkspace("w", rate, rate)
@@ -114,8 +112,8 @@
 	})
 }
 
-// Guards against limiters whose failure or restart brings a burst, and against callers that are
-// all refused during that time.
+// Guards against a burst when limiters fail or restart, and against refusing all callers during
+// that time.
 func TestLimitersFailAndRestart(t *testing.T) {
 	w := limitedWorkspace("w", 60, 60)
 	runWarmSystem(t, 3, 5, []workspace.Workspace{w}, func(s *testSystem) {
@@ -158,9 +156,9 @@
 	})
 }
 
-// The load pattern is a restart of all instances: the processes know each other after a third
-// of a second, and the callers of many workspaces return at once. Guards against a first second
-// in which most operations are refused.
+// All instances restart. Their processes know each other after a third of a second, and the
+// callers of many workspaces return at once. Guards against a first second in which most
+// operations are refused.
 func TestFullRestartServesWithinASecond(t *testing.T) {
 	all := manyWorkspaces()
 	runWarmSystem(t, 3, 22, all, func(s *testSystem) {
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -14,9 +14,9 @@
 // removeExpiredLeases removes the leases that have ended. The tokens that accrued from them
 // since the buckets were last refilled are lost.
 func (l *Limiter) removeExpiredLeases(now time.Time) {
-	for instance, d := range l.leases {
+	for instance, d := range l.sharesByInstance {
 		if !d.expiresAt.After(now) {
-			delete(l.leases, instance)
+			delete(l.sharesByInstance, instance)
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	if offered.Process != l.process || offered.ShareCount <= 0 || !expiresAt.After(now) || expiresAt.Sub(now) > leaseDuration {
 		return
 	}
-	previous := l.leases[instance]
+	previous := l.sharesByInstance[instance]
 	if previous != nil && previous.process == process && previous.sequence > offered.Sequence {
 		return
 	}
@@ -44,7 +44,7 @@
 		// Refill before the share is added: it counts only from now on.
 		l.refillBuckets(now)
 	}
-	l.leases[instance] = accepted
+	l.sharesByInstance[instance] = accepted
 	l.grantInitialTokens(instance, accepted, now)
 	for shard, free := range offered.FreeMicros {
 		if shard >= 0 && shard < shardCount && accepted.shards[shard] {
@@ -98,10 +98,10 @@
 // refillBuckets refills all buckets up to now.
 func (l *Limiter) refillBuckets(now time.Time) {
 	table := l.workspaces.Workspaces()
-	for name, b := range l.buckets {
+	for name, b := range l.bucketsByWorkspace {
 		w, ok := table.Named(name)
 		if !ok {
-			delete(l.buckets, name)
+			delete(l.bucketsByWorkspace, name)
 			continue
 		}
 		b.refill(now, l.bucketSize(w))
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -28,10 +28,10 @@
 	tolerance  Tolerance
 	workspaces Workspaces
 
-	mu         sync.Mutex
-	leases     map[string]*delegatedShare
-	buckets    map[string]*bucket
-	prefetched map[string]map[string]prefetchedTokens
+	mu                   sync.Mutex
+	sharesByInstance     map[string]*delegatedShare
+	bucketsByWorkspace   map[string]*bucket
+	prefetchedByInstance map[string]map[string]prefetchedTokens
 	// initialized marks, by instance, the shards whose initial tokens have been granted.
 	initialized map[string]*[shardCount]bool
 }
@@ -41,10 +41,10 @@
 func NewLimiter(process string, startedAt time.Time, t Tolerance, w Workspaces) *Limiter {
 	return &Limiter{
 		process: process, startedAt: startedAt, tolerance: t, workspaces: w,
-		leases:      make(map[string]*delegatedShare),
-		buckets:     make(map[string]*bucket),
-		prefetched:  make(map[string]map[string]prefetchedTokens),
-		initialized: make(map[string]*[shardCount]bool),
+		sharesByInstance:     make(map[string]*delegatedShare),
+		bucketsByWorkspace:   make(map[string]*bucket),
+		prefetchedByInstance: make(map[string]map[string]prefetchedTokens),
+		initialized:          make(map[string]*[shardCount]bool),
 	}
 }
 
@@ -57,9 +57,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeExpiredLeases(now)
-	if d := l.leases[r.Instance]; d != nil && d.process != r.Process {
+	if d := l.sharesByInstance[r.Instance]; d != nil && d.process != r.Process {
 		// The instance has restarted: the lease of its earlier process is void.
-		delete(l.leases, r.Instance)
+		delete(l.sharesByInstance, r.Instance)
 	}
 	if r.Lease != nil {
 		l.acceptLease(r.Instance, r.Process, *r.Lease, now)
@@ -105,10 +105,10 @@
 
 // refilledBucket returns the bucket of a workspace, refilled up to now.
 func (l *Limiter) refilledBucket(w workspace.Workspace, now time.Time) *bucket {
-	b := l.buckets[w.Name]
+	b := l.bucketsByWorkspace[w.Name]
 	if b == nil {
 		b = &bucket{}
-		l.buckets[w.Name] = b
+		l.bucketsByWorkspace[w.Name] = b
 	}
 	b.refill(now, l.bucketSize(w))
 	return b
@@ -124,7 +124,7 @@
 func (l *Limiter) delegatedFraction(name string) float64 {
 	shard := shardOf(name)
 	fraction := 0.0
-	for _, d := range l.leases {
+	for _, d := range l.sharesByInstance {
 		if d.shards[shard] {
 			fraction += d.fraction
 		}
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -215,34 +215,34 @@
 // restarts.
 func TestModelOfLimitsExhaustive(t *testing.T) {
 	events := modelEvents()
-	order := make([]int, *modelDepth)
+	sequence := make([]int, *modelDepth)
 	for runs := 0; ; runs++ {
 		for n, l := range modelLimits {
-			if violation := runOrder(events, order, l, n > 0); violation != "" {
+			if violation := runSequence(events, sequence, l, n > 0); violation != "" {
 				t.Fatal(violation)
 			}
 		}
-		next := len(order) - 1
-		for next >= 0 && order[next] == len(events)-1 {
-			order[next] = 0
+		next := len(sequence) - 1
+		for next >= 0 && sequence[next] == len(events)-1 {
+			sequence[next] = 0
 			next--
 		}
 		if next < 0 {
 			t.Logf("%d runs", runs+1)
 			return
 		}
-		order[next]++
+		sequence[next]++
 	}
 }
 
-// runOrder runs the events at the indexes in order and returns the violation, if any. Tokens are
-// taken continuously, or only after the events if idle.
-func runOrder(events []event, order []int, l workspace.Limit, idle bool) string {
+// runSequence runs the events at the indexes in sequence and returns the violation, if any. Tokens
+// are taken continuously, or only after the events if idle.
+func runSequence(events []event, sequence []int, l workspace.Limit, idle bool) string {
 	m := newModel(l)
 	m.delegateLimit()
 	m.idle = idle
 	names := []string{fmt.Sprint("idle ", idle)}
-	for _, n := range order {
+	for _, n := range sequence {
 		m.applyEvent(events[n])
 		names = append(names, events[n].String())
 	}
--- a/internal/quota/ownership_test.go
+++ b/internal/quota/ownership_test.go
@@ -52,7 +52,7 @@
 }
 
 // Guards against an instance that is cut off and spends its share after the others have stopped
-// counting it, and against one that loses its share in a short cut.
+// counting it, and against one that loses its share when it is cut off only briefly.
 func TestInstanceCutOffForLongOwnsNothing(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/internal/quota/prefetch.go
+++ b/internal/quota/prefetch.go
@@ -17,13 +17,13 @@
 	if len(r.Prefetched) == 0 {
 		return
 	}
-	tokens := l.prefetched[r.Instance]
-	if tokens == nil {
-		tokens = make(map[string]prefetchedTokens)
-		l.prefetched[r.Instance] = tokens
+	byWorkspace := l.prefetchedByInstance[r.Instance]
+	if byWorkspace == nil {
+		byWorkspace = make(map[string]prefetchedTokens)
+		l.prefetchedByInstance[r.Instance] = byWorkspace
 	}
 	for name, n := range r.Prefetched {
-		tokens[name] = prefetchedTokens{tokens: n, expiresAt: now.Add(prefetchLifetime)}
+		byWorkspace[name] = prefetchedTokens{tokens: n, expiresAt: now.Add(prefetchLifetime)}
 	}
 }
 
@@ -31,27 +31,27 @@
 // together may hold.
 func (l *Limiter) grantPrefetch(instance string, w workspace.Workspace, n int, now time.Time) int {
 	outstanding := 0
-	for other, tokens := range l.prefetched {
-		h, ok := tokens[w.Name]
+	for other, byWorkspace := range l.prefetchedByInstance {
+		held, ok := byWorkspace[w.Name]
 		switch {
 		case !ok:
-		case !h.expiresAt.After(now):
-			delete(tokens, w.Name)
+		case !held.expiresAt.After(now):
+			delete(byWorkspace, w.Name)
 		default:
-			outstanding += h.tokens
+			outstanding += held.tokens
 		}
-		if len(tokens) == 0 {
-			delete(l.prefetched, other)
+		if len(byWorkspace) == 0 {
+			delete(l.prefetchedByInstance, other)
 		}
 	}
 	available := int(l.delegatedFraction(w.Name)*l.tolerance.maxPrefetched(w.Limit)) - outstanding
 	granted := l.refilledBucket(w, now).takeTokens(min(n, available))
 	if granted > 0 {
-		if l.prefetched[instance] == nil {
-			l.prefetched[instance] = make(map[string]prefetchedTokens)
+		if l.prefetchedByInstance[instance] == nil {
+			l.prefetchedByInstance[instance] = make(map[string]prefetchedTokens)
 		}
-		h := l.prefetched[instance][w.Name]
-		l.prefetched[instance][w.Name] = prefetchedTokens{tokens: h.tokens + granted, expiresAt: now.Add(prefetchLifetime)}
+		held := l.prefetchedByInstance[instance][w.Name]
+		l.prefetchedByInstance[instance][w.Name] = prefetchedTokens{tokens: held.tokens + granted, expiresAt: now.Add(prefetchLifetime)}
 	}
 	return granted
 }
--- a/internal/quota/renew.go
+++ b/internal/quota/renew.go
@@ -28,7 +28,7 @@
 	}
 	limiterFor := g.limiterByShard(now)
 	var due []platform.Instance
-	for _, id := range assignedLimiters(limiterFor) {
+	for _, id := range assignedLimiterIDs(limiterFor) {
 		if g.renewing[id] || !g.delegator.needsRequest(id, limiterFor, now) && !g.hasTokensToExchange(id, limiterFor, now) {
 			continue
 		}
@@ -51,12 +51,12 @@
 // limiterByShard returns a function that maps a shard to its limiter in this failure domain.
 // The caller holds g.mu.
 func (g *Guard) limiterByShard(now time.Time) func(shard int) string {
-	return func(shard int) string { return g.assignment.sameDomainLimiter(shard, g.unreachable(now)).ID }
+	return func(shard int) string { return g.assignment.sameDomainLimiter(shard, g.unreachableAt(now)).ID }
 }
 
-// sameDomainLimiters returns the IDs of the limiters in this failure domain. The caller holds
-// g.mu.
-func (g *Guard) sameDomainLimiters() []string {
+// sameDomainLimiterIDs returns the IDs of the limiters in this failure domain. Every shard ranks
+// the same limiters. The caller holds g.mu.
+func (g *Guard) sameDomainLimiterIDs() []string {
 	var ids []string
 	for _, i := range g.assignment.sameDomain[0] {
 		ids = append(ids, i.ID)
@@ -64,9 +64,9 @@
 	return ids
 }
 
-// unreachable returns a function that reports whether a limiter recently did not answer. The
-// caller holds g.mu.
-func (g *Guard) unreachable(now time.Time) func(id string) bool {
+// unreachableAt returns a function that reports whether a limiter is excluded at now because it
+// recently did not answer. The caller holds g.mu.
+func (g *Guard) unreachableAt(now time.Time) func(id string) bool {
 	return func(id string) bool { return now.Before(g.unreachableUntil[id]) }
 }
 
@@ -103,7 +103,7 @@
 	if err != nil {
 		return
 	}
-	if g.delegator.endEarlierLeases(g.sameDomainLimiters(), g.Clock.Now()) {
+	if g.delegator.endEarlierLeases(g.sameDomainLimiterIDs(), g.Clock.Now()) {
 		g.triggerRenewals()
 	}
 	for name, n := range answer.PrefetchGranted {
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -76,7 +76,7 @@
 		return nil
 	}
 	shard := shardOf(w.Name)
-	skip := g.unreachable(now)
+	skip := g.unreachableAt(now)
 	preferred := g.assignment.sameDomainLimiter(shard, skip)
 	if id := g.delegator.currentLimiter(shard, preferred.ID, now); id != preferred.ID && !skip(id) {
 		if i, ok := g.assignment.byID[id]; ok {
--- a/internal/routing/read.go
+++ b/internal/routing/read.go
@@ -76,20 +76,20 @@
 const tieBreakRange = 16
 
 func memberScore(m group.MemberView, primary string, r Read, random *rand.Rand) int {
-	s := r.Load(m.Address) * 2
+	score := r.Load(m.Address) * 2
 	switch {
 	case r.Owner == "" && m.FailureDomain != r.FailureDomain:
-		s++
+		score++
 	case r.Owner != "" && !r.Connected(m.Address):
-		s += connectionOpenLoad
+		score += connectionOpenLoad
 	}
 	if m.Address == primary {
-		s += r.SpillToPrimary * 2
+		score += r.SpillToPrimary * 2
 	}
 	if r.Behind != nil && r.Behind(m.Address) {
-		s += laggingPenalty
+		score += laggingPenalty
 	}
-	return s*tieBreakRange + r.tieBreak(m.Address, random)
+	return score*tieBreakRange + r.tieBreak(m.Address, random)
 }
 
 // connectionOpenLoad is the load added for opening a connection, in halves of a statement.
