--- a/internal/directory/membertable.go
+++ b/internal/directory/membertable.go
@@ -8,15 +8,16 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// missingGrace is how long a missing entry still counts. Members that are alive write their
-// entries again within about two seconds of the platform's return; an entry that is still
-// missing after that is removed.
+// missingGrace is how long a missing entry still counts. Entries can expire while the platform
+// is down. Members that are alive write them again within about two seconds of the platform's
+// return; an entry that is still missing after that is removed.
 const missingGrace = 2500 * time.Millisecond
 
 // memberTable holds the members' entries. It does no I/O and is guarded by Directory.mu.
 type memberTable struct {
 	entries map[string]*memberEntry
-	// platformReachable reports whether the platform answers, reachableSince since when.
+	// platformReachable reports whether the platform answers; reachableSince is when it last
+	// became reachable.
 	platformReachable bool
 	reachableSince    time.Time
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -182,8 +182,8 @@
 // Leaving reports whether the member at an address is leaving and must get no new work.
 func (d *Directory) Leaving(address string) bool { return d.current.Load().leaving[address] }
 
-// PrimaryAddress returns the address of the group's member that reports itself as primary, or an empty
-// string if none or several do.
+// PrimaryAddress returns the address of the group's member that reports itself as primary, or an
+// empty string if none or several do.
 func (d *Directory) PrimaryAddress(group string) string {
 	primary := ""
 	for address, u := range d.current.Load().upstreams {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -19,7 +19,7 @@
 	// changeNotified holds a token after the parent reported a change.
 	changeNotified chan struct{}
 
-	// mu serialises changes of the snapshot and guards the fields below.
+	// mu serializes changes of the snapshot and guards the fields below.
 	mu          sync.Mutex
 	list        list
 	homeCounts  homeCounts
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -8,8 +8,9 @@
 	methodChanged = "membership.changed"
 )
 
-// pullParams describe the requester's list: the checksum of the whole list and, in the second
-// call, the checksum of each part.
+// pullParams describe the requester's list. The first call of a pull sends the checksum of the
+// whole list; if the responder's list differs, a second call also sends the checksum of each
+// part.
 type pullParams struct {
 	Checksum      uint64   `json:"root"`
 	PartChecksums []uint64 `json:"sums,omitempty"`
--- a/internal/membership/pull.go
+++ b/internal/membership/pull.go
@@ -42,8 +42,9 @@
 	return m.applyList(current.mergeReply(r, readAt))
 }
 
-// requestList calls a peer and returns its reply and the time of the request. Subtracting the
-// age in the reply from that time never makes a list appear newer than it is.
+// requestList calls a peer and returns its reply and the time of the request. The age in the
+// reply must be subtracted from the time of the request: with the time of the reply, the list
+// would appear newer than it is.
 func (m *Members) requestList(ctx context.Context, address string, p pullParams) (pullReply, time.Time, error) {
 	requestedAt := m.options.Clock.Now()
 	var r pullReply
--- a/internal/membership/refresh.go
+++ b/internal/membership/refresh.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// readInterval is the time between two reads of the platform's list. A leaving upstream
-	// must get no new work from 2 s after it is listed as leaving.
+	// readInterval is the time between two reads of the platform's list. An upstream must get
+	// no new work once it has been listed as leaving for 2 s.
 	readInterval = time.Second
 	// pullInterval is the time between two pulls by an instance that gets the list from a peer.
 	// Changes are notified at once; the interval compensates for lost notifications.
@@ -29,12 +29,12 @@
 func (m *Members) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	notified := m.listChecksum()
+	notifiedChecksum := m.listChecksum()
 	for ctx.Err() == nil {
 		tree := m.relayTree()
 		next := m.refreshOnce(ctx, tree)
-		if checksum := m.listChecksum(); checksum != notified && m.options.Peers != nil {
-			notified = checksum
+		if checksum := m.listChecksum(); checksum != notifiedChecksum && m.options.Peers != nil {
+			notifiedChecksum = checksum
 			tree = m.relayTree()
 			m.notifyChildren(ctx, tree.Children(treeKey, m.Self().ID), &calls)
 		}
--- a/internal/membership/relay_test.go
+++ b/internal/membership/relay_test.go
@@ -100,7 +100,7 @@
 	return platform.Inventory{Instances: all, Upstreams: []platform.Upstream{{Address: "u", Leaving: true}, {Address: "v"}}}
 }
 
-func (h *harness) countKnowing() int {
+func (h *harness) countLeavingSeen() int {
 	n := 0
 	for _, m := range h.views {
 		if m.Leaving("u") {
@@ -110,25 +110,27 @@
 	return n
 }
 
-// An upstream is listed as leaving where only one relay of each failure domain reads the list.
-// All instances must know it within two seconds, and only the relays may call the platform.
+// Only one relay of each failure domain reads the platform's list, and an upstream is listed as
+// leaving. All instances must know it within two seconds, and only the relays may call the
+// platform.
 func TestRelaysReadForAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHarness(t, 90)
 		defer h.stop()
-		before := 0
+		callsBefore := 0
 		for _, api := range h.apis {
-			before += api.callCount()
+			callsBefore += api.callCount()
 		}
 		h.setInventory(leavingInventory(h.all), nil)
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(h.countKnowing(), 90)
+		is.Equal(h.countLeavingSeen(), 90)
 		time.Sleep(8500 * time.Millisecond)
-		calls := -before
+		calls := -callsBefore
 		for _, api := range h.apis {
 			calls += api.callCount()
 		}
+		// Three relays each read for 10 s, at least 0.8 s apart.
 		is.True(calls <= 3*14)
 	})
 }
@@ -154,7 +156,7 @@
 		is.Equal(dead, 3)
 		h.setInventory(leavingInventory(h.all), nil)
 		time.Sleep(8 * time.Second)
-		is.Equal(h.countKnowing(), 90)
+		is.Equal(h.countLeavingSeen(), 90)
 	})
 }
 
@@ -172,7 +174,7 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(h.countKnowing(), 30)
+		is.Equal(h.countLeavingSeen(), 30)
 	})
 }
 
--- a/internal/objectwatch/changessince_test.go
+++ b/internal/objectwatch/changessince_test.go
@@ -63,7 +63,7 @@
 	localReader, remoteReader := platform.Instance{ID: "n", FailureDomain: "a"}, platform.Instance{ID: "f", FailureDomain: "b"}
 	self := platform.Instance{ID: "s", FailureDomain: "a"}
 	const maxAge = 2300 * time.Millisecond
-	// noRevision means that no response proves a revision.
+	// noRevision is the expected result if no response proves that the objects are current.
 	const noRevision = int64(-1)
 	for name, c := range map[string]struct {
 		self    platform.Instance
--- a/internal/objectwatch/deltabase.go
+++ b/internal/objectwatch/deltabase.go
@@ -18,8 +18,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range objects {
-		next := o.Name == b.object.Name && o.Revision > b.object.Revision
-		if len(o.Value) >= minBaseBytes && (next || len(o.Value) > len(b.object.Value)) {
+		isNextVersion := o.Name == b.object.Name && o.Revision > b.object.Revision
+		if len(o.Value) >= minBaseBytes && (isNextVersion || len(o.Value) > len(b.object.Value)) {
 			b.object = o
 		}
 	}
--- a/internal/objectwatch/encoding.go
+++ b/internal/objectwatch/encoding.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxDecodedBytes limits the decoded size of a response, in bytes. It is far above the size
-	// of any kind.
+	// maxDecodedBytes limits the decoded size of a response, in bytes. It is far above the total
+	// size of the objects of any kind.
 	maxDecodedBytes = 64 << 20
 	// minBaseBytes is the smallest size of a value for which delta encoding is worthwhile, in
 	// bytes.
--- a/internal/objectwatch/encoding_test.go
+++ b/internal/objectwatch/encoding_test.go
@@ -142,7 +142,7 @@
 		size += len(c.object.Value)
 	}
 	is.Equal(size, f.historyBytes)
-	is.True(size <= maxFeedBytes)
+	is.True(size <= maxHistoryBytes)
 	_, _, err := f.waitForChanges(context.Background(), 2)
 	is.Equal(err, platform.ErrCompacted)
 	objects, _, err := f.waitForChanges(context.Background(), 59)
--- a/internal/objectwatch/feed.go
+++ b/internal/objectwatch/feed.go
@@ -10,14 +10,14 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// feedHistoryLength is the length of a feed's history in changes, unless there are more objects
-// than that or maxFeedBytes requires a shorter history. It covers some minutes, so that followers
-// can usually resume from their revision and need not list all objects again.
+// feedHistoryLength is the number of changes in a feed's history. It is higher if there are more
+// objects than that, and lower if maxHistoryBytes is reached. The history covers some minutes, so
+// that followers can usually resume from their revision and need not list all objects again.
 const feedHistoryLength = 512
 
-// maxFeedBytes limits the total size of the values in a feed's history, in bytes. A manifest can
-// be a megabyte in size and change often.
-const maxFeedBytes = 4 << 20
+// maxHistoryBytes limits the total size of the values in a feed's history, in bytes. A manifest
+// can be a megabyte in size and change often.
+const maxHistoryBytes = 4 << 20
 
 // change is a change of one object, with the revision of the platform's response that contained
 // it.
@@ -146,7 +146,7 @@
 	}
 	f.changes = append(f.changes, change{o, revision})
 	f.historyBytes += len(o.Value)
-	for len(f.changes) > f.maxChanges() || f.historyBytes > maxFeedBytes && len(f.changes) > 1 {
+	for len(f.changes) > f.maxChanges() || f.historyBytes > maxHistoryBytes && len(f.changes) > 1 {
 		f.dropOldest()
 	}
 }
@@ -192,7 +192,8 @@
 	return now.Sub(f.asOf)
 }
 
-// snapshot returns all objects. The snapshot is not valid while the platform is unreachable.
+// snapshot returns all objects. The snapshot is not valid before the first list and while the
+// platform is unreachable.
 func (f *feed) snapshot() snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -275,8 +276,9 @@
 	return nil
 }
 
-// encodeResponse returns a response to req with the objects that changed between two revisions,
-// delta-encoded if the feed has the requester's base.
+// encodeResponse returns a response to req with the objects that changed between the revisions
+// from and to, or with all objects if from is fullList. It is delta-encoded if the feed has the
+// requester's base.
 func (f *feed) encodeResponse(objects []platform.Object, from, to int64, req request) (response, error) {
 	key := responseKey{from: from, to: to}
 	base := f.baseValue(req.DeltaBase)
--- a/internal/objectwatch/fleet.go
+++ b/internal/objectwatch/fleet.go
@@ -9,15 +9,15 @@
 	Known() bool
 	// Live returns the instances that are not leaving.
 	Live() []platform.Instance
-	// Pick selects n instances of each failure domain for a duty.
-	Pick(duty string, n int) []platform.Instance
+	// Pick selects n instances of each failure domain for the task identified by a key.
+	Pick(key string, n int) []platform.Instance
 }
 
-// OnDuty selects n instances of each failure domain for a duty. It returns those in this
-// instance's own failure domain, and whether this instance was selected.
-func OnDuty(f Fleet, duty string, n int) (local []platform.Instance, isSelected bool) {
+// OnDuty selects n instances of each failure domain for the task identified by a key. It returns
+// those in this instance's own failure domain, and whether this instance was selected.
+func OnDuty(f Fleet, key string, n int) (local []platform.Instance, isSelected bool) {
 	self := f.Self()
-	for _, i := range f.Pick(duty, n) {
+	for _, i := range f.Pick(key, n) {
 		if i.FailureDomain == self.FailureDomain {
 			local = append(local, i)
 		}
--- a/internal/objectwatch/follower.go
+++ b/internal/objectwatch/follower.go
@@ -77,8 +77,8 @@
 	reachable bool
 	// delivered is the latest revision that was delivered to the sink.
 	delivered int64
-	// failingSince is the time of the first failure in the current series of failures; zero if
-	// there is none. lastAnswer is the time of the last response from the platform or a peer.
+	// failingSince is the time of the first failure since the last response; zero if there was
+	// none. lastAnswer is the time of the last response from the platform or a peer.
 	failingSince, lastAnswer time.Time
 }
 
@@ -199,7 +199,7 @@
 			f.Log.Info("Revision was compacted; the objects are listed again.", "revision", revision)
 			return
 		case errors.Is(err, errWatchExpired):
-			f.watchExpired()
+			f.handleExpiredWatch()
 			continue
 		case err != nil:
 			f.handleFailure(ctx, err)
@@ -242,8 +242,8 @@
 // is slightly longer than the platform holds a watch without changes.
 const maxSilence = 30 * time.Second
 
-// watchExpired handles a watch that timed out on this side without a response.
-func (f *Follower) watchExpired() {
+// handleExpiredWatch handles a watch that timed out on this side without a response.
+func (f *Follower) handleExpiredWatch() {
 	f.mu.Lock()
 	unresponsive := f.Clock.Now().Sub(f.lastAnswer) > maxSilence
 	f.mu.Unlock()
--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -168,7 +168,7 @@
 	err      error
 }
 
-// Since implements Peers.
+// ChangesSince implements Peers.
 func (p *fakePeers) ChangesSince(context.Context, int64) ([]platform.Object, int64, error) {
 	return p.changes, p.revision, p.err
 }
--- a/internal/objectwatch/relayedlist.go
+++ b/internal/objectwatch/relayedlist.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// applyChanges applies the changes between two revisions, if the stored revision is not before
-// the first of them.
+// applyChanges applies the changes between the revisions after and revision. It ignores them if
+// the stored revision is before the first, because changes would be skipped, or beyond the
+// second.
 func (l *relayedList) applyChanges(objects []platform.Object, after, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/objectwatch/sharedapi.go
+++ b/internal/objectwatch/sharedapi.go
@@ -22,8 +22,8 @@
 	// response.
 	startupListTimeout = 80 * time.Millisecond
 	startupListWait    = 60 * time.Millisecond
-	// newFleetWait is the shortest wait for the list of instances by which an instance
-	// recognizes that the whole fleet is starting for the first time.
+	// newFleetWait is how long an instance must have waited for the list of instances to conclude
+	// that the whole fleet is starting for the first time.
 	newFleetWait = 500 * time.Millisecond
 	// readerRounds is how often a follower asks all its readers before it calls the platform
 	// itself, and readerRoundPause the longest pause between two rounds. Readers that start at
@@ -93,7 +93,7 @@
 		a.hasList.Store(true)
 		return objects, revision, nil
 	}
-	a.directCallFailed()
+	a.recordDirectFailure()
 	if isFollower {
 		return nil, 0, err
 	}
@@ -166,7 +166,7 @@
 	if errors.Is(err, platform.ErrCompacted) || errors.Is(err, errWatchExpired) {
 		return nil, after, err
 	}
-	a.directCallFailed()
+	a.recordDirectFailure()
 	a.feed.markUnreachable()
 	if got, ok := a.askFallbackReaders(ctx, fallbackReaderCount, watch); ok {
 		return watchResult(got, after)
@@ -174,9 +174,9 @@
 	return nil, after, err
 }
 
-// directWatchTimeout bounds one direct watch of an instance that has readers; it asks them again
-// afterwards, a few changes later. The platform sends a large object in full to each such
-// instance, while a reader sends only a delta.
+// directWatchTimeout bounds one direct watch of an instance that has readers. The instance then
+// asks its readers again, after a few changes at most: the platform sends a changed large object
+// in full to each instance that watches directly, while a reader sends only a delta.
 const directWatchTimeout = 2 * time.Second
 
 // errWatchExpired reports that a direct watch ended on this side without a response. It does not
@@ -226,7 +226,7 @@
 // freshEnough reports whether a response is based on a list that is at most maxAge old.
 func (a *SharedAPI) freshEnough(got response) bool { return a.maxAge == 0 || got.age() <= a.maxAge }
 
-// errNoReader reports that the instance has to call the platform itself.
+// errNoReader reports that the instance must call the platform itself.
 var errNoReader = errors.New("objectwatch: no reader serves this instance")
 
 // askReaders asks the readers, in several rounds if necessary. Its errors are errNoReader,
@@ -270,8 +270,8 @@
 	return response{}, false
 }
 
-// directCallFailed records that the platform did not answer this instance.
-func (a *SharedAPI) directCallFailed() {
+// recordDirectFailure records that the platform did not answer this instance.
+func (a *SharedAPI) recordDirectFailure() {
 	a.directCalls.recordFailure(a.sharing.Clock.Now(), a.sharing.jitter(directCallPause))
 }
 
@@ -289,7 +289,7 @@
 }
 
 // callPeer sends a request to an instance and decodes the response.
-func (a *SharedAPI) callPeer(ctx context.Context, reader platform.Instance, method string, req request, timeout time.Duration) (response, error) {
+func (a *SharedAPI) callPeer(ctx context.Context, target platform.Instance, method string, req request, timeout time.Duration) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	base := a.base.get()
@@ -297,7 +297,7 @@
 		req.DeltaBase = &versionRef{Name: base.Name, Revision: base.Revision}
 	}
 	var got response
-	if err := a.sharing.Caller.Call(ctx, reader.PeerAddress, method, req, &got); err != nil {
+	if err := a.sharing.Caller.Call(ctx, target.PeerAddress, method, req, &got); err != nil {
 		return got, err
 	}
 	var dictionary []byte
--- a/internal/objectwatch/sharing.go
+++ b/internal/objectwatch/sharing.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	// readerDuty is the key by which readers are selected. There are readersPerDomain in each
-	// failure domain: two, because one of them may be dead and still listed.
-	readerDuty       = "objectwatch.read"
+	// readersKey is the key for picking the readers. There are readersPerDomain in each failure
+	// domain: two, because one of them may be dead and still listed.
+	readersKey       = "objectwatch.read"
 	readersPerDomain = 2
-	// maxDirectReaders is the largest number of instances in a failure domain that all read from
-	// the platform directly: sharing saves nothing there.
+	// maxDirectReaders is the size of a failure domain up to which all its instances read from
+	// the platform directly: with so few instances, sharing saves nothing.
 	maxDirectReaders = 4
 	// fleetWait is how long the first list of a kind waits for the list of instances, which
 	// determines the readers, and fleetPoll the polling interval. When a whole fleet starts for
@@ -51,7 +51,8 @@
 //
 //   - It has lost the platform. It reports this; its followers ask the other reader and, after a
 //     while, the platform itself at a limited rate (directCallLimiter).
-//   - It is dead, frozen or partitioned. It does not respond, and its followers do the same.
+//   - It is dead, frozen or partitioned. It does not respond, and its followers react as in the
+//     first case.
 //   - Its watch misses changes without notice. Its responses to checks carry the age of its last
 //     list, which bounds how stale a follower can be.
 //   - The platform refuses it but serves others. It asks readers of all failure domains.
@@ -112,7 +113,7 @@
 // ask again.
 func (s *Sharing) parent(kind platform.Kind) (platform.Instance, bool) {
 	self := s.Fleet.Self()
-	readers, isReader := OnDuty(s.Fleet, readerDuty, readersPerDomain)
+	readers, isReader := OnDuty(s.Fleet, readersKey, readersPerDomain)
 	if isReader || kind == platform.KindInstances {
 		return platform.Instance{}, false
 	}
@@ -150,10 +151,10 @@
 // readers returns the readers of this instance's failure domain, or none if this instance calls
 // the platform directly.
 func (s *Sharing) readers() []platform.Instance {
-	if local, _ := OnDuty(s.Fleet, readerDuty, maxDirectReaders+1); len(local) <= maxDirectReaders {
+	if local, _ := OnDuty(s.Fleet, readersKey, maxDirectReaders+1); len(local) <= maxDirectReaders {
 		return nil
 	}
-	readers, isReader := OnDuty(s.Fleet, readerDuty, readersPerDomain)
+	readers, isReader := OnDuty(s.Fleet, readersKey, readersPerDomain)
 	if isReader {
 		return nil
 	}
@@ -198,7 +199,7 @@
 func (s *Sharing) pickFallbackReaders(n int) []platform.Instance {
 	self, hasReaders := s.Fleet.Self(), len(s.readers()) > 0
 	var all []platform.Instance
-	for _, i := range s.Fleet.Pick(readerDuty, readersPerDomain) {
+	for _, i := range s.Fleet.Pick(readersKey, readersPerDomain) {
 		if i.ID != self.ID && !(hasReaders && i.FailureDomain == self.FailureDomain) {
 			all = append(all, i)
 		}
--- a/internal/objectwatch/sharing_test.go
+++ b/internal/objectwatch/sharing_test.go
@@ -99,7 +99,7 @@
 }
 
 // A failure domain of forty instances follows the platform through an outage. While the platform
-// answers, it gets the requests of two instances only. During the outage the readers retry on
+// answers, only two of the instances call it. During the outage the readers retry on
 // behalf of all, and the others retry rarely. All instances know the changes within seconds of
 // the platform's return.
 func TestDomainAsksForTwoThroughAnOutage(t *testing.T) {
--- a/internal/objectwatch/testdomain_test.go
+++ b/internal/objectwatch/testdomain_test.go
@@ -62,7 +62,7 @@
 	return platform.Instance{ID: i.id, FailureDomain: "a", PeerAddress: i.id}
 }
 
-// Pick implements Fleet. It selects the first n instances for every duty.
+// Pick implements Fleet. It selects the first n instances for every key.
 func (i *testInstance) Pick(_ string, n int) []platform.Instance {
 	var all []platform.Instance
 	for _, o := range i.domain.instances[:min(n, len(i.domain.instances))] {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -58,12 +58,12 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	c.Metrics.sent(method, len(raw))
+	c.Metrics.countSent(method, len(raw))
 	sized := sizedReply{target: reply}
 	err = send(ctx, conn.rpc, method, envelope{From: c.self, Params: raw}, &sized)
-	c.Metrics.received(method, sized.size)
-	// After a timeout the connection may be dead without notice, so new calls use a new
-	// one.
+	c.Metrics.countReceived(method, sized.size)
+	// After a timeout the connection may be dead without having reported an error, so new
+	// calls use a new one.
 	conn.endCall(errors.Is(err, context.DeadlineExceeded))
 	var rpcErr *jsonrpc2.Error
 	if errors.As(err, &rpcErr) {
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -31,7 +31,7 @@
 	return m
 }
 
-func (m *Metrics) sent(method string, bytes int) {
+func (m *Metrics) countSent(method string, bytes int) {
 	if m == nil {
 		return
 	}
@@ -39,7 +39,7 @@
 	m.bytes.WithLabelValues(method, directionSent).Add(float64(bytes))
 }
 
-func (m *Metrics) received(method string, bytes int) {
+func (m *Metrics) countReceived(method string, bytes int) {
 	if m == nil {
 		return
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -51,10 +51,10 @@
 	})
 }
 
-func callSlow(c *Client, bound, work time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func callSlow(c *Client, timeout, duration time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	return c.Call(ctx, serverAddr, "slow", work, nil)
+	return c.Call(ctx, serverAddr, "slow", duration, nil)
 }
 
 // Two calls share a connection and one of them times out. The other must still get its response:
--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -47,9 +47,11 @@
 	return c
 }
 
-func (c *Counted) call(kind Kind, verb string) { c.calls.WithLabelValues(string(kind), verb).Inc() }
+func (c *Counted) countCall(kind Kind, verb string) {
+	c.calls.WithLabelValues(string(kind), verb).Inc()
+}
 
-func (c *Counted) received(kind Kind, verb string, objects ...Object) {
+func (c *Counted) countReceived(kind Kind, verb string, objects ...Object) {
 	size := 0
 	for _, o := range objects {
 		size += len(o.Name) + len(o.Value)
@@ -59,45 +61,45 @@
 
 // Get implements API.
 func (c *Counted) Get(ctx context.Context, kind Kind, name string) (Object, error) {
-	c.call(kind, verbGet)
+	c.countCall(kind, verbGet)
 	o, err := c.API.Get(ctx, kind, name)
-	c.received(kind, verbGet, o)
+	c.countReceived(kind, verbGet, o)
 	return o, err
 }
 
 // List implements API.
 func (c *Counted) List(ctx context.Context, kind Kind) ([]Object, int64, error) {
-	c.call(kind, verbList)
+	c.countCall(kind, verbList)
 	all, revision, err := c.API.List(ctx, kind)
-	c.received(kind, verbList, all...)
+	c.countReceived(kind, verbList, all...)
 	return all, revision, err
 }
 
 // ListStale implements API.
 func (c *Counted) ListStale(ctx context.Context, kind Kind) ([]Object, int64, error) {
-	c.call(kind, verbListStale)
+	c.countCall(kind, verbListStale)
 	all, revision, err := c.API.ListStale(ctx, kind)
-	c.received(kind, verbListStale, all...)
+	c.countReceived(kind, verbListStale, all...)
 	return all, revision, err
 }
 
 // Put implements API.
 func (c *Counted) Put(ctx context.Context, kind Kind, name string, value []byte, ifVersion int64) (Object, error) {
-	c.call(kind, verbPut)
+	c.countCall(kind, verbPut)
 	c.bytes.WithLabelValues(string(kind), verbPut, directionSent).Add(float64(len(value)))
 	return c.API.Put(ctx, kind, name, value, ifVersion)
 }
 
 // Delete implements API.
 func (c *Counted) Delete(ctx context.Context, kind Kind, name string, ifVersion int64) error {
-	c.call(kind, verbDelete)
+	c.countCall(kind, verbDelete)
 	return c.API.Delete(ctx, kind, name, ifVersion)
 }
 
 // Watch implements API.
 func (c *Counted) Watch(ctx context.Context, kind Kind, after int64) ([]Object, int64, error) {
-	c.call(kind, verbWatch)
+	c.countCall(kind, verbWatch)
 	changed, revision, err := c.API.Watch(ctx, kind, after)
-	c.received(kind, verbWatch, changed...)
+	c.countReceived(kind, verbWatch, changed...)
 	return changed, revision, err
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform defines the interface between the product and the platform's object
-// API and instance list.
+// Package platform defines the interface between topazrock and the platform's object API
+// and instance list.
 //
 // An object has a kind, a name, a value and a version that only increases. Each change of
 // an object gets a revision of its kind, and a watch resumes from a revision.
@@ -10,7 +10,7 @@
 // Kind groups objects that are listed and watched together.
 type Kind string
 
-// Kinds of the product's objects.
+// Kinds of objects that topazrock reads or writes.
 const (
 	// KindService holds service documents, one object per service.
 	KindService Kind = "services"
@@ -21,10 +21,10 @@
 	// KindInstances holds the entry of each instance, which the instance writes itself.
 	KindInstances Kind = "instances"
 	// KindManifest holds the service configuration that the platform's operator writes.
-	// The product only reads it; its only object is ManifestName.
+	// topazrock only reads it; its only object is ManifestName.
 	KindManifest Kind = "manifest"
-	// KindUpstreams holds the entries that the members write about themselves. The
-	// product only reads them.
+	// KindUpstreams holds the entries that the members write about themselves.
+	// topazrock only reads them.
 	KindUpstreams Kind = "upstreams"
 )
 
@@ -79,15 +79,15 @@
 	Upstreams []Upstream `json:"upstreams"`
 }
 
-// API is the platform's API as the product uses it. Its errors are ErrNotFound,
+// API is the platform's API as topazrock uses it. Its errors are ErrNotFound,
 // ErrConflict, ErrCompacted, ErrUnavailable, and ErrOutcomeUnknown for a Put whose
 // response was lost.
 type API interface {
 	Get(ctx context.Context, kind Kind, name string) (Object, error)
 	// List returns all objects of a kind and the kind's revision.
 	List(ctx context.Context, kind Kind) ([]Object, int64, error)
-	// ListStale is List for a caller that accepts a result some seconds old. It may be
-	// cheaper for the platform.
+	// ListStale is like List, but the result may be some seconds old. It may be cheaper
+	// for the platform.
 	ListStale(ctx context.Context, kind Kind) ([]Object, int64, error)
 	// Put stores value if the object's version is ifVersion (0: it must not exist) and
 	// returns the stored object.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -4,8 +4,8 @@
 // An entry is written when an instance starts and removed when it stops. There is no heartbeat:
 // with many instances, each one would wake every watch. The entry of a crashed instance stays
 // until one of the two instances that monitor it finds that it has not answered for
-// removeAfter. Requests sent to it until then are sent to another instance, because they were
-// never accepted. An instance that was only unreachable sees that its entry was removed and
+// removeAfter. A request sent to it before that was never accepted and is sent to another
+// instance instead. An instance that was only unreachable sees that its entry was removed and
 // writes it again.
 package registry
 
@@ -34,8 +34,8 @@
 	// together, and the pause lets the watch deliver their entries in one response.
 	watchPause = time.Second
 	// missingDelay is how long this instance's entry must be missing to count as removed. An
-	// instance that starts may get a list from a peer that has not seen the new entry yet,
-	// which takes that peer up to two pauses between watches.
+	// instance that starts may get a list from a peer that has not seen the new entry yet; that
+	// peer sees it after at most two pauses between watches.
 	missingDelay = 3 * watchPause
 )
 
--- a/internal/registry/sweeper.go
+++ b/internal/registry/sweeper.go
@@ -15,7 +15,7 @@
 	// methodAlive asks the instance at an address for its ID.
 	methodAlive = "registry.alive"
 	// monitoredCount is how many instances each instance monitors: two, so that every instance
-	// still has a monitor when one of its own is lost.
+	// is still monitored when one of the two that monitor it is lost.
 	monitoredCount = 2
 	// sweepInterval is the time between two probes of a monitored instance. aliveTimeout bounds
 	// one probe and is many times the duration of a slow answer.
--- a/internal/registry/unresponsive.go
+++ b/internal/registry/unresponsive.go
@@ -14,8 +14,9 @@
 // instances.
 const removeAfter = 10 * time.Second
 
-// unresponsiveSince maps each monitored instance that does not answer to the time since when.
-// An instance that is listed again with another address is a different key and starts over.
+// unresponsiveSince maps each monitored instance that does not answer to the time of the first
+// probe that it did not answer. An instance that is listed again with another
+// address is a different key and starts over.
 type unresponsiveSince map[platform.Instance]time.Time
 
 // update returns the map after a round of probes. unanswered maps the instances that did not
--- a/internal/relaytree/tree.go
+++ b/internal/relaytree/tree.go
@@ -5,8 +5,8 @@
 // The relays are the roots. Every other instance has one parent, and every instance has at most
 // Degree children. The order of the instances below the relays depends on a key, so that
 // different instances are inner nodes for different keys. Instances with the same list compute
-// the same tree; where their lists differ, a node may be skipped or served twice, which the
-// callers correct.
+// the same tree; where their lists differ, a node may be skipped or served twice, for which the
+// users of this package must compensate.
 package relaytree
 
 import (
