--- a/internal/directory/bench_test.go
+++ b/internal/directory/bench_test.go
@@ -24,10 +24,10 @@
 		all = append(all, platform.Object{Name: fmt.Sprint("m", n), Revision: int64(n), Value: value})
 	}
 	sink := upstreamSink{d}
-	sink.Listed(all)
+	sink.ApplyList(all)
 	b.ResetTimer()
 	for n := range b.N {
 		value, _ := json.Marshal(platform.Upstream{ID: "m7", Group: "g2", Address: "10.0.0.7", Slots: 3, Leaving: n%2 == 0})
-		sink.Changed([]platform.Object{{Name: "m7", Revision: int64(2000 + n), Value: value}})
+		sink.ApplyChanges([]platform.Object{{Name: "m7", Revision: int64(2000 + n), Value: value}})
 	}
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -87,9 +87,9 @@
 // before Run.
 func (d *Directory) UseSharing(s *objectwatch.Sharing) { d.sharing = s }
 
-// upstreamSettlePause batches the entries of members that start or change together into one
+// upstreamWatchPause batches the entries of members that start or change together into one
 // watch response.
-const upstreamSettlePause = 200 * time.Millisecond
+const upstreamWatchPause = 200 * time.Millisecond
 
 // missingCheckInterval is the time between two checks for missing entries whose grace period
 // has ended.
@@ -108,7 +108,7 @@
 func (d *Directory) newManifestFollower() *objectwatch.Follower {
 	c := objectwatch.Config{
 		API: d.config.API, Kind: platform.KindManifest, Sink: manifestSink{d}, Clock: d.config.Clock, Log: d.config.Log,
-		Rand: rand.New(rand.NewPCG(d.config.Seed, 1)), Check: manifestCheckInterval,
+		Rand: rand.New(rand.NewPCG(d.config.Seed, 1)), CheckInterval: manifestCheckInterval,
 	}
 	return d.newFollower(c)
 }
@@ -116,14 +116,14 @@
 func (d *Directory) newUpstreamFollower() *objectwatch.Follower {
 	return d.newFollower(objectwatch.Config{
 		API: d.config.API, Kind: platform.KindUpstreams, Sink: upstreamSink{d}, Clock: d.config.Clock, Log: d.config.Log,
-		Rand: rand.New(rand.NewPCG(d.config.Seed, 2)), Check: upstreamCheckInterval, Stale: true, Settle: upstreamSettlePause,
+		Rand: rand.New(rand.NewPCG(d.config.Seed, 2)), CheckInterval: upstreamCheckInterval, AllowStaleLists: true, WatchPause: upstreamWatchPause,
 	})
 }
 
 // newFollower returns a follower, which shares its reads if sharing is enabled.
 func (d *Directory) newFollower(c objectwatch.Config) *objectwatch.Follower {
 	if d.sharing != nil {
-		api := d.sharing.API(c.Kind, c.Check+listAgeMargin)
+		api := d.sharing.API(c.Kind, c.CheckInterval+listAgeMargin)
 		c.API, c.Peers = api, api
 	}
 	return objectwatch.New(c)
--- a/internal/directory/sinks.go
+++ b/internal/directory/sinks.go
@@ -5,26 +5,26 @@
 // manifestSink receives changes of the manifest.
 type manifestSink struct{ d *Directory }
 
-// Listed implements objectwatch.Sink.
-func (s manifestSink) Listed(objects []platform.Object) { s.Changed(objects) }
+// ApplyList implements objectwatch.Sink.
+func (s manifestSink) ApplyList(objects []platform.Object) { s.ApplyChanges(objects) }
 
-// Changed implements objectwatch.Sink.
-func (s manifestSink) Changed(objects []platform.Object) {
+// ApplyChanges implements objectwatch.Sink.
+func (s manifestSink) ApplyChanges(objects []platform.Object) {
 	for _, o := range objects {
 		s.d.applyManifest(o)
 	}
 	s.d.publish()
 }
 
-// Touch implements objectwatch.Sink. It does nothing: a manifest stays in force while the
+// SetReachable implements objectwatch.Sink. It does nothing: a manifest stays in force while the
 // platform is unreachable.
-func (manifestSink) Touch(bool) {}
+func (manifestSink) SetReachable(bool) {}
 
 // upstreamSink receives changes of the members' entries.
 type upstreamSink struct{ d *Directory }
 
-// Listed implements objectwatch.Sink.
-func (s upstreamSink) Listed(objects []platform.Object) {
+// ApplyList implements objectwatch.Sink.
+func (s upstreamSink) ApplyList(objects []platform.Object) {
 	now := s.d.config.Clock.Now()
 	listed := make(map[string]bool, len(objects))
 	for _, o := range objects {
@@ -37,8 +37,8 @@
 	s.d.publish()
 }
 
-// Changed implements objectwatch.Sink.
-func (s upstreamSink) Changed(objects []platform.Object) {
+// ApplyChanges implements objectwatch.Sink.
+func (s upstreamSink) ApplyChanges(objects []platform.Object) {
 	now := s.d.config.Clock.Now()
 	for _, o := range objects {
 		s.d.applyMember(o, now)
@@ -46,8 +46,8 @@
 	s.d.publish()
 }
 
-// Touch implements objectwatch.Sink.
-func (s upstreamSink) Touch(reachable bool) {
+// SetReachable implements objectwatch.Sink.
+func (s upstreamSink) SetReachable(reachable bool) {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	s.d.members.setPlatformReachable(reachable, s.d.config.Clock.Now())
--- a/internal/objectwatch/fallback_test.go
+++ b/internal/objectwatch/fallback_test.go
@@ -21,11 +21,11 @@
 // timingSink records when the object "late" was delivered.
 type timingSink struct{ deliveredAt chan time.Time }
 
-// Listed implements Sink.
-func (s timingSink) Listed(objects []platform.Object) { s.Changed(objects) }
+// ApplyList implements Sink.
+func (s timingSink) ApplyList(objects []platform.Object) { s.ApplyChanges(objects) }
 
-// Changed implements Sink.
-func (s timingSink) Changed(objects []platform.Object) {
+// ApplyChanges implements Sink.
+func (s timingSink) ApplyChanges(objects []platform.Object) {
 	for _, o := range objects {
 		if o.Name == "late" {
 			select {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Touch implements Sink.
-func (timingSink) Touch(bool) {}
+// SetReachable implements Sink.
+func (timingSink) SetReachable(bool) {}
 
 // cutAPI is a platform whose packets to and from this instance are lost while cut is set: each
 // call takes a second to fail.
@@ -113,7 +113,7 @@
 				s := NewSharing(SharingConfig{API: cutAPI{store, cut}, Fleet: largeFleet{fakeFleet{self, all}}, Caller: net.At(self.ID), Clock: clock.System{},
 					Rand: rand.New(rand.NewPCG(seed, 1)), Log: hclog.NewNullLogger()}, net.At(self.ID))
 				api := s.API(platform.KindManifest, 2300*time.Millisecond)
-				f := New(Config{API: api, Kind: platform.KindManifest, Sink: sink, Clock: clock.System{}, Check: 2 * time.Second,
+				f := New(Config{API: api, Kind: platform.KindManifest, Sink: sink, Clock: clock.System{}, CheckInterval: 2 * time.Second,
 					Peers: api, Rand: rand.New(rand.NewPCG(seed, 2)), Log: hclog.NewNullLogger()})
 				go f.Run(ctx)
 			}
--- a/internal/objectwatch/follower.go
+++ b/internal/objectwatch/follower.go
@@ -28,12 +28,13 @@
 
 // Sink receives what a Follower learns. Its methods are never called concurrently.
 type Sink interface {
-	// Listed receives all objects of the kind.
-	Listed(objects []platform.Object)
-	// Changed receives objects that were changed or removed.
-	Changed(objects []platform.Object)
-	// Touch reports whether the platform is reachable.
-	Touch(reachable bool)
+	// ApplyList receives all objects of the kind.
+	ApplyList(objects []platform.Object)
+	// ApplyChanges receives objects that were changed or removed.
+	ApplyChanges(objects []platform.Object)
+	// SetReachable is called when the platform becomes reachable or unreachable. It counts as
+	// unreachable until its first response.
+	SetReachable(reachable bool)
 }
 
 // Peers are other instances that follow the same kind.
@@ -52,16 +53,16 @@
 	// Rand adds jitter to the backoff. It must not be shared.
 	Rand *rand.Rand
 	Log  hclog.Logger
-	// Settle is the pause after a change before the next watch. Bursts of changes that are not
+	// WatchPause is the pause after a change before the next watch. Bursts of changes that are not
 	// urgent then arrive in a single call.
-	Settle time.Duration
-	// Check is the interval at which the objects are listed in addition to the watch; zero
-	// disables it. A watch can miss changes for seconds without any sign of it in its responses,
+	WatchPause time.Duration
+	// CheckInterval is the interval at which the objects are listed in addition to the watch;
+	// zero disables it. A watch can miss changes for seconds without any sign of it in its responses,
 	// so only a list bounds the delay of a change.
-	Check time.Duration
-	// Stale allows these lists to be some seconds old. The platform charges less for such a
-	// list.
-	Stale bool
+	CheckInterval time.Duration
+	// AllowStaleLists allows these lists to be some seconds old. The platform charges less for
+	// such a list.
+	AllowStaleLists bool
 	// Peers, if set, is asked before each of these lists. If it responds, the list is skipped.
 	Peers Peers
 }
@@ -91,17 +92,17 @@
 // Run follows the kind until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	if f.Check > 0 {
+	if f.CheckInterval > 0 {
 		loops.Go(func() { f.runChecks(ctx) })
 	}
 	f.listAndWatch(ctx)
 	loops.Wait()
 }
 
-// runChecks lists the objects at the interval Check. It does not handle a failed list, because
+// runChecks lists the objects at CheckInterval. It does not handle a failed list, because
 // the watch detects the failure as well.
 func (f *Follower) runChecks(ctx context.Context) {
-	for clock.Sleep(ctx, f.Clock, f.Check) == nil {
+	for clock.Sleep(ctx, f.Clock, f.CheckInterval) == nil {
 		if f.applyPeerChanges(ctx) {
 			continue
 		}
@@ -134,7 +135,7 @@
 
 // listForCheck lists the objects for runChecks.
 func (f *Follower) listForCheck(ctx context.Context) ([]platform.Object, int64, error) {
-	if f.Stale {
+	if f.AllowStaleLists {
 		return f.API.ListStale(ctx, f.Kind)
 	}
 	return f.API.List(ctx, f.Kind)
@@ -152,7 +153,7 @@
 		return
 	}
 	f.delivered = revision
-	f.Sink.Listed(objects)
+	f.Sink.ApplyList(objects)
 }
 
 // deliverChanges passes the changes up to a revision to the sink unless the sink already has
@@ -164,7 +165,7 @@
 		return
 	}
 	f.delivered = revision
-	f.Sink.Changed(objects)
+	f.Sink.ApplyChanges(objects)
 }
 
 // deliveredRevision returns the latest revision that was delivered to the sink.
@@ -210,7 +211,7 @@
 		revision = next
 		if len(objects) > 0 {
 			f.deliverChanges(objects, revision)
-			_ = clock.Sleep(ctx, f.Clock, f.Settle)
+			_ = clock.Sleep(ctx, f.Clock, f.WatchPause)
 		}
 	}
 }
@@ -227,7 +228,7 @@
 	}
 	f.reachable = true
 	f.Log.Info("The platform answers.", "failing_for", f.elapsedSince(failingSince).String())
-	f.Sink.Touch(true)
+	f.Sink.SetReachable(true)
 }
 
 // elapsedSince returns the time since moment, or zero if moment is the zero time.
@@ -275,5 +276,5 @@
 	}
 	f.reachable = false
 	f.Log.Warn("The platform does not answer.", "error", err)
-	f.Sink.Touch(false)
+	f.Sink.SetReachable(false)
 }
--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -23,15 +23,15 @@
 	reachability []bool
 }
 
-// Listed implements Sink.
-func (s *recordingSink) Listed(objects []platform.Object) {
+// ApplyList implements Sink.
+func (s *recordingSink) ApplyList(objects []platform.Object) {
 	s.lists++
 	clear(s.values)
-	s.Changed(objects)
+	s.ApplyChanges(objects)
 }
 
-// Changed implements Sink.
-func (s *recordingSink) Changed(objects []platform.Object) {
+// ApplyChanges implements Sink.
+func (s *recordingSink) ApplyChanges(objects []platform.Object) {
 	for _, o := range objects {
 		s.values[o.Name] = string(o.Value)
 		if o.Removed {
@@ -40,14 +40,16 @@
 	}
 }
 
-// Touch implements Sink.
-func (s *recordingSink) Touch(reachable bool) { s.reachability = append(s.reachability, reachable) }
+// SetReachable implements Sink.
+func (s *recordingSink) SetReachable(reachable bool) {
+	s.reachability = append(s.reachability, reachable)
+}
 
 func runFollower(t *testing.T, check time.Duration, f func(is *is.I, s *standin.Store, n *recordingSink)) {
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 		w := New(Config{API: store, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
-			Log: hclog.NewNullLogger(), Check: check})
+			Log: hclog.NewNullLogger(), CheckInterval: check})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -123,7 +125,7 @@
 		is := is.New(t)
 		store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 		w := New(Config{API: delayedLists{store, 500 * time.Millisecond}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{},
-			Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger(), Check: 2 * time.Second})
+			Rand: rand.New(rand.NewPCG(1, 1)), Log: hclog.NewNullLogger(), CheckInterval: 2 * time.Second})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -199,7 +201,7 @@
 			store, sink := standin.NewStore(), &recordingSink{values: make(map[string]string)}
 			put(is, store, "a", "1")
 			w := New(Config{API: silentWatchAPI{store}, Kind: platform.KindGroup, Sink: sink, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)),
-				Log: hclog.NewNullLogger(), Check: 2 * time.Second, Peers: &c.peers})
+				Log: hclog.NewNullLogger(), CheckInterval: 2 * time.Second, Peers: &c.peers})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() {
--- a/internal/objectwatch/scaling_test.go
+++ b/internal/objectwatch/scaling_test.go
@@ -98,11 +98,11 @@
 }
 
 // changeEntries changes random entries, evenly spread over a period.
-func (d *entryDomain) changeEntries(length time.Duration) {
+func (d *entryDomain) changeEntries(period time.Duration) {
 	n := len(d.instances)
-	changes := int(changesPerInstance * float64(n) * length.Seconds())
+	changes := int(changesPerInstance * float64(n) * period.Seconds())
 	for range changes {
-		time.Sleep(length / time.Duration(changes))
+		time.Sleep(period / time.Duration(changes))
 		name := fmt.Sprint("m", d.random.IntN(entriesPerInstance*n))
 		o, err := d.store.Get(context.Background(), platform.KindUpstreams, name)
 		d.is.NoErr(err)
@@ -112,16 +112,16 @@
 
 // traffic returns the median of the bytes that the instances received, and the number of calls
 // that followers, as opposed to readers, made to the platform.
-func (d *entryDomain) traffic() (median int, direct int64) {
+func (d *entryDomain) traffic() (median int, directCalls int64) {
 	var all []int
 	for k := range d.instances {
 		all = append(all, int(d.received[k].n.Load()))
 		if k >= readersPerDomain {
-			direct += d.apis[k].calls.Load()
+			directCalls += d.apis[k].calls.Load()
 		}
 	}
 	slices.Sort(all)
-	return all[len(all)/2], direct
+	return all[len(all)/2], directCalls
 }
 
 // Load pattern: a failure domain of a hundred instances in which members' entries change ten
--- a/internal/objectwatch/sharing_test.go
+++ b/internal/objectwatch/sharing_test.go
@@ -123,8 +123,8 @@
 		time.Sleep(10 * time.Second)
 		inOutage := lists.Load() - listsBefore + d.watchCount() - watchesBefore
 		t.Logf("%d lists before the outage, %d lists and watches in it", listsBefore, inOutage)
-		// Two readers list and watch about once a second each, and each of the other instances
-		// does one of the two about every three seconds on average.
+		// Each of the two readers lists about once a second and watches about once a second. Each
+		// of the other instances makes one call, a list or a watch, every three seconds on average.
 		is.True(inOutage <= 2*2*10+38*10/3)
 		d.store.SetFaults(standin.Faults{})
 		is.Equal(d.putAndCount(is, "behind", 4*time.Second), 40)
@@ -161,7 +161,7 @@
 		time.Sleep(2 * time.Second)
 		t.Logf("%d of %d late, %d lists", late.Load(), n, lists.Load())
 		is.Equal(late.Load(), int64(0))
-		// Instances that start long before any reader list the objects themselves.
+		// An instance that starts long before the readers lists the objects itself.
 		is.True(lists.Load() <= n)
 		cancel()
 		running.Wait()
@@ -262,8 +262,8 @@
 	reachable atomic.Bool
 }
 
-// Touch implements Sink.
-func (s *reachabilitySink) Touch(reachable bool) { s.reachable.Store(reachable) }
+// SetReachable implements Sink.
+func (s *reachabilitySink) SetReachable(reachable bool) { s.reachable.Store(reachable) }
 
 // Guards against a follower that mistakes an unresponsive platform for one without changes
 // because its direct watches are short.
--- a/internal/objectwatch/testdomain_test.go
+++ b/internal/objectwatch/testdomain_test.go
@@ -36,7 +36,7 @@
 	store     *standin.Store
 	net       *peernet.Net
 	instances []*testInstance
-	// fleetKnownAt is when the instances know each other.
+	// fleetKnownAt is the time from which the instances know the list of instances.
 	fleetKnownAt time.Time
 }
 
@@ -83,16 +83,16 @@
 // Known implements Fleet.
 func (i *testInstance) Known() bool { return !time.Now().Before(i.domain.fleetKnownAt) }
 
-// Listed implements Sink.
-func (i *testInstance) Listed(objects []platform.Object) {
+// ApplyList implements Sink.
+func (i *testInstance) ApplyList(objects []platform.Object) {
 	i.mu.Lock()
 	i.names = make(map[string]bool)
 	i.mu.Unlock()
-	i.Changed(objects)
+	i.ApplyChanges(objects)
 }
 
-// Changed implements Sink.
-func (i *testInstance) Changed(objects []platform.Object) {
+// ApplyChanges implements Sink.
+func (i *testInstance) ApplyChanges(objects []platform.Object) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, o := range objects {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Touch implements Sink.
-func (i *testInstance) Touch(bool) {}
+// SetReachable implements Sink.
+func (i *testInstance) SetReachable(bool) {}
 
 func (i *testInstance) knows(name string) bool {
 	i.mu.Lock()
@@ -127,7 +127,7 @@
 	s := NewSharing(SharingConfig{API: api, Fleet: i, Caller: d.net.At(i.id), Clock: clock.System{},
 		Rand: rand.New(rand.NewPCG(uint64(k), 2)), Log: hclog.NewNullLogger()}, d.net.At(i.id))
 	shared := s.API(platform.KindUpstreams, maxAge)
-	c := Config{API: shared, Kind: platform.KindUpstreams, Sink: i, Clock: clock.System{}, Check: check,
+	c := Config{API: shared, Kind: platform.KindUpstreams, Sink: i, Clock: clock.System{}, CheckInterval: check,
 		Rand: rand.New(rand.NewPCG(uint64(k), 1)), Log: hclog.NewNullLogger()}
 	if check > 0 {
 		c.Peers = shared
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -103,7 +103,7 @@
 	}
 	objectwatch.New(objectwatch.Config{
 		API: r.Entries, Kind: platform.KindInstances, Sink: r, Clock: r.Clock, Log: r.Log,
-		Rand: random, Settle: watchPause,
+		Rand: random, WatchPause: watchPause,
 	}).Run(ctx)
 }
 
@@ -208,16 +208,16 @@
 	return r.API.Delete(ctx, platform.KindInstances, r.Self.ID, stored.Version)
 }
 
-// Listed implements objectwatch.Sink.
-func (r *Registry) Listed(objects []platform.Object) {
+// ApplyList implements objectwatch.Sink.
+func (r *Registry) ApplyList(objects []platform.Object) {
 	r.mu.Lock()
 	clear(r.entries)
 	r.mu.Unlock()
-	r.Changed(objects)
+	r.ApplyChanges(objects)
 }
 
-// Changed implements objectwatch.Sink. It ignores entries that cannot be decoded.
-func (r *Registry) Changed(objects []platform.Object) {
+// ApplyChanges implements objectwatch.Sink. It ignores entries that cannot be decoded.
+func (r *Registry) ApplyChanges(objects []platform.Object) {
 	r.mu.Lock()
 	for _, o := range objects {
 		r.applyObject(o)
@@ -265,6 +265,6 @@
 	return all
 }
 
-// Touch implements objectwatch.Sink. It does nothing: the last list stays in use while the
+// SetReachable implements objectwatch.Sink. It does nothing: the last list stays in use while the
 // platform is unreachable.
-func (r *Registry) Touch(bool) {}
+func (r *Registry) SetReachable(bool) {}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -38,15 +38,16 @@
 }
 
 func newRegistry(store platform.API, id, address string) (*Registry, *instanceRecorder) {
-	a := &instanceRecorder{}
+	recorder := &instanceRecorder{}
 	return New(Config{
-		API: store, Self: platform.Instance{ID: id, FailureDomain: "a", PeerAddress: address}, List: a,
+		API: store, Self: platform.Instance{ID: id, FailureDomain: "a", PeerAddress: address}, List: recorder,
 		Clock: clock.System{}, Seed: 1, Log: hclog.NewNullLogger(),
-	}), a
+	}), recorder
 }
 
-// Two instances start, the first with an entry that an earlier process left with another
-// address. Each must list both; after one stops, only the other is listed.
+// Two instances start. For the first one, an earlier process has left an entry with another
+// address, and a third entry cannot be decoded. Each must list the two instances; after one
+// stops, only the other is listed.
 func TestInstancesLearnOfEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/registry/sweeper_test.go
+++ b/internal/registry/sweeper_test.go
@@ -33,15 +33,15 @@
 	})
 	var lists []*instanceRecorder
 	for k := range n {
-		a := &instanceRecorder{}
+		recorder := &instanceRecorder{}
 		address := fmt.Sprint("peer-", k)
 		r := New(Config{
-			API: store, Self: platform.Instance{ID: fmt.Sprint("i", k), FailureDomain: "a", PeerAddress: address}, List: a,
+			API: store, Self: platform.Instance{ID: fmt.Sprint("i", k), FailureDomain: "a", PeerAddress: address}, List: recorder,
 			Clock: clock.System{}, Seed: uint64(k), Log: hclog.NewNullLogger(), Peers: net.At(address),
 		})
 		r.Register(net.At(address))
 		running.Go(func() { r.Run(ctx) })
-		lists = append(lists, a)
+		lists = append(lists, recorder)
 	}
 	time.Sleep(5 * time.Second)
 	return net, lists
@@ -71,12 +71,12 @@
 		is := is.New(t)
 		net, lists := startInstances(t, 8)
 		net.SetCut("peer-3", true)
-		seen := 8
+		fewest := 8
 		for range 60 {
 			time.Sleep(time.Second)
-			seen = min(seen, len(lists[0].last()))
+			fewest = min(fewest, len(lists[0].last()))
 		}
-		is.Equal(seen, 7)
+		is.Equal(fewest, 7)
 		net.SetCut("peer-3", false)
 		time.Sleep(3 * sweepInterval)
 		is.Equal(len(lists[0].last()), 8)
@@ -133,12 +133,12 @@
 			is.NoErr(err)
 			return platform.Object{Name: id, Value: value}
 		}
-		r.Listed([]platform.Object{entry("i2", "peer-2")})
+		r.ApplyList([]platform.Object{entry("i2", "peer-2")})
 		time.Sleep(time.Second)
-		r.Changed([]platform.Object{entry("i1", "peer-1")})
+		r.ApplyChanges([]platform.Object{entry("i1", "peer-1")})
 		time.Sleep(time.Minute)
 		is.Equal(api.puts.Load(), int64(0))
-		r.Changed([]platform.Object{{Name: "i1", Removed: true}})
+		r.ApplyChanges([]platform.Object{{Name: "i1", Removed: true}})
 		time.Sleep(time.Minute)
 		is.Equal(api.puts.Load(), int64(1))
 		cancel()
