--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -82,9 +82,10 @@
 	return nil
 }
 
-// checkServable returns an error when w must fail at once: no connection of the workspace
-// exists, and the member is in backoff because it could not be reached, or because it is
-// full and will not be tried again before w's deadline or has refused repeatedly.
+// checkServable returns an error when w must fail at once. This requires that no connection
+// of the workspace exists and that the member is in backoff. A member that could not be
+// reached then fails w in any case; a full one does so if the backoff does not end before
+// w's deadline or if it has refused at least two openings in a row.
 func (p *Limited) checkServable(m *memberState, w *waiter) *result.Error {
 	if counts := m.workspaces[w.workspace]; counts != nil && counts.total() > 0 {
 		return nil
--- a/internal/pool/dispatch.go
+++ b/internal/pool/dispatch.go
@@ -10,9 +10,9 @@
 // closings for the others as far as the limits allow. It runs with p.mu held, after every
 // change of the pool's state.
 //
-// A waiter whose member has no idle connection is assigned to an opening in progress, or to
-// a closing that frees capacity for one. Each is assigned to one waiter, so that ten
-// waiters cause at most ten openings and one waiter only one.
+// A waiter for whom there is no idle connection is assigned to an opening in progress, or to
+// a closing that frees capacity for one. Each opening or closing is assigned to only one
+// waiter, so ten waiters cause at most ten openings, and one waiter only one.
 func (p *Limited) dispatch() {
 	defer func() { p.gauges.set(p.stats()) }()
 	if p.waiters.Len() == 0 {
@@ -118,7 +118,7 @@
 }
 
 // closeIdleOverLimit closes idle connections until the limit is met or none is idle. Each
-// is taken from the member that then has the most.
+// time it takes one from the member that has the most idle connections at that point.
 func (p *Limited) closeIdleOverLimit() {
 	for p.total()-p.closing > p.limit && p.idle > 0 {
 		var most *memberState
@@ -142,8 +142,8 @@
 
 // refuseWaiters fails the waiters for the member that match refuse with err.
 func (p *Limited) refuseWaiters(m *memberState, refuse func(*waiter) bool, err *result.Error) {
-	ended := func(w *waiter) bool { return w.address == m.address && refuse(w) }
-	for _, w := range p.waiters.TakeWhere(p.waiters.Len(), ended) {
+	matches := func(w *waiter) bool { return w.address == m.address && refuse(w) }
+	for _, w := range p.waiters.TakeWhere(p.waiters.Len(), matches) {
 		w.granted <- grant{err: err}
 	}
 }
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -14,7 +14,7 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// after sleeps in virtual time.
+// sleep sleeps in virtual time.
 func sleep(d time.Duration) {
 	_ = clock.Sleep(context.Background(), clock.System{}, d)
 }
@@ -119,8 +119,8 @@
 
 func TestSettleWaitsForConfirmedCloses(t *testing.T) {
 	// Half of a share is to be lent to another instance. Idle connections are closed first,
-	// those in use when they are released; Settle must return only when the members hold no
-	// more than the new limit, or the share would be lent too early.
+	// those in use when they are released. Settle must return only when the members hold no
+	// more than the new limit: otherwise the share would be lent too early.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
--- a/internal/pool/gauges.go
+++ b/internal/pool/gauges.go
@@ -7,9 +7,9 @@
 	limit, idle, inUse, opening, probing, closing, waiting prometheus.Gauge
 }
 
-// gauges returns the gauges of a group. The label lookup is done once, because the gauges
+// gaugesFor returns the gauges of a group. The label lookup is done once, because the gauges
 // are set on each Acquire and Release.
-func (m *Metrics) gauges(group string) gauges {
+func (m *Metrics) gaugesFor(group string) gauges {
 	with := func(state string) prometheus.Gauge {
 		return m.connections.WithLabelValues(group, state)
 	}
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -119,7 +119,8 @@
 	p.dispatch()
 }
 
-// startProbe starts a probe of a connection that is not in any count.
+// startProbe starts a probe of a connection that the caller has removed from the counts of its
+// previous state.
 func (p *Limited) startProbe(pc *pooledConn) {
 	if p.cfg.Probe == nil {
 		p.startClose(pc, closedProbeFailed)
@@ -150,7 +151,8 @@
 	p.dispatch()
 }
 
-// startClose starts closing a connection that is not in any count.
+// startClose starts closing a connection that the caller has removed from the counts of its
+// previous state.
 func (p *Limited) startClose(pc *pooledConn, reason string) {
 	pc.state = stateClosing
 	p.closing++
@@ -160,8 +162,8 @@
 
 // closeConn closes a connection and keeps counting it until the member has confirmed the
 // closing or CloseTimeout has passed. If it stopped counting at once, the member could see
-// one connection more than the limit until it has processed the end of the old one. After
-// CloseTimeout only the member's own limit protects it.
+// one connection more than the limit until it has processed the end of the old one. If the
+// member still holds it after CloseTimeout, only the member's own limit prevents this.
 func (p *Limited) closeConn(pc *pooledConn) {
 	started := p.cfg.Clock.Now()
 	confirmed := p.closeAndConfirm(pc)
--- a/internal/pool/limited.go
+++ b/internal/pool/limited.go
@@ -52,7 +52,7 @@
 		log:           cfg.Logger.Named("pool"),
 		background:    ctx,
 		stop:          stop,
-		gauges:        cfg.Metrics.gauges(cfg.Group),
+		gauges:        cfg.Metrics.gaugesFor(cfg.Group),
 		limit:         cfg.Limit,
 		conns:         make(map[wire.Conn]*pooledConn),
 		members:       make(map[string]*memberState),
@@ -96,9 +96,9 @@
 	return m
 }
 
-// suspectWindow is how much later than a silent connection another one may have been opened
-// and still count as being of the same age: a pool that fills up opens its connections
-// within such a time.
+// suspectWindow bounds the age difference at which a silent connection makes others suspect:
+// those that were opened up to this much later count as being of the same age, because a
+// pool that fills up opens its connections within such a time.
 const suspectWindow = time.Minute
 
 // Suspect implements Pool. Idle connections of that age are probed now and concurrently:
@@ -125,14 +125,14 @@
 
 // ProbeIdle implements Pool. A network device that drops connection state rarely does so
 // for one member only. If the connections to other members were not probed, requests would
-// detect the silent ones member by member, each at the cost of a statement timeout and of a
-// slot that is held for as long.
-func (p *Limited) ProbeIdle(since time.Time) {
+// detect the silent ones member by member, and each such request would cost a statement
+// timeout and hold a slot for as long.
+func (p *Limited) ProbeIdle(cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
 		for _, pc := range m.idle {
-			pc.suspect = pc.suspect || pc.idleSince.Before(since)
+			pc.suspect = pc.suspect || pc.idleSince.Before(cutoff)
 		}
 		p.probeSuspects(m)
 	}
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -20,8 +20,8 @@
 	replacing int
 	// workspaces holds the same counts by workspace.
 	workspaces map[string]*workspaceCounts
-	// backoff is the backoff after the last failed opening before jitter; zero after one
-	// that succeeded.
+	// backoff is the length, before jitter, of the backoff after the last failed opening;
+	// zero after an opening that succeeded.
 	backoff      time.Duration
 	backoffUntil time.Time
 	// reportedFull reports that the last opening failed because the member returned "too
@@ -89,8 +89,8 @@
 	return m.reportedFull && m.backoff > minBackoff
 }
 
-// extendBackoff starts a backoff after a failed opening: exponential, and jittered between
-// half of it and the whole.
+// extendBackoff starts a backoff after a failed opening. It is twice as long as the previous
+// one, within the bounds, and jittered between half of that and the whole.
 func (m *memberState) extendBackoff(now time.Time, r *rand.Rand, minBackoff, maxBackoff time.Duration) {
 	m.backoff = min(max(2*m.backoff, minBackoff), maxBackoff)
 	half := m.backoff / 2
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -29,10 +29,10 @@
 	// Suspect reports that a connection to address, opened at opened, stopped responding:
 	// all connections of the same age are probed before they are used again.
 	Suspect(address string, opened time.Time)
-	// ProbeIdle probes every connection, to any member, that has been idle since before
-	// since. It is called when there are signs that a network device between this instance
+	// ProbeIdle probes every idle connection, to any member, that became idle before
+	// cutoff. It is called when there are signs that a network device between this instance
 	// and the members has dropped connection state.
-	ProbeIdle(since time.Time)
+	ProbeIdle(cutoff time.Time)
 	// Full reports whether statements for the member at address are refused because it
 	// accepts no connections and the pool has none to it.
 	Full(address string) bool
--- a/internal/pool/statemachine_test.go
+++ b/internal/pool/statemachine_test.go
@@ -103,9 +103,9 @@
 	m.pool.SetLimit(n)
 }
 
-// check collects the acquired connections and compares the pool's counts with those of the
+// checkInvariants collects the acquired connections and compares the pool's counts with those of the
 // members.
-func (m *stateMachine) check(t *rapid.T) {
+func (m *stateMachine) checkInvariants(t *rapid.T) {
 	synctest.Wait()
 	for len(m.acquired) > 0 {
 		m.waiting--
@@ -138,7 +138,7 @@
 // afterwards.
 func (m *stateMachine) finish(t *rapid.T) {
 	sleep(time.Second)
-	m.check(t)
+	m.checkInvariants(t)
 	if m.waiting != 0 {
 		t.Fatalf("%d callers wait past their deadline", m.waiting)
 	}
@@ -181,7 +181,7 @@
 			"silence": m.silenceHeld,
 			"leave":   m.setLeaving,
 			"limit":   m.setLimit,
-			"":        m.check,
+			"":        m.checkInvariants,
 		})
 		m.finish(t)
 	})
--- a/internal/pool/trim.go
+++ b/internal/pool/trim.go
@@ -22,9 +22,9 @@
 }
 
 // trimMember closes, for each workspace, as many idle connections as were idle during the
-// whole interval, but keeps at least one connection. Keeping one spare connection more in
-// each of seven instances used a third of a member's connection limit, and none was free in
-// the first seconds after all instances had lost power.
+// whole interval, but keeps at least one connection. It keeps no spare one: with a spare
+// connection in each of seven instances, the spares took a third of a member's connection
+// limit, and none was free in the first seconds after all instances had lost power.
 func (p *Limited) trimMember(m *memberState) {
 	for workspace, counts := range m.workspaces {
 		surplus := min(counts.minIdle, counts.idle, counts.total()-1)
--- a/internal/shares/acquire.go
+++ b/internal/shares/acquire.go
@@ -16,7 +16,7 @@
 	case mine == nil && m.Seated():
 		return m.closeLostShare(ctx)
 	case mine != nil && mine.Target.IsZero():
-		return m.leaveRemovedShare(ctx)
+		return m.releaseRemovedShare(ctx)
 	case mine != nil && mine.Mark != nil:
 		m.changeLedger(ctx, changeRemoveMark, m.removeMark)
 	}
@@ -61,7 +61,7 @@
 }
 
 // applyNewerAllocation applies the allocation of the service document to the ledger.
-// Only a newer document counts, so an instance with an old one changes nothing.
+// An instance whose document is no newer than the ledger's changes nothing.
 func (m *Manager) applyNewerAllocation(l *Ledger) bool {
 	a := m.currentAllocation()
 	if a.Document <= l.DocumentVersion {
@@ -85,9 +85,10 @@
 	return false
 }
 
-// leaveRemovedShare releases a share that the service document no longer provides for.
-// Its remaining size may be too small for the control connections.
-func (m *Manager) leaveRemovedShare(ctx context.Context) bool {
+// releaseRemovedShare releases a share that the service document no longer provides for.
+// It cannot keep the share, whose remaining size may be too small for the control
+// connections.
+func (m *Manager) releaseRemovedShare(ctx context.Context) bool {
 	if m.waitWithinLimits(ctx) == nil {
 		m.setShareHeld(false)
 		if err := m.releaseShare(ctx); err != nil {
@@ -97,8 +98,9 @@
 	return false
 }
 
-// takeFreeShare takes the failure domain's share if it is free, otherwise a free
-// reserve share. An instance with a reserve share moves to the domain's share.
+// takeFreeShare takes the failure domain's share if it is free, also when this instance
+// already has a reserve share. An instance without a share otherwise takes a free reserve
+// share.
 func (m *Manager) takeFreeShare(l *Ledger) bool {
 	mine := l.shareOf(m.self)
 	for i := range l.Shares {
@@ -123,12 +125,12 @@
 // share becomes no smaller than the previous one, whose connections stay open.
 func (m *Manager) moveToShare(l *Ledger, from, to *Share) bool {
 	if from != nil {
-		left := from.Size.Min(from.Target)
-		if !left.Within(to.Size) {
+		remaining := from.Size.Min(from.Target)
+		if !remaining.Within(to.Size) {
 			return false
 		}
-		to.Size = to.Size.Plus(from.Size.Minus(left))
-		from.Size = left
+		to.Size = to.Size.Plus(from.Size.Minus(remaining))
+		from.Size = remaining
 		from.setHolder(nil)
 	}
 	self := m.self
--- a/internal/shares/apply.go
+++ b/internal/shares/apply.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// adoptLedger puts the size of this instance's share in the ledger into effect. It must
-// be called only while no change by this instance is unconfirmed. An older version of
+// adoptLedger sets the limits to the size that the ledger gives this instance's share. It
+// must be called only while no change by this instance is unconfirmed. An older version of
 // the ledger is as safe as the newest one, because only this instance lowers the size
 // of its share.
 func (m *Manager) adoptLedger(l Ledger) {
@@ -24,8 +24,8 @@
 		m.setShareHeld(true)
 		m.announceHeld(true)
 	case m.Seated():
-		// The share was given to another instance after this process had been
-		// unreachable for longer than HolderExpiry.
+		// Another instance took the share after this process had been unreachable for
+		// longer than HolderExpiry.
 		m.log.Warn("Lost the share, closing all connections.", "group", m.cfg.Group)
 		m.applyLimits(Amount{})
 		m.announceHeld(false)
@@ -46,7 +46,7 @@
 // applyLimits sets the limits of the resources.
 func (m *Manager) applyLimits(size Amount) {
 	m.mu.Lock()
-	m.size = size
+	m.limit = size
 	m.mu.Unlock()
 	m.cfg.Connections.Set(max(size.Connections-m.cfg.Control, 0))
 	m.cfg.Slots.Set(size.Slots)
@@ -62,10 +62,11 @@
 	return m.cfg.Slots.Settle(ctx)
 }
 
-// changeLedger updates the ledger, adopts the result, and counts the change. It calls
-// the platform only if edit changes the ledger read last.
+// changeLedger updates the ledger, adopts the result, and counts the change. It reports
+// whether the change was stored. It calls the platform only if edit would change the
+// ledger as last read.
 func (m *Manager) changeLedger(ctx context.Context, kind string, edit func(*Ledger) bool) bool {
-	if seen := m.ledger.clone(); !edit(&seen) {
+	if preview := m.ledger.clone(); !edit(&preview) {
 		return false
 	}
 	l, stored, err := m.store.update(ctx, edit)
--- a/internal/shares/borrowing.go
+++ b/internal/shares/borrowing.go
@@ -25,7 +25,7 @@
 		return
 	}
 	m.notifyRefusedBorrowers(ctx)
-	if !m.consumeOffer() && now.Before(m.nextBorrowAt) {
+	if !m.consumeNotice() && now.Before(m.nextBorrowAt) {
 		return
 	}
 	want := Amount{m.connectionUsage.shortage(), m.slotUsage.shortage()}
@@ -62,7 +62,8 @@
 	if m.changeLedger(call, changeBorrow, func(l *Ledger) bool { return m.borrowFromFreeShares(l, want) }) {
 		return
 	}
-	// This runs in its own goroutine because two holders may ask each other.
+	// This runs in its own goroutine: if two holders asked each other in the
+	// goroutine of Run, neither could answer.
 	go m.borrowFromHolders(ctx, m.possibleLenders(want), want)
 }
 
@@ -103,7 +104,7 @@
 
 // borrowFromHolders asks holders one after the other until one lends. If it asked only
 // one per attempt, busy holders could hide an idle one for several backoffs. The answer
-// only indicates that the ledger should be read.
+// is not used to raise the limits: the ledger is read afterwards in any case.
 func (m *Manager) borrowFromHolders(ctx context.Context, addresses []string, want Amount) {
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
--- a/internal/shares/close.go
+++ b/internal/shares/close.go
@@ -42,8 +42,8 @@
 			return false
 		}
 		s.setHolder(nil)
-		extra := s.Size.ExcessOver(s.Target)
-		s.Size = s.Size.Minus(extra).Plus(l.fillToTargets(s.Name, extra))
+		excess := s.Size.ExcessOver(s.Target)
+		s.Size = s.Size.Minus(excess).Plus(l.fillToTargets(s.Name, excess))
 		return true
 	})
 	if stored {
--- a/internal/shares/config.go
+++ b/internal/shares/config.go
@@ -18,8 +18,8 @@
 	DefaultSampleInterval  = 100 * time.Millisecond
 	DefaultLendTimeout     = 200 * time.Millisecond
 	DefaultCallTimeout     = time.Second
-	// DefaultHolderExpiry is long compared with any pause after which a holder resumes,
-	// and short compared with losing a share for a day.
+	// DefaultHolderExpiry is longer than any pause after which a holder resumes, and
+	// short enough that the share of a lost holder is not unusable for a day.
 	DefaultHolderExpiry = 10 * time.Minute
 )
 
--- a/internal/shares/even.go
+++ b/internal/shares/even.go
@@ -8,8 +8,8 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// Even is an equal part of the connections that each member accepts. It is computed from
-// the number of instances that serve the group and needs no ledger. It fits members that
+// Even is a share without a ledger: an equal part of the connections that each member
+// accepts, computed from the number of instances that serve the group. It fits members that
 // limit their connections themselves and refuse excess connections without harm. Two
 // instances may briefly disagree about how many instances serve the group; a member then
 // refuses a connection and the pool waits, which costs less than a ledger that every
@@ -23,9 +23,9 @@
 // other half.
 type Even struct {
 	Clock clock.Clock
-	// Linger is how long a member counts connections whose other end has vanished.
-	// After this time the share has its full size; with zero it starts with the full
-	// size.
+	// Linger is how long a member counts connections whose other end has vanished. The
+	// share has half its size for this time after the start, and its full size
+	// afterwards; with zero it starts with the full size.
 	Linger time.Duration
 	// Connections is limited by the share.
 	Connections Resource
--- a/internal/shares/even_test.go
+++ b/internal/shares/even_test.go
@@ -19,26 +19,26 @@
 	perMember int
 }
 
-func (b *recordedLimits) Set(limit int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.total = limit
+func (r *recordedLimits) Set(limit int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.total = limit
 }
 
-func (b *recordedLimits) Settle(context.Context) error { return nil }
+func (r *recordedLimits) Settle(context.Context) error { return nil }
 
-func (b *recordedLimits) Use() (inUse, waiting int) { return 0, 0 }
+func (r *recordedLimits) Use() (inUse, waiting int) { return 0, 0 }
 
-func (b *recordedLimits) setPerMember(perMember int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.perMember = perMember
+func (r *recordedLimits) setPerMember(perMember int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.perMember = perMember
 }
 
-func (b *recordedLimits) current() (total, perMember int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.total, b.perMember
+func (r *recordedLimits) current() (total, perMember int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.total, r.perMember
 }
 
 // All instances lose power and restart a second later. Members count the lost
--- a/internal/shares/fakeinstance_test.go
+++ b/internal/shares/fakeinstance_test.go
@@ -35,75 +35,75 @@
 
 // startInstance starts a new process of an instance.
 func (sim *simulation) startInstance(id, domain string) *fakeInstance {
-	m := sim.newInstance(id, domain)
-	m.runManager()
-	return m
+	inst := sim.newInstance(id, domain)
+	inst.runManager()
+	return inst
 }
 
 // newInstance creates a process without running its manager.
 func (sim *simulation) newInstance(id, domain string) *fakeInstance {
 	sim.mu.Lock()
 	old := sim.instances[id]
-	m := &fakeInstance{sim: sim, id: id, domain: domain}
+	inst := &fakeInstance{sim: sim, id: id, domain: domain}
 	if old != nil {
-		m.incarnation = old.incarnation + 1
+		inst.incarnation = old.incarnation + 1
 	}
 	sim.inventory[id] = true
 	sim.instancesCreated++
 	serial := sim.instancesCreated
 	sim.mu.Unlock()
-	m.connections = &fakeResource{instance: m, unit: Amount{Connections: 1}}
-	m.slots = &fakeResource{instance: m, unit: Amount{Slots: 1}}
-	self := Holder{Instance: id, Incarnation: m.incarnationName(), Address: id, FailureDomain: domain}
-	m.manager = New(Config{
+	inst.connections = &fakeResource{instance: inst, unit: Amount{Connections: 1}}
+	inst.slots = &fakeResource{instance: inst, unit: Amount{Slots: 1}}
+	self := Holder{Instance: id, Incarnation: inst.incarnationName(), Address: id, FailureDomain: domain}
+	inst.manager = New(Config{
 		Group:        testGroup,
 		Self:         self,
 		Clock:        clock.System{},
 		Rand:         rand.New(rand.NewPCG(serial, 7)),
-		Platform:     instancePlatform{sim, m},
-		Peers:        instancePeers{sim, m},
-		Connections:  m.connections,
-		Slots:        m.slots,
+		Platform:     instancePlatform{sim, inst},
+		Peers:        instancePeers{sim, inst},
+		Connections:  inst.connections,
+		Slots:        inst.slots,
 		Control:      testControl,
 		HolderExpiry: sim.holderExpiry,
 
 		SampleInterval: sim.sampleInterval,
-		SeatChanged:    m.setControlConnections,
+		SeatChanged:    inst.setControlConnections,
 	}, Allocation{Document: 1, Total: total, FailureDomains: []string{"poa-a", "poa-b", "fln-c"}})
-	m.directory = NewDirectory(m.incarnationName())
-	m.directory.Add(m.manager)
-	sim.locked(func() { sim.instances[id] = m })
-	return m
+	inst.directory = NewDirectory(inst.incarnationName())
+	inst.directory.Add(inst.manager)
+	sim.withLock(func() { sim.instances[id] = inst })
+	return inst
 }
 
-func (m *fakeInstance) runManager() {
+func (inst *fakeInstance) runManager() {
 	ctx, stop := context.WithCancel(context.Background())
-	m.stop = stop
-	go m.manager.Run(ctx)
+	inst.stop = stop
+	go inst.manager.Run(ctx)
 }
 
 func (m *fakeInstance) incarnationName() string { return m.id + "/" + string(rune('a'+m.incarnation)) }
 
 // setControlConnections opens or closes the control connections.
-func (m *fakeInstance) setControlConnections(held bool) {
-	m.sim.mu.Lock()
-	killed := m.killed
-	m.sim.mu.Unlock()
+func (inst *fakeInstance) setControlConnections(held bool) {
+	inst.sim.mu.Lock()
+	killed := inst.killed
+	inst.sim.mu.Unlock()
 	switch {
 	case killed:
 	case held:
-		m.connections.addExtra(testControl)
+		inst.connections.addExtra(testControl)
 	default:
-		m.connections.addExtra(-testControl)
+		inst.connections.addExtra(-testControl)
 	}
 }
 
 // blockWhileFrozen blocks while the process is frozen, even if ctx ends: a frozen
 // process does not see its timers.
-func (m *fakeInstance) blockWhileFrozen(ctx context.Context) error {
-	m.sim.mu.Lock()
-	thawed, killed := m.frozen, m.killed
-	m.sim.mu.Unlock()
+func (inst *fakeInstance) blockWhileFrozen(ctx context.Context) error {
+	inst.sim.mu.Lock()
+	thawed, killed := inst.frozen, inst.killed
+	inst.sim.mu.Unlock()
 	if killed {
 		return errUnreachable
 	}
@@ -113,55 +113,55 @@
 	return ctx.Err()
 }
 
-func (m *fakeInstance) freeze() {
-	m.sim.mu.Lock()
-	defer m.sim.mu.Unlock()
-	if m.frozen == nil {
-		m.frozen = make(chan struct{})
+func (inst *fakeInstance) freeze() {
+	inst.sim.mu.Lock()
+	defer inst.sim.mu.Unlock()
+	if inst.frozen == nil {
+		inst.frozen = make(chan struct{})
 	}
 }
 
-func (m *fakeInstance) thaw() {
-	m.sim.mu.Lock()
-	defer m.sim.mu.Unlock()
-	if m.frozen != nil {
-		close(m.frozen)
-		m.frozen = nil
+func (inst *fakeInstance) thaw() {
+	inst.sim.mu.Lock()
+	defer inst.sim.mu.Unlock()
+	if inst.frozen != nil {
+		close(inst.frozen)
+		inst.frozen = nil
 	}
 }
 
 // kill ends the process at once; the operating system closes its connections.
-func (m *fakeInstance) kill() {
-	m.sim.mu.Lock()
-	m.killed = true
-	m.sim.mu.Unlock()
-	m.stop()
-	m.thaw()
-	m.connections.releaseAll()
-	m.slots.releaseAll()
+func (inst *fakeInstance) kill() {
+	inst.sim.mu.Lock()
+	inst.killed = true
+	inst.sim.mu.Unlock()
+	inst.stop()
+	inst.thaw()
+	inst.connections.releaseAll()
+	inst.slots.releaseAll()
 }
 
 // shutdown stops the process gracefully. It returns an error if the share was not
 // released.
-func (m *fakeInstance) shutdown(timeout time.Duration) error {
-	m.connections.setDemand(0)
-	m.slots.setDemand(0)
-	m.stop()
+func (inst *fakeInstance) shutdown(timeout time.Duration) error {
+	inst.connections.setDemand(0)
+	inst.slots.setDemand(0)
+	inst.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	err := m.manager.Close(ctx)
-	m.kill()
+	err := inst.manager.Close(ctx)
+	inst.kill()
 	return err
 }
 
 // instancePeers is the peer network as seen by one instance.
 type instancePeers struct {
 	*simulation
-	m *fakeInstance
+	instance *fakeInstance
 }
 
 func (p instancePeers) Call(ctx context.Context, address, method string, params, reply any) error {
-	if err := p.m.blockWhileFrozen(ctx); err != nil {
+	if err := p.instance.blockWhileFrozen(ctx); err != nil {
 		return err
 	}
 	if err := clock.Sleep(ctx, clock.System{}, callLatency); err != nil {
@@ -169,7 +169,7 @@
 	}
 	p.mu.Lock()
 	callee := p.instances[address]
-	cut := callee == nil || callee.killed || callee.peersCut || p.m.peersCut
+	cut := callee == nil || callee.killed || callee.peersCut || p.instance.peersCut
 	var drop bool
 	if !cut {
 		drop, callee.dropNextAnswer = callee.dropNextAnswer, false
@@ -190,17 +190,17 @@
 		<-ctx.Done()
 		return errUnreachable
 	}
-	if err := p.m.blockWhileFrozen(ctx); err != nil {
+	if err := p.instance.blockWhileFrozen(ctx); err != nil {
 		return err
 	}
 	return json.Unmarshal(answer, reply)
 }
 
 // waitThawed waits until a frozen callee thaws or the caller's ctx ends.
-func (m *fakeInstance) waitThawed(ctx context.Context) error {
-	m.sim.mu.Lock()
-	thawed := m.frozen
-	m.sim.mu.Unlock()
+func (inst *fakeInstance) waitThawed(ctx context.Context) error {
+	inst.sim.mu.Lock()
+	thawed := inst.frozen
+	inst.sim.mu.Unlock()
 	if thawed == nil {
 		return nil
 	}
@@ -212,9 +212,9 @@
 	}
 }
 
-func (m *fakeInstance) serveCall(ctx context.Context, method string, params any) ([]byte, error) {
+func (inst *fakeInstance) serveCall(ctx context.Context, method string, params any) ([]byte, error) {
 	handlers := handlerMap{}
-	m.directory.Register(handlers)
+	inst.directory.Register(handlers)
 	q, err := json.Marshal(params)
 	if err != nil {
 		return nil, err
--- a/internal/shares/fakeplatform_test.go
+++ b/internal/shares/fakeplatform_test.go
@@ -11,11 +11,11 @@
 // instancePlatform is the platform as seen by one instance.
 type instancePlatform struct {
 	*simulation
-	m *fakeInstance
+	instance *fakeInstance
 }
 
 func (p instancePlatform) simulateCall(ctx context.Context) error {
-	if err := p.m.blockWhileFrozen(ctx); err != nil {
+	if err := p.instance.blockWhileFrozen(ctx); err != nil {
 		return err
 	}
 	if err := clock.Sleep(ctx, clock.System{}, callLatency); err != nil {
@@ -23,7 +23,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.platformDown || p.m.platformCut {
+	if p.platformDown || p.instance.platformCut {
 		return platform.ErrUnavailable
 	}
 	return nil
@@ -37,7 +37,7 @@
 	p.reads++
 	object := p.object
 	p.mu.Unlock()
-	if err := p.m.blockWhileFrozen(ctx); err != nil {
+	if err := p.instance.blockWhileFrozen(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	if object.Version == 0 {
@@ -51,7 +51,7 @@
 		return platform.Object{}, err
 	}
 	object, err := p.putWithFault(value, ifVersion)
-	if frozen := p.m.blockWhileFrozen(ctx); frozen != nil {
+	if frozen := p.instance.blockWhileFrozen(ctx); frozen != nil {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
 	return object, err
@@ -94,8 +94,8 @@
 	sim.newestLedger = l
 	sim.object.Version++
 	sim.object.Value = value
-	for _, m := range sim.instances {
-		sim.checkHeld(m)
+	for _, inst := range sim.instances {
+		sim.checkHeld(inst)
 	}
 	return nil
 }
--- a/internal/shares/fakeresource_test.go
+++ b/internal/shares/fakeresource_test.go
@@ -17,7 +17,7 @@
 
 	mu       sync.Mutex
 	limit    int
-	wanted   int
+	demand   int
 	held     int
 	extra    int
 	closing  bool
@@ -26,7 +26,7 @@
 	stuck bool
 }
 
-// keepInUse makes the open connections stay in use for good.
+// keepInUse makes the open connections stay in use until the process ends.
 func (r *fakeResource) keepInUse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,7 +44,7 @@
 	r.reportHeld(n)
 }
 
-// reportHeld adds n to what members see.
+// reportHeld adds n units to what the simulation counts as held.
 func (r *fakeResource) reportHeld(n int) {
 	r.instance.sim.addHeld(r.instance, Amount{n * r.unit.Connections, n * r.unit.Slots})
 }
@@ -57,11 +57,11 @@
 	r.held, r.extra, r.released = 0, 0, true
 }
 
-// setDemand sets how much callers would use.
+// setDemand sets how many units callers would use if the limit allowed it.
 func (r *fakeResource) setDemand(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wanted = n
+	r.demand = n
 	r.adjust()
 }
 
@@ -77,7 +77,7 @@
 	if r.released {
 		return
 	}
-	if grow := min(r.wanted, r.limit) - r.held; grow > 0 && !r.closing {
+	if grow := min(r.demand, r.limit) - r.held; grow > 0 && !r.closing {
 		r.held += grow
 		r.reportHeld(grow)
 	}
@@ -130,5 +130,5 @@
 func (r *fakeResource) Use() (inUse, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return min(r.held, r.wanted), max(r.wanted-r.held, 0)
+	return min(r.held, r.demand), max(r.demand-r.held, 0)
 }
--- a/internal/shares/fixedshares_test.go
+++ b/internal/shares/fixedshares_test.go
@@ -6,16 +6,17 @@
 	"github.com/matryer/is"
 )
 
-func TestLendingAgainstFixedShares(t *testing.T) {
+func TestLendingAllowsMoreThanFixedShares(t *testing.T) {
 	// All callers connect through one failure domain. With fixed shares they get that
 	// domain's part of the total; with lending they also get what the others leave
-	// idle. Neither exceeds the total.
+	// idle. Neither exceeds the total. Cutting the instance off from its peers prevents
+	// lending, which leaves it its fixed share.
 	used := make(map[string]Amount)
 	for _, kind := range []string{"fixed", "lent"} {
 		runSimulated(t, func(is *is.I, sim *simulation) {
 			a, _, _ := sim.startThree()
 			if kind == "fixed" {
-				sim.locked(func() { a.peersCut = true })
+				sim.withLock(func() { a.peersCut = true })
 			}
 			a.connections.setDemand(30)
 			a.slots.setDemand(5)
--- a/internal/shares/freedcapacity_test.go
+++ b/internal/shares/freedcapacity_test.go
@@ -10,17 +10,17 @@
 
 func TestFreedCapacityIsUsableElsewhere(t *testing.T) {
 	// One instance's callers wait while another instance uses all of its share and then
-	// frees it. The holder keeps its recent peak for one to two windows, and the
-	// borrower retries at the end of its backoff. Each run frees the share at a
-	// different time relative to both.
+	// frees it. The holder lends nothing of its recent peak for one to two windows of
+	// peakWindow, and the borrower retries at the end of its backoff. Each run frees the
+	// share at a different time relative to both.
 	const longest = 3 * time.Minute
 	var delays []time.Duration
 	for i := range 30 {
 		runSimulated(t, func(is *is.I, sim *simulation) {
 			a, b, c := sim.startThree()
-			for _, m := range []*fakeInstance{b, c} {
-				m.connections.setDemand(m.connections.currentLimit())
-				m.slots.setDemand(m.slots.currentLimit())
+			for _, inst := range []*fakeInstance{b, c} {
+				inst.connections.setDemand(inst.connections.currentLimit())
+				inst.slots.setDemand(inst.slots.currentLimit())
 			}
 			a.connections.setDemand(30)
 			sleep(3*peakWindow + time.Duration(i)*337*time.Millisecond)
--- a/internal/shares/layout.go
+++ b/internal/shares/layout.go
@@ -26,8 +26,8 @@
 }
 
 // planShares returns the shares for an allocation. Reserve shares have the size of the
-// floor and no slots: a successor borrows slots, so an unused reserve share leaves no
-// slot idle. If the total is small, floors shrink first, then there are fewer reserve
+// floor and no slots: the instance that takes one borrows slots, so an unused reserve
+// share leaves no slot idle. If the total is small, floors shrink first, then there are fewer reserve
 // shares, and then some failure domains get no share; their instances forward requests
 // to the others.
 func planShares(a Allocation, control, reserve int) ([]Share, error) {
@@ -59,8 +59,8 @@
 	return shares, nil
 }
 
-// chooseFloor returns the number of connections in a floor and the number of reserve
-// shares that fit.
+// chooseFloor returns the number of connections in a floor, and how many of the wanted
+// reserve shares fit into the total.
 func chooseFloor(total, control, domains, reserve int) (floor, reserves int) {
 	for ; reserve > 0; reserve-- {
 		for pooled := preferredPooled; pooled >= minPooled; pooled-- {
@@ -105,8 +105,8 @@
 		merged = append(merged, planned)
 	}
 	for _, old := range l.Shares {
-		planned := slices.ContainsFunc(shares, func(s Share) bool { return s.Name == old.Name })
-		if !planned && !old.isFree() {
+		stillPlanned := slices.ContainsFunc(shares, func(s Share) bool { return s.Name == old.Name })
+		if !stillPlanned && !old.isFree() {
 			old.Target, old.Floor = Amount{}, Amount{}
 			merged = append(merged, old)
 		}
--- a/internal/shares/ledger.go
+++ b/internal/shares/ledger.go
@@ -114,13 +114,13 @@
 	changed := false
 	for i := range l.Shares {
 		s := &l.Shares[i]
-		over := s.Size.ExcessOver(s.Target)
-		if !s.isFree() || over.IsZero() {
+		overTarget := s.Size.ExcessOver(s.Target)
+		if !s.isFree() || overTarget.IsZero() {
 			continue
 		}
-		dropped := over.Min(l.Sum().ExcessOver(l.Total))
-		over = over.Minus(dropped)
-		moved := over.Minus(l.fillToTargets(s.Name, over))
+		dropped := overTarget.Min(l.Sum().ExcessOver(l.Total))
+		overTarget = overTarget.Minus(dropped)
+		moved := overTarget.Minus(l.fillToTargets(s.Name, overTarget))
 		s.Size = s.Size.Minus(dropped).Minus(moved)
 		changed = changed || !dropped.Plus(moved).IsZero()
 	}
--- a/internal/shares/lending_test.go
+++ b/internal/shares/lending_test.go
@@ -36,15 +36,15 @@
 	// lends them, so members never see one connection too many.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, c := sim.startThree()
-		machines := []*fakeInstance{a, b, c, sim.startInstance("a2", "poa-a"), sim.startInstance("b2", "poa-b")}
+		instances := []*fakeInstance{a, b, c, sim.startInstance("a2", "poa-a"), sim.startInstance("b2", "poa-b")}
 		sleep(5 * time.Second)
-		for _, m := range machines {
-			m.connections.setDemand(9)
+		for _, inst := range instances {
+			inst.connections.setDemand(9)
 		}
 		sleep(5 * time.Second)
 		is.Equal(sim.heldByMembers().Connections, total.Connections)
-		for _, m := range machines {
-			m.connections.setDemand(0)
+		for _, inst := range instances {
+			inst.connections.setDemand(0)
 		}
 		sleep(3 * peakWindow)
 		before := a.manager.Limit()
@@ -68,8 +68,8 @@
 		a.slots.setDemand(0)
 		sleep(3 * time.Minute)
 		l := sim.readLedger()
-		for _, m := range []*fakeInstance{a, b, c} {
-			is.Equal(m.manager.Limit(), l.shareOf(m.manager.self).Target)
+		for _, inst := range []*fakeInstance{a, b, c} {
+			is.Equal(inst.manager.Limit(), l.shareOf(inst.manager.self).Target)
 		}
 	})
 }
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			runSimulated(t, func(is *is.I, sim *simulation) {
 				a, b, c := sim.startThree()
-				sim.locked(func() { sim.nextFault = fault })
+				sim.withLock(func() { sim.nextFault = fault })
 				a.connections.setDemand(20)
 				for sim.faultPending() {
 					sleep(time.Millisecond)
@@ -94,8 +94,8 @@
 				sleep(30 * time.Second)
 				l := sim.readLedger()
 				is.Equal(l.Sum(), total)
-				for _, m := range []*fakeInstance{a, b, c} {
-					is.Equal(m.manager.Limit(), l.shareOf(m.manager.self).Size)
+				for _, inst := range []*fakeInstance{a, b, c} {
+					is.Equal(inst.manager.Limit(), l.shareOf(inst.manager.self).Size)
 				}
 			})
 		})
@@ -108,7 +108,7 @@
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, c := sim.startThree()
 		before := a.manager.Limit()
-		sim.locked(func() { b.dropNextAnswer, c.dropNextAnswer = true, true })
+		sim.withLock(func() { b.dropNextAnswer, c.dropNextAnswer = true, true })
 		a.connections.setDemand(20)
 		sleep(time.Minute)
 		is.True(a.manager.Limit().Connections > before.Connections)
--- a/internal/shares/manager.go
+++ b/internal/shares/manager.go
@@ -46,10 +46,11 @@
 	// then a peer that finds this instance in the ledger must not be told that it holds
 	// nothing: the peer would take the share, and both would use it.
 	claiming bool
-	// offerReceived is set when another holder has capacity to lend or returned some.
-	offerReceived bool
-	size          Amount
-	allocation    Allocation
+	// noticeReceived is set by another holder's notice that it has capacity to lend or
+	// returned some.
+	noticeReceived bool
+	limit          Amount
+	allocation     Allocation
 }
 
 // managersCreated numbers the Managers of this process. Manager IDs are not random: two
@@ -101,7 +102,7 @@
 func (m *Manager) Limit() Amount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.size
+	return m.limit
 }
 
 // Seated reports whether this instance holds a share of the group and so may open
@@ -148,18 +149,18 @@
 // Run reads the ledger and tries to borrow without waiting for its backoff.
 func (m *Manager) handleCapacityNotice() {
 	m.mu.Lock()
-	m.offerReceived = true
+	m.noticeReceived = true
 	m.mu.Unlock()
 	m.requestRefresh()
 }
 
-// consumeOffer reports whether a notice arrived since the last call.
-func (m *Manager) consumeOffer() bool {
+// consumeNotice reports whether a capacity notice arrived since the last call.
+func (m *Manager) consumeNotice() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	offered := m.offerReceived
-	m.offerReceived = false
-	return offered
+	received := m.noticeReceived
+	m.noticeReceived = false
+	return received
 }
 
 // requestRefresh makes Run read the ledger soon.
--- a/internal/shares/manager_test.go
+++ b/internal/shares/manager_test.go
@@ -33,10 +33,11 @@
 	})
 }
 
-// stop kills all processes and waits until their goroutines have ended.
+// stop kills all processes and waits a minute of virtual time, in which their goroutines
+// end.
 func (sim *simulation) stop() {
-	for _, m := range sim.instances {
-		m.kill()
+	for _, inst := range sim.instances {
+		inst.kill()
 	}
 	sleep(time.Minute)
 }
@@ -49,9 +50,9 @@
 }
 
 // shareName returns the name of the share that an instance holds.
-func (sim *simulation) shareName(m *fakeInstance) string {
+func (sim *simulation) shareName(inst *fakeInstance) string {
 	l := sim.readLedger()
-	if s := l.shareOf(m.manager.self); s != nil {
+	if s := l.shareOf(inst.manager.self); s != nil {
 		return s.Name
 	}
 	return ""
@@ -75,8 +76,8 @@
 	// share: no other domain may take it, and a suspect mark is not enough.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, _ := sim.startThree()
-		sim.locked(func() { a.platformCut, a.peersCut = true, true })
-		sim.locked(func() { delete(sim.inventory, "a1") })
+		sim.withLock(func() { a.platformCut, a.peersCut = true, true })
+		sim.withLock(func() { delete(sim.inventory, "a1") })
 		b.connections.setDemand(30)
 		before := a.manager.Limit()
 		sim.startInstance("b2", "poa-b")
@@ -94,14 +95,14 @@
 	// size.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, c := sim.startThree()
-		sim.locked(func() { sim.platformDown = true })
-		for _, m := range []*fakeInstance{a, b, c} {
-			m.connections.setDemand(30)
-			m.slots.setDemand(5)
+		sim.withLock(func() { sim.platformDown = true })
+		for _, inst := range []*fakeInstance{a, b, c} {
+			inst.connections.setDemand(30)
+			inst.slots.setDemand(5)
 		}
 		sleep(3 * DefaultHolderExpiry)
 		is.Equal(sim.heldByMembers(), a.manager.Limit().Plus(b.manager.Limit()).Plus(c.manager.Limit()))
-		sim.locked(func() { sim.platformDown = false })
+		sim.withLock(func() { sim.platformDown = false })
 		sleep(time.Minute)
 		is.Equal(sim.shareName(a), "poa-a")
 	})
@@ -135,7 +136,7 @@
 		is.True(replacement.manager.Limit().Slots >= 1)
 		sleep(20 * time.Minute)
 		is.Equal(sim.shareName(replacement), "reserve-1")
-		sim.locked(func() { delete(sim.inventory, "a1") })
+		sim.withLock(func() { delete(sim.inventory, "a1") })
 		sleep(DefaultHolderExpiry - time.Minute)
 		is.Equal(sim.shareName(replacement), "reserve-1")
 		sleep(5 * time.Minute)
@@ -152,11 +153,11 @@
 	// mark.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, _, _ := sim.startThree()
-		sim.locked(func() { delete(sim.inventory, "a1") })
+		sim.withLock(func() { delete(sim.inventory, "a1") })
 		sim.startInstance("a2", "poa-a")
 		sleep(3 * DefaultHolderExpiry)
 		is.Equal(sim.shareName(a), "poa-a")
-		sim.locked(func() { a.peersCut = true })
+		sim.withLock(func() { a.peersCut = true })
 		sleep(3 * DefaultHolderExpiry)
 		is.Equal(sim.shareName(a), "poa-a")
 	})
--- a/internal/shares/resource_test.go
+++ b/internal/shares/resource_test.go
@@ -47,7 +47,7 @@
 }
 
 // useRealResources replaces the fake resources of an instance that does not run yet.
-func (m *fakeInstance) useRealResources(fake *fakeMember) (*pool.Limited, *admission.Controller) {
+func (inst *fakeInstance) useRealResources(fake *fakeMember) (*pool.Limited, *admission.Controller) {
 	p := pool.New(pool.Config{
 		Group: testGroup,
 		Clock: clock.System{},
@@ -56,9 +56,9 @@
 		Close: fake.close,
 	})
 	g := admission.New(admission.Config{Group: testGroup, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(2, 2))})
-	m.manager.cfg.Connections, m.manager.cfg.Slots = Pool(p), Gate(g)
-	m.manager.cfg.Control = 0
-	m.manager.cfg.SeatChanged = func(bool) {}
+	inst.manager.cfg.Connections, inst.manager.cfg.Slots = Pool(p), Gate(g)
+	inst.manager.cfg.Control = 0
+	inst.manager.cfg.SeatChanged = func(bool) {}
 	return p, g
 }
 
@@ -72,10 +72,10 @@
 		fake := &fakeMember{}
 		var pools []*pool.Limited
 		for _, domain := range []string{"poa-a", "poa-b"} {
-			m := sim.newInstance(domain+"-1", domain)
-			p, _ := m.useRealResources(fake)
+			inst := sim.newInstance(domain+"-1", domain)
+			p, _ := inst.useRealResources(fake)
 			pools = append(pools, p)
-			m.runManager()
+			inst.runManager()
 		}
 		sleep(5 * time.Second)
 		for round := range 4 {
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -5,8 +5,8 @@
 	Name string `json:"name"`
 	// FailureDomain restricts who may take the share; empty for a reserve share.
 	FailureDomain string `json:"failure_domain,omitempty"`
-	// Size is what the holder may use now. Lending moves it away from Target, but never
-	// below Floor.
+	// Size is what the holder may use now. Loans move it away from Target: they lower
+	// the lender's Size, but never below its Floor, and raise the borrower's.
 	Size   Amount  `json:"size"`
 	Target Amount  `json:"target"`
 	Floor  Amount  `json:"floor"`
@@ -17,8 +17,8 @@
 	Mark *SuspectMark `json:"mark,omitempty"`
 }
 
-// SuspectMark identifies a suspicion that a share's holder has vanished and the
-// instance that raised it. A holder that reads it removes it.
+// SuspectMark records that an instance suspects a share's holder to have vanished. By is
+// that instance. A holder that reads the mark on its share removes it.
 type SuspectMark struct {
 	ID string `json:"id"`
 	By string `json:"by"`
--- a/internal/shares/simulation_test.go
+++ b/internal/shares/simulation_test.go
@@ -81,8 +81,8 @@
 	return l
 }
 
-// locked runs a change of the simulation while holding mu.
-func (sim *simulation) locked(change func()) {
+// withLock runs a change of the simulation while holding mu.
+func (sim *simulation) withLock(change func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	change()
@@ -102,27 +102,27 @@
 	return sim.held
 }
 
-// addHeld changes what members see of one instance.
-func (sim *simulation) addHeld(m *fakeInstance, a Amount) {
+// addHeld changes what members hold of one instance, and checks it against the shares.
+func (sim *simulation) addHeld(inst *fakeInstance, a Amount) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.held = sim.held.Plus(a)
 	sim.maxHeld = sim.maxHeld.Max(sim.held)
-	m.held = m.held.Plus(a)
-	sim.checkHeld(m)
+	inst.held = inst.held.Plus(a)
+	sim.checkHeld(inst)
 	if sum := sim.newestLedger.Sum(); (Amount{}).Within(a) && !sim.held.Within(sum) {
 		sim.recordViolation("members hold %+v, the shares sum to %+v", sim.held, sum)
 	}
 }
 
 // checkHeld checks that an instance holds no more than its share. The caller holds mu.
-func (sim *simulation) checkHeld(m *fakeInstance) {
+func (sim *simulation) checkHeld(inst *fakeInstance) {
 	var size Amount
-	if s := sim.newestLedger.shareOf(m.manager.self); s != nil {
+	if s := sim.newestLedger.shareOf(inst.manager.self); s != nil {
 		size = s.Size
 	}
-	if !m.held.Within(size) {
-		sim.recordViolation("%s holds %+v, its share is %+v", m.id, m.held, size)
+	if !inst.held.Within(size) {
+		sim.recordViolation("%s holds %+v, its share is %+v", inst.id, inst.held, size)
 	}
 }
 
--- a/internal/shares/statemachine_test.go
+++ b/internal/shares/statemachine_test.go
@@ -32,7 +32,7 @@
 
 func (f *fleet) pickInstance(t *rapid.T) *fakeInstance {
 	if len(f.running) == 0 {
-		t.Skip("no machine")
+		t.Skip("no instance runs")
 	}
 	return f.running[rapid.IntRange(0, len(f.running)-1).Draw(t, "machine")]
 }
@@ -40,107 +40,107 @@
 // startInstance starts a new instance that has the newest document.
 func (f *fleet) startInstance(t *rapid.T) {
 	if len(f.running) == maxInstances {
-		t.Skip("enough machines")
+		t.Skip("the maximum number of instances runs")
 	}
 	f.addInstance(rapid.SampledFrom(domains).Draw(t, "domain"))
 }
 
 func (f *fleet) addInstance(domain string) {
 	f.started++
-	m := f.sim.startInstance(fmt.Sprintf("%s-%d", domain, f.started), domain)
-	f.running = append(f.running, m)
-	m.manager.SetAllocation(f.allocation())
+	inst := f.sim.startInstance(fmt.Sprintf("%s-%d", domain, f.started), domain)
+	f.running = append(f.running, inst)
+	inst.manager.SetAllocation(f.allocation())
 }
 
 func (f *fleet) allocation() Allocation {
 	return Allocation{Document: f.document, Total: f.total, FailureDomains: domains}
 }
 
-func (f *fleet) removeInstance(m *fakeInstance) {
-	f.running = slices.DeleteFunc(f.running, func(o *fakeInstance) bool { return o == m })
+func (f *fleet) removeInstance(inst *fakeInstance) {
+	f.running = slices.DeleteFunc(f.running, func(o *fakeInstance) bool { return o == inst })
 }
 
 // vanish kills an instance for good.
 func (f *fleet) vanish(t *rapid.T) {
-	m := f.pickInstance(t)
-	m.kill()
-	f.removeInstance(m)
+	inst := f.pickInstance(t)
+	inst.kill()
+	f.removeInstance(inst)
 	if rapid.Bool().Draw(t, "unlisted") {
-		f.sim.locked(func() { delete(f.sim.inventory, m.id) })
+		f.sim.withLock(func() { delete(f.sim.inventory, inst.id) })
 	}
 }
 
 // restart kills a process and starts another one on the same instance.
 func (f *fleet) restart(t *rapid.T) {
-	m := f.pickInstance(t)
-	m.kill()
-	f.removeInstance(m)
-	f.running = append(f.running, f.sim.startInstance(m.id, m.domain))
+	inst := f.pickInstance(t)
+	inst.kill()
+	f.removeInstance(inst)
+	f.running = append(f.running, f.sim.startInstance(inst.id, inst.domain))
 }
 
 func (f *fleet) shutdown(t *rapid.T) {
-	m := f.pickInstance(t)
-	m.thaw()
-	_ = m.shutdown(2 * time.Second)
-	f.removeInstance(m)
+	inst := f.pickInstance(t)
+	inst.thaw()
+	_ = inst.shutdown(2 * time.Second)
+	f.removeInstance(inst)
 }
 
-func (f *fleet) freeze(t *rapid.T) {
-	m := f.pickInstance(t)
+func (f *fleet) freezeOrThaw(t *rapid.T) {
+	inst := f.pickInstance(t)
 	if oneInFour(t, "frozen") {
-		m.freeze()
+		inst.freeze()
 		return
 	}
-	m.thaw()
+	inst.thaw()
 }
 
 func (f *fleet) cutNetwork(t *rapid.T) {
-	m := f.pickInstance(t)
+	inst := f.pickInstance(t)
 	platform, peers := oneInFour(t, "platform"), oneInFour(t, "peers")
-	f.sim.locked(func() { m.platformCut, m.peersCut = platform, peers })
+	f.sim.withLock(func() { inst.platformCut, inst.peersCut = platform, peers })
 }
 
 func (f *fleet) setPlatformOutage(t *rapid.T) {
 	down := oneInFour(t, "down")
-	f.sim.locked(func() { f.sim.platformDown = down })
+	f.sim.withLock(func() { f.sim.platformDown = down })
 }
 
 func (f *fleet) changeInventory(t *rapid.T) {
-	m := f.pickInstance(t)
+	inst := f.pickInstance(t)
 	listed := rapid.Bool().Draw(t, "listed")
-	f.sim.locked(func() {
-		delete(f.sim.inventory, m.id)
+	f.sim.withLock(func() {
+		delete(f.sim.inventory, inst.id)
 		if listed {
-			f.sim.inventory[m.id] = true
+			f.sim.inventory[inst.id] = true
 		}
 	})
 }
 
-func (f *fleet) loseUpdate(t *rapid.T) {
+func (f *fleet) injectUpdateFault(t *rapid.T) {
 	fault := rapid.SampledFrom([]updateFault{loseAnswer, loseUpdate, delayUpdate}).Draw(t, "loss")
-	f.sim.locked(func() { f.sim.nextFault = fault })
+	f.sim.withLock(func() { f.sim.nextFault = fault })
 }
 
 func (f *fleet) deliverDelayed(*rapid.T) { f.sim.deliverDelayed() }
 
 func (f *fleet) dropAnswer(t *rapid.T) {
-	m := f.pickInstance(t)
-	f.sim.locked(func() { m.dropNextAnswer = true })
+	inst := f.pickInstance(t)
+	f.sim.withLock(func() { inst.dropNextAnswer = true })
 }
 
-func (f *fleet) demand(t *rapid.T) {
-	m := f.pickInstance(t)
-	m.connections.setDemand(rapid.IntRange(0, 40).Draw(t, "connections"))
-	m.slots.setDemand(rapid.IntRange(0, 5).Draw(t, "slots"))
+func (f *fleet) changeDemand(t *rapid.T) {
+	inst := f.pickInstance(t)
+	inst.connections.setDemand(rapid.IntRange(0, 40).Draw(t, "connections"))
+	inst.slots.setDemand(rapid.IntRange(0, 5).Draw(t, "slots"))
 }
 
 // editDocument gives a newer document to some of the instances.
 func (f *fleet) editDocument(t *rapid.T) {
 	f.document++
 	f.total = Amount{rapid.IntRange(20, 40).Draw(t, "connections"), rapid.IntRange(3, 8).Draw(t, "slots")}
-	for _, m := range f.running {
+	for _, inst := range f.running {
 		if rapid.Bool().Draw(t, "informed") {
-			m.manager.SetAllocation(f.allocation())
+			inst.manager.SetAllocation(f.allocation())
 		}
 	}
 }
@@ -153,8 +153,8 @@
 	sleep(time.Duration(rapid.IntRange(10, 40).Draw(t, "s")) * time.Second)
 }
 
-// oneInFour is true one time in four, so that most instances work most of the time and
-// faults have something to affect.
+// oneInFour is true one time in four: if faults were more frequent, most instances would be
+// faulty most of the time, and a new fault would change little.
 func oneInFour(t *rapid.T, name string) bool {
 	return rapid.IntRange(0, 3).Draw(t, name) == 0
 }
@@ -171,20 +171,20 @@
 // healAndVerify ends all faults. Every domain with an instance must then get its share
 // back, and the shares must sum to the total again.
 func (f *fleet) healAndVerify(t *rapid.T) {
-	f.sim.locked(func() {
+	f.sim.withLock(func() {
 		f.sim.platformDown, f.sim.nextFault = false, noFault
 		clear(f.sim.inventory)
-		for _, m := range f.running {
-			m.platformCut, m.peersCut = false, false
-			f.sim.inventory[m.id] = true
+		for _, inst := range f.running {
+			inst.platformCut, inst.peersCut = false, false
+			f.sim.inventory[inst.id] = true
 		}
 	})
 	f.sim.deliverDelayed()
-	for _, m := range f.running {
-		m.thaw()
-		m.connections.setDemand(0)
-		m.slots.setDemand(0)
-		m.manager.SetAllocation(f.allocation())
+	for _, inst := range f.running {
+		inst.thaw()
+		inst.connections.setDemand(0)
+		inst.slots.setDemand(0)
+		inst.manager.SetAllocation(f.allocation())
 	}
 	for range int(2*fleetHolderExpiry/time.Minute) + 10 {
 		sleep(time.Minute)
@@ -207,8 +207,8 @@
 		return fmt.Sprintf("the total is %+v, the ledger has %+v of %+v", f.total, l.Sum(), l.Total)
 	}
 	for _, domain := range domains {
-		if fault := f.findDomainProblem(domain, l); fault != "" {
-			return fault
+		if problem := f.findDomainProblem(domain, l); problem != "" {
+			return problem
 		}
 	}
 	return ""
@@ -217,7 +217,7 @@
 // hasOrphanedShare reports whether a share is held by an instance that no longer runs.
 func (f *fleet) hasOrphanedShare(l Ledger) bool {
 	for _, s := range l.Shares {
-		alive := slices.ContainsFunc(f.running, func(m *fakeInstance) bool { return s.Holder.sameAs(m.manager.self) })
+		alive := slices.ContainsFunc(f.running, func(inst *fakeInstance) bool { return s.Holder.sameAs(inst.manager.self) })
 		if !s.isFree() && !alive {
 			return true
 		}
@@ -231,14 +231,14 @@
 		return "no share of " + domain
 	}
 	inDomain, holds := 0, false
-	for _, m := range f.running {
-		if m.domain != domain {
+	for _, inst := range f.running {
+		if inst.domain != domain {
 			continue
 		}
 		inDomain++
-		holds = holds || s.Holder.sameAs(m.manager.self)
-		if mine := l.shareOf(m.manager.self); mine != nil && mine.Size != m.manager.Limit() {
-			return fmt.Sprintf("%s uses %+v of its share %+v", m.id, m.manager.Limit(), mine.Size)
+		holds = holds || s.Holder.sameAs(inst.manager.self)
+		if mine := l.shareOf(inst.manager.self); mine != nil && mine.Size != inst.manager.Limit() {
+			return fmt.Sprintf("%s uses %+v of its share %+v", inst.id, inst.manager.Limit(), mine.Size)
 		}
 	}
 	if inDomain > 0 && !holds {
@@ -275,16 +275,16 @@
 			"vanish":     f.vanish,
 			"restart":    f.restart,
 			"shutdown":   f.shutdown,
-			"freeze":     f.freeze,
+			"freeze":     f.freezeOrThaw,
 			"cut":        f.cutNetwork,
 			"outage":     f.setPlatformOutage,
 			"list":       f.changeInventory,
-			"loseUpdate": f.loseUpdate,
+			"loseUpdate": f.injectUpdateFault,
 			"late":       f.deliverDelayed,
 			"dropAnswer": f.dropAnswer,
-			"demand":     f.demand,
-			"demand2":    f.demand,
-			"demand3":    f.demand,
+			"demand":     f.changeDemand,
+			"demand2":    f.changeDemand,
+			"demand3":    f.changeDemand,
 			"edit":       f.editDocument,
 			"pass":       f.advance,
 			"pass2":      f.advance,
--- a/internal/shares/takeover.go
+++ b/internal/shares/takeover.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// prefersShare reports whether a held share would be better than what this instance
-// has.
+// prefersShare reports whether this instance would take a held share if its holder were
+// gone: the share of its own failure domain, or any reserve share if it has no share.
 func (m *Manager) prefersShare(s Share) bool {
 	if s.FailureDomain != "" {
 		return s.FailureDomain == m.self.FailureDomain
@@ -90,7 +90,8 @@
 }
 
 // hasExpired reports whether an unreachable holder's share may be taken without proof.
-// This process measures the time from when it first read the stored mark, and starts
+// If the holder is of this failure domain and the platform no longer lists it, hasExpired
+// also marks a share that has no mark yet. This process measures the time from when it first read the stored mark, and starts
 // again when the holder removes the mark.
 func (m *Manager) hasExpired(ctx context.Context, s Share) bool {
 	if s.Holder.FailureDomain != m.self.FailureDomain || m.isListed(ctx, s.Holder.Instance) {
@@ -102,12 +103,12 @@
 		return false
 	}
 	now := m.cfg.Clock.Now()
-	known := m.suspicions[s.Name]
-	if known.epoch != s.Epoch || known.markID != s.Mark.ID {
-		known = suspicion{epoch: s.Epoch, markID: s.Mark.ID, since: now}
-		m.suspicions[s.Name] = known
+	current := m.suspicions[s.Name]
+	if current.epoch != s.Epoch || current.markID != s.Mark.ID {
+		current = suspicion{epoch: s.Epoch, markID: s.Mark.ID, since: now}
+		m.suspicions[s.Name] = current
 	}
-	return now.Sub(known.since) >= m.cfg.HolderExpiry
+	return now.Sub(current.since) >= m.cfg.HolderExpiry
 }
 
 // markSuspect marks the holder of a share as suspected to have vanished.
--- a/internal/shares/target.go
+++ b/internal/shares/target.go
@@ -5,9 +5,10 @@
 	"sync"
 )
 
-// adjustToTarget moves the size of the share towards its target: down at once if the
-// total was lowered, down if the excess is idle, up if the total allows it. It returns
-// false if it should be called again soon.
+// adjustToTarget moves the size of the share towards its target. It lowers the size at
+// once if the shares exceed a lowered total, otherwise only as far as the excess is idle.
+// It raises the size as far as the total allows. It returns false if it should be called
+// again soon.
 func (m *Manager) adjustToTarget(ctx context.Context) bool {
 	mine := m.ledger.shareOf(m.self)
 	if mine == nil {
@@ -16,24 +17,24 @@
 	if m.changeLedger(ctx, changeTrimFreeShares, (*Ledger).trimFreeShares) {
 		return false
 	}
-	over := mine.Size.ExcessOver(mine.Target)
-	excess := m.ledger.Sum().ExcessOver(m.ledger.Total)
+	overTarget := mine.Size.ExcessOver(mine.Target)
+	overTotal := m.ledger.Sum().ExcessOver(m.ledger.Total)
 	switch {
-	case !excess.Min(over).IsZero():
-		return m.shrinkToTarget(ctx, mine.Size, over)
-	case !over.IsZero():
-		m.returnIdleCapacity(ctx, mine, over)
+	case !overTotal.Min(overTarget).IsZero():
+		return m.shrinkToTarget(ctx, mine.Size, overTarget)
+	case !overTarget.IsZero():
+		m.returnIdleCapacity(ctx, mine, overTarget)
 	default:
 		m.changeLedger(ctx, changeRaiseToTargets, (*Ledger).raiseToTargets)
 	}
 	return true
 }
 
-// shrinkToTarget gives up what a lowered total does not allow. It does not restore the
-// limits if connections in use are slow to close, because the document is already in
-// force.
-func (m *Manager) shrinkToTarget(ctx context.Context, before, over Amount) bool {
-	if !m.lowerLimits(ctx, before.Minus(over)) {
+// shrinkToTarget gives up what the share has above its target. If connections in use are
+// slow to close, it does not restore the limits, because the document with the lower
+// total is already in force.
+func (m *Manager) shrinkToTarget(ctx context.Context, before, overTarget Amount) bool {
+	if !m.lowerLimits(ctx, before.Minus(overTarget)) {
 		return false
 	}
 	return m.changeLedger(ctx, changeShrink, func(l *Ledger) bool {
@@ -41,15 +42,15 @@
 		if s == nil || s.Size != before {
 			return false
 		}
-		s.Size = before.Minus(over)
+		s.Size = before.Minus(overTarget)
 		return true
 	})
 }
 
 // returnIdleCapacity returns idle borrowed capacity to shares below their target.
-func (m *Manager) returnIdleCapacity(ctx context.Context, mine *Share, over Amount) {
+func (m *Manager) returnIdleCapacity(ctx context.Context, mine *Share, overTarget Amount) {
 	before := mine.Size
-	part := before.ExcessOver(m.recentNeed()).Min(over)
+	part := before.ExcessOver(m.recentNeed()).Min(overTarget)
 	if !m.connectionUsage.noneWaiting() || !m.slotUsage.noneWaiting() {
 		return
 	}
--- a/internal/shares/totals_test.go
+++ b/internal/shares/totals_test.go
@@ -13,14 +13,14 @@
 	// that still has the old document changes nothing.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, c := sim.startThree()
-		for _, m := range []*fakeInstance{a, b, c} {
-			m.connections.setDemand(30)
-			m.slots.setDemand(5)
+		for _, inst := range []*fakeInstance{a, b, c} {
+			inst.connections.setDemand(30)
+			inst.slots.setDemand(5)
 		}
 		domains := []string{"poa-a", "poa-b", "fln-c"}
 		lower := Amount{Connections: 25, Slots: 3}
-		for _, m := range []*fakeInstance{a, b} {
-			m.manager.SetAllocation(Allocation{Document: 2, Total: lower, FailureDomains: domains})
+		for _, inst := range []*fakeInstance{a, b} {
+			inst.manager.SetAllocation(Allocation{Document: 2, Total: lower, FailureDomains: domains})
 		}
 		c.manager.SetAllocation(Allocation{Document: 1, Total: total, FailureDomains: domains})
 		sleep(40 * time.Second)
@@ -36,8 +36,8 @@
 }
 
 func TestFreeShareAboveTargetIsTrimmed(t *testing.T) {
-	// An instance that borrowed stops as planned after the total was lowered. Nobody
-	// holds what its share has above the target: the next holder that reads the ledger
+	// An instance that borrowed stops as planned after the total was lowered. Its share
+	// is then free and larger than its target: the next holder that reads the ledger
 	// drops what exceeds the total and gives the rest to other shares.
 	is := is.New(t)
 	l := Ledger{Total: Amount{20, 4}, Shares: []Share{
@@ -60,12 +60,12 @@
 	// a reserve share. It never holds more than its share.
 	runSimulated(t, func(is *is.I, sim *simulation) {
 		a, b, c := sim.startThree()
-		for _, m := range []*fakeInstance{a, b, c} {
-			m.connections.setDemand(30)
+		for _, inst := range []*fakeInstance{a, b, c} {
+			inst.connections.setDemand(30)
 		}
 		sleep(time.Second)
-		for _, m := range []*fakeInstance{a, b, c} {
-			m.manager.SetAllocation(Allocation{Document: 2, Total: Amount{30, 5}, FailureDomains: []string{"poa-a", "poa-b"}})
+		for _, inst := range []*fakeInstance{a, b, c} {
+			inst.manager.SetAllocation(Allocation{Document: 2, Total: Amount{30, 5}, FailureDomains: []string{"poa-a", "poa-b"}})
 		}
 		sleep(2 * time.Minute)
 		l := sim.readLedger()
--- a/internal/shares/usage.go
+++ b/internal/shares/usage.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// peakWindow is the window for peak usage; a peak covers between one window and two. It
-// prevents capacity from moving back and forth between instances whose load varies from
+// peakWindow is the window for peak usage. A peak covers the current window and the one
+// before it, so between one window and two. The window prevents capacity from moving back and forth between instances whose load varies from
 // second to second.
 const peakWindow = 3 * time.Second
 
@@ -51,6 +51,6 @@
 	// minSamplesWithWaiters is how many consecutive samples with waiters make a
 	// shortage.
 	minSamplesWithWaiters = 2
-	// maxBorrow limits what one call asks for.
+	// maxBorrow limits how many units of a resource one call asks for.
 	maxBorrow = 4
 )
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -23,7 +23,7 @@
 type Conn struct {
 	address  string
 	opened   time.Time
-	net      net.Conn
+	netConn  net.Conn
 	frontend *pgproto3.Frontend
 	// cancelKey identifies this connection's backend in a cancel request.
 	cancelKey CancelKey
@@ -55,10 +55,10 @@
 func (c *Conn) Spoil() { c.unusable = true }
 
 // Close closes the network connection at once.
-func (c *Conn) Close() error { return c.net.Close() }
+func (c *Conn) Close() error { return c.netConn.Close() }
 
 // SetDeadline sets the deadline of all reads and writes until the next call.
-func (c *Conn) SetDeadline(t time.Time) error { return c.net.SetDeadline(t) }
+func (c *Conn) SetDeadline(t time.Time) error { return c.netConn.SetDeadline(t) }
 
 // HasPrepared reports whether a prepared statement of that name exists on the connection.
 func (c *Conn) HasPrepared(name string) bool {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,30 +19,30 @@
 	response response
 	// preparedNames holds the names of the statements that the prepare part defines.
 	preparedNames []string
-	// prepareFailure is the error of the prepare part, commitFailure that of BEGIN or
+	// prepareFailure is the error of the prepare part, transactionFailure that of BEGIN or
 	// COMMIT.
-	prepareFailure *pgproto3.ErrorResponse
-	commitFailure  *pgproto3.ErrorResponse
+	prepareFailure     *pgproto3.ErrorResponse
+	transactionFailure *pgproto3.ErrorResponse
 }
 
 // Run implements wire.Conn.
-func (c *Conn) Run(w *wire.Exchange) error {
-	x := &exchange{conn: c, outcome: &w.Outcome}
-	if applied, err := x.applyValues(w.Unit); err != nil || !applied {
+func (c *Conn) Run(request *wire.Exchange) error {
+	x := &exchange{conn: c, outcome: &request.Outcome}
+	if applied, err := x.applySessionValues(request.Unit); err != nil || !applied {
 		return err
 	}
-	c.expectsParameterChanges = w.Unit.Sets
-	x.response = response{remainingSteps: w.Unit.Shape, setsValues: w.Unit.Sets, flushThreshold: w.AnswerBuffer, sendPartial: w.Partial}
-	parts := make([]part, 0, len(w.Steps)+1)
-	if prepare, names, ok := preparePart(c, w.Unit); ok {
+	c.expectsParameterChanges = request.Unit.Sets
+	x.response = response{remainingSteps: request.Unit.Shape, setsValues: request.Unit.Sets, flushThreshold: request.AnswerBuffer, sendPartial: request.Partial}
+	parts := make([]part, 0, len(request.Steps)+1)
+	if prepare, names, ok := preparePart(c, request.Unit); ok {
 		x.preparedNames = names
 		parts = append(parts, prepare)
 	}
-	for _, s := range w.Steps {
-		parts = append(parts, encodeStep(s, w.Unit))
+	for _, s := range request.Steps {
+		parts = append(parts, encodeStep(s, request.Unit))
 	}
 	err := x.runParts(parts)
-	c.recordValues(w.Unit, &x.response)
+	c.recordSessionValues(request.Unit, &x.response)
 	x.outcome.Messages, x.outcome.Streamed, x.outcome.Completed = x.response.messages, x.response.streamed, x.response.completed
 	x.outcome.Failure = failureOf(x.response.failure)
 	return err
@@ -74,7 +74,8 @@
 // applyResults updates the response and the connection once all parts have been answered.
 func (x *exchange) applyResults() {
 	if x.prepareFailure != nil {
-		// The unit's own error only reports that the statement does not exist.
+		// The unit's own error only reports that the prepared statement does not exist; the
+		// prepare part's error is the cause.
 		x.response.replaceWithError(x.prepareFailure)
 		x.conn.Spoil()
 	} else {
@@ -82,8 +83,8 @@
 			x.conn.MarkPrepared(name)
 		}
 	}
-	if x.commitFailure != nil {
-		x.response.replaceWithError(x.commitFailure)
+	if x.transactionFailure != nil {
+		x.response.replaceWithError(x.transactionFailure)
 	}
 	if x.response.leavesState {
 		x.conn.Spoil()
@@ -112,7 +113,7 @@
 
 func (x *exchange) finishPart(kind wire.StepKind, ready *pgproto3.ReadyForQuery, row [][]byte) {
 	if kind == wire.StepReport {
-		x.outcome.Report = parseReport(row)
+		x.outcome.Report = parseStatus(row)
 		return
 	}
 	x.outcome.Final = wire.Status(ready.TxStatus)
@@ -123,7 +124,7 @@
 
 func (x *exchange) handleMessage(kind wire.StepKind, m pgproto3.BackendMessage, row *[][]byte) error {
 	if _, ok := m.(*pgproto3.CopyInResponse); ok {
-		// Copy data does not fit into a unit. Closing the connection makes the member abort
+		// A unit cannot contain the copy data that the member now waits for. Closing the connection makes the member abort
 		// the copy; waiting for the response would block forever.
 		return errCopyIn
 	}
@@ -146,14 +147,14 @@
 func (x *exchange) recordError(kind wire.StepKind, m *pgproto3.ErrorResponse) {
 	e := *m
 	switch kind {
-	case partValues:
+	case partSessionValues:
 		x.response.replaceWithError(&e)
 	case partPrepare:
 		x.prepareFailure = &e
 	case wire.StepStoreKey, wire.StepFindKey:
 		x.outcome.KeyFailure = failureOf(&e)
 	case wire.StepBegin, wire.StepCommit:
-		x.commitFailure = &e
+		x.transactionFailure = &e
 	}
 }
 
@@ -179,7 +180,7 @@
 	return f
 }
 
-func parseReport(row [][]byte) *member.Status {
+func parseStatus(row [][]byte) *member.Status {
 	if row == nil {
 		return nil
 	}
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -17,7 +17,7 @@
 
 // Check implements wire.Conn. It checks the socket without a round trip and cannot detect a
 // peer that has stopped responding.
-func (c *Conn) Check() error { return netio.CheckIdle(c.net) }
+func (c *Conn) Check() error { return netio.CheckIdle(c.netConn) }
 
 // Probe implements wire.Conn.
 func (c *Conn) Probe(ctx context.Context) error {
@@ -39,8 +39,8 @@
 }
 
 // Shutdown implements wire.Conn: it returns nil once the member has closed its end. The
-// member counts the connection until then, so a call of Close alone must not stop the
-// counting.
+// member counts the connection until then, so the pool must not stop counting it as soon as
+// this end is closed.
 func (c *Conn) Shutdown(ctx context.Context) error {
 	defer c.Close()
 	c.unusable = true
@@ -49,12 +49,12 @@
 			return err
 		}
 	}
-	if _, err := c.net.Write(encodedTerminate); err != nil {
+	if _, err := c.netConn.Write(encodedTerminate); err != nil {
 		return err
 	}
 	var discarded [512]byte
 	for {
-		_, err := c.net.Read(discarded[:])
+		_, err := c.netConn.Read(discarded[:])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/upstream/new.go
+++ b/internal/upstream/new.go
@@ -13,7 +13,7 @@
 	return &Conn{
 		address:       address,
 		opened:        opened,
-		net:           conn,
+		netConn:       conn,
 		frontend:      frontend,
 		prepared:      make(map[string]struct{}),
 		sessionValues: make(map[string]string),
--- a/internal/upstream/opener.go
+++ b/internal/upstream/opener.go
@@ -73,11 +73,11 @@
 // wrapRefusal wraps an error that the member itself returned in wire.ErrRefused or
 // wire.ErrFull.
 func wrapRefusal(err error) error {
-	var answer *pgconn.PgError
-	if !errors.As(err, &answer) {
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) {
 		return err
 	}
-	if answer.Code == tooManyConnectionsCode {
+	if pgErr.Code == tooManyConnectionsCode {
 		return fmt.Errorf("%w: %w", wire.ErrFull, err)
 	}
 	return fmt.Errorf("%w: %w", wire.ErrRefused, err)
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -10,12 +10,12 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// Kinds of parts that correspond to no wire.Step.
+// Kinds of parts that an exchange sends in addition to its steps.
 const (
 	// partPrepare defines prepared statements.
 	partPrepare wire.StepKind = -1
-	// partValues sets session values.
-	partValues wire.StepKind = -2
+	// partSessionValues sets session values.
+	partSessionValues wire.StepKind = -2
 )
 
 // part is a piece of an exchange that gets exactly one ReadyForQuery.
@@ -61,7 +61,7 @@
 func quote(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
 // preparePart returns the part that defines the statements missing on the connection, and
-// their names. The last value is false when none is missing.
+// their names. The last value is false when there is nothing to define.
 func preparePart(c *Conn, u *execution.Unit) (part, []string, bool) {
 	var bytes []byte
 	var names []string
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -7,12 +7,13 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// response collects the member's messages for one unit. They are held back until the unit
-// has completed, except that rows beyond flushThreshold are sent in pieces.
+// response collects the member's messages for one unit. They are held back until the whole
+// exchange has been answered, because an error of another part may replace them. Only when
+// rows exceed flushThreshold are they sent in pieces.
 type response struct {
 	messages []byte
-	// remainingSteps holds the steps whose responses are outstanding, one execution.Step
-	// each.
+	// remainingSteps holds the steps whose responses are outstanding, one byte for each:
+	// its execution.Step.
 	remainingSteps string
 	flushThreshold int
 	sendPartial    func([]byte) error
@@ -26,7 +27,7 @@
 	setsValues bool
 	// leavesState reports that a statement may have left session state on the connection.
 	leavesState bool
-	status      byte
+	txStatus    byte
 }
 
 // addMessage processes one message of the member's response to the unit.
@@ -34,7 +35,7 @@
 	r.addSynthetic()
 	switch m := m.(type) {
 	case *pgproto3.ReadyForQuery:
-		r.status = m.TxStatus
+		r.txStatus = m.TxStatus
 		return nil
 	case *pgproto3.NotificationResponse:
 		return nil
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -4,9 +4,9 @@
 
 // Send writes encoded messages that request the given number of ReadyForQuery messages.
 // After an error the connection is unusable: part of the bytes may have been sent.
-func (c *Conn) Send(messages []byte, answers int) error {
-	c.pendingReady += answers
-	if _, err := c.net.Write(messages); err != nil {
+func (c *Conn) Send(messages []byte, readyCount int) error {
+	c.pendingReady += readyCount
+	if _, err := c.netConn.Write(messages); err != nil {
 		c.unusable = true
 		return err
 	}
--- a/internal/upstream/values.go
+++ b/internal/upstream/values.go
@@ -8,21 +8,21 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// applyValues sets exactly the unit's session values on the connection. If they differ,
-// this takes a separate round trip: pipelined after a value that the member rejects, the
-// unit would run without it. It returns false if the member rejected a value; that error is
+// applySessionValues sets exactly the unit's session values on the connection. If they differ,
+// this takes a separate round trip: if the unit were pipelined after it and the member
+// rejected a value, the unit would run without that value. It returns false if the member rejected a value; that error is
 // then the unit's response, and nothing of the unit was sent.
-func (x *exchange) applyValues(u *execution.Unit) (bool, error) {
-	// Work that the instance starts itself has no ID and does not depend on session values.
+func (x *exchange) applySessionValues(u *execution.Unit) (bool, error) {
+	// A unit that the instance itself starts has no ID and does not depend on session values.
 	if u.ID == "" {
 		return true, nil
 	}
-	sql := x.conn.setStatements(u.Values)
+	sql := x.conn.buildSetStatements(u.Values)
 	if sql == "" {
 		return true, nil
 	}
 	x.conn.expectsParameterChanges = true
-	if err := x.runParts([]part{queryPart(partValues, sql)}); err != nil {
+	if err := x.runParts([]part{queryPart(partSessionValues, sql)}); err != nil {
 		return false, err
 	}
 	if x.response.failure != nil {
@@ -30,13 +30,13 @@
 		x.outcome.Messages, x.outcome.Failure = x.response.messages, failureOf(x.response.failure)
 		return false, nil
 	}
-	x.conn.setSessionValues(u.Values)
+	x.conn.replaceSessionValues(u.Values)
 	return true, nil
 }
 
-// setStatements returns the SET and RESET statements that change the connection's session
+// buildSetStatements returns the SET and RESET statements that change the connection's session
 // values to the given ones; empty when nothing differs.
-func (c *Conn) setStatements(values []execution.Value) string {
+func (c *Conn) buildSetStatements(values []execution.Value) string {
 	var statements []string
 	wanted := make(map[string]struct{}, len(values))
 	for _, v := range values {
@@ -53,16 +53,16 @@
 	return strings.Join(statements, "; ")
 }
 
-func (c *Conn) setSessionValues(values []execution.Value) {
+func (c *Conn) replaceSessionValues(values []execution.Value) {
 	clear(c.sessionValues)
 	for _, v := range values {
 		c.sessionValues[v.Name] = v.Value
 	}
 }
 
-// recordValues records the session values after a unit that sets some. After a failure it
+// recordSessionValues records the session values after a unit that sets some. After a failure it
 // is unknown which of its statements took effect.
-func (c *Conn) recordValues(u *execution.Unit, r *response) {
+func (c *Conn) recordSessionValues(u *execution.Unit, r *response) {
 	if !u.Sets {
 		return
 	}
@@ -70,5 +70,5 @@
 		c.Spoil()
 		return
 	}
-	c.setSessionValues(u.NextValues)
+	c.replaceSessionValues(u.NextValues)
 }
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -17,7 +17,7 @@
 
 var (
 	// ErrRefused reports that the member refused to open a connection, so that it holds
-	// none.
+	// none from this attempt.
 	ErrRefused = errors.New("member refused the connection")
 	// ErrFull reports that the member currently accepts no more connections.
 	ErrFull = fmt.Errorf("%w: too many connections", ErrRefused)
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -12,7 +12,7 @@
 	Unit  *execution.Unit
 	Steps []Step
 	// Required is the minimum position of the member's log, for protocols in which the
-	// member checks it: a read fails with FailureBehind if the log is not that far. Zero
+	// member checks it: a read fails with FailureBehind if the log has not reached it. Zero
 	// means no requirement.
 	Required logpos.Mark
 	// AnswerBuffer is how many bytes of the unit's response are buffered before they are
@@ -35,10 +35,11 @@
 	Failure *Failure
 	// KeyFailure is the error of a key step.
 	KeyFailure *Failure
-	// KeyOutcome is the outcome that a FindKey step read; empty if there is no row.
+	// KeyOutcome is the outcome that a StepFindKey read; empty if there is no row.
 	KeyOutcome KeyOutcome
-	// Committed reports that the exchange committed something that may have written: by its
-	// Commit step, or by the unit itself if the protocol reports that.
+	// Committed reports that the exchange committed a transaction that may have written. The
+	// commit was either its StepCommit or done by the unit itself, if the protocol reports
+	// that.
 	Committed bool
 	// Report is the member's status after the unit; nil when it was not requested or not
 	// received.
--- a/internal/wire/features.go
+++ b/internal/wire/features.go
@@ -12,10 +12,10 @@
 	// SlotIsConnection reports that each admission slot corresponds to a connection to one
 	// member, so that a transaction keeps its slot.
 	SlotIsConnection bool
-	// HoldsAnswers reports that responses are always buffered completely, so that of two
-	// attempts of a read never both have sent a piece.
+	// HoldsAnswers reports that responses are always buffered completely, so that two
+	// attempts of one read cannot both have sent a piece of their response to the caller.
 	HoldsAnswers bool
-	// TellsEnd reports that each unit states reliably whether it commits, so that a
-	// transaction whose commit was not sent is known to be rolled back.
+	// TellsEnd reports that each unit shows reliably whether it ends with a commit, so that
+	// a transaction whose commit was not sent is known to be rolled back.
 	TellsEnd bool
 }
