--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// newWaiter returns a waiter that is not queued yet. Its arrival number orders it after all
-// earlier calls.
+// newWaiter returns a waiter that is not queued yet. Among waiters with the same
+// deadline, its arrival number orders it after those of all earlier calls.
 func (p *Limited) newWaiter(ctx context.Context, address, workspace string) *waiter {
 	deadline := p.cfg.Clock.Now().Add(p.cfg.MaxWait)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// checkServable returns an error when w must fail at once. This requires that no connection
-// of the workspace exists and that the member is in backoff. A member that could not be
-// reached then fails w in any case; a full one does so if the backoff does not end before
-// w's deadline or if it has refused at least two openings in a row.
+// checkServable returns an error when w must fail at once. This requires that no
+// connection of the workspace exists and that the member is in backoff. A member that
+// could not be reached then fails w in any case; a full one does so if the backoff does
+// not end before w's deadline or if it has refused at least two openings in a row.
 func (p *Limited) checkServable(m *memberState, w *waiter) *result.Error {
 	if counts := m.workspaces[w.workspace]; counts != nil && counts.total() > 0 {
 		return nil
@@ -146,7 +146,7 @@
 		}
 		p.returnConn(g.conn)
 	}
-	// w may have reserved an opening or a closing that a later waiter can use now.
+	// An opening or closing that was assigned to w can now be assigned to a later waiter.
 	p.dispatch()
 	if m.backoff > 0 && !m.reportedFull {
 		return nil, p.unreachableError(m)
@@ -173,8 +173,8 @@
 	return result.New(result.Draining, "group %s", p.cfg.Group)
 }
 
-// tooManyConnectionsError returns the error for an exhausted share of connections, or for a
-// member that accepts no more.
+// tooManyConnectionsError returns the error for a request that got none of the share's
+// connections in time, or for a member that accepts no more.
 func (p *Limited) tooManyConnectionsError(m *memberState) *result.Error {
 	return result.New(result.TooManyConnections, "group %s, member %s", p.cfg.Group, m.address).
 		WithRetryAfter(p.retryAfter(m))
--- a/internal/pool/config.go
+++ b/internal/pool/config.go
@@ -13,14 +13,14 @@
 
 // Default values of Config fields.
 const (
-	DefaultMaxOpening   = 2
-	DefaultOpenTimeout  = time.Second
-	DefaultOpenJitter   = 5 * time.Millisecond
-	DefaultProbeTimeout = 100 * time.Millisecond
-	DefaultCloseTimeout = 300 * time.Millisecond
-	DefaultMaxWait      = 10 * time.Second
-	DefaultMinBackoff   = 50 * time.Millisecond
-	DefaultMaxBackoff   = 5 * time.Second
+	DefaultMaxConcurrentOpenings = 2
+	DefaultOpenTimeout           = time.Second
+	DefaultOpenJitter            = 5 * time.Millisecond
+	DefaultProbeTimeout          = 100 * time.Millisecond
+	DefaultCloseTimeout          = 300 * time.Millisecond
+	DefaultMaxWait               = 10 * time.Second
+	DefaultMinBackoff            = 50 * time.Millisecond
+	DefaultMaxBackoff            = 5 * time.Second
 )
 
 // Config configures a Limited. Group, Clock, Rand and Open are required.
@@ -47,8 +47,8 @@
 	Metrics *Metrics
 	// Limit is the initial limit on the pool's connections.
 	Limit int
-	// MaxOpening bounds the number of concurrent openings.
-	MaxOpening int
+	// MaxConcurrentOpenings applies to the openings to all members together.
+	MaxConcurrentOpenings int
 	// OpenTimeout bounds one opening, including its jitter.
 	OpenTimeout time.Duration
 	// OpenJitter is the upper bound of the random delay before an opening that starts while
@@ -77,8 +77,8 @@
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics(nil)
 	}
-	if c.MaxOpening <= 0 {
-		c.MaxOpening = DefaultMaxOpening
+	if c.MaxConcurrentOpenings <= 0 {
+		c.MaxConcurrentOpenings = DefaultMaxConcurrentOpenings
 	}
 	setDefault(&c.OpenTimeout, DefaultOpenTimeout)
 	setDefault(&c.OpenJitter, DefaultOpenJitter)
--- a/internal/pool/dispatch.go
+++ b/internal/pool/dispatch.go
@@ -10,9 +10,9 @@
 // closings for the others as far as the limits allow. It runs with p.mu held, after every
 // change of the pool's state.
 //
-// A waiter for whom there is no idle connection is assigned to an opening in progress, or to
-// a closing that frees capacity for one. Each opening or closing is assigned to only one
-// waiter, so ten waiters cause at most ten openings, and one waiter only one.
+// A waiter for whom there is no idle connection is assigned to an opening in progress, or
+// to a closing that frees capacity for one. Each opening or closing is assigned to only
+// one waiter, so ten waiters cause at most ten openings, and one waiter only one.
 func (p *Limited) dispatch() {
 	defer func() { p.gauges.set(p.stats()) }()
 	if p.waiters.Len() == 0 {
@@ -53,7 +53,7 @@
 	switch {
 	case assigned.openings[counts] < counts.opening:
 		assigned.openings[counts]++
-	case p.opening >= p.cfg.MaxOpening || !m.mayOpen(now):
+	case p.opening >= p.cfg.MaxConcurrentOpenings || !m.mayOpen(now):
 		// The end of an opening or of the backoff dispatches again.
 	case p.memberAtLimit(m, 0):
 		p.replaceOldestIdle(m, assigned)
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -118,9 +118,10 @@
 }
 
 func TestSettleWaitsForConfirmedCloses(t *testing.T) {
-	// Half of a share is to be lent to another instance. Idle connections are closed first,
-	// those in use when they are released. Settle must return only when the members hold no
-	// more than the new limit: otherwise the share would be lent too early.
+	// Half of a share is to be lent to another instance. Idle connections are closed
+	// first, those in use when they are released. Settle must return only when the
+	// members hold no more than the new limit: otherwise the share would be lent too
+	// early.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := newFakeMembers()
--- a/internal/pool/gauges.go
+++ b/internal/pool/gauges.go
@@ -7,8 +7,8 @@
 	limit, idle, inUse, opening, probing, closing, waiting prometheus.Gauge
 }
 
-// gaugesFor returns the gauges of a group. The label lookup is done once, because the gauges
-// are set on each Acquire and Release.
+// gaugesFor returns the gauges of a group. The label lookup is done once, because the
+// gauges are set on each Acquire and Release.
 func (m *Metrics) gaugesFor(group string) gauges {
 	with := func(state string) prometheus.Gauge {
 		return m.connections.WithLabelValues(group, state)
--- a/internal/pool/lifecycle.go
+++ b/internal/pool/lifecycle.go
@@ -119,8 +119,8 @@
 	p.dispatch()
 }
 
-// startProbe starts a probe of a connection that the caller has removed from the counts of its
-// previous state.
+// startProbe starts a probe of a connection that the caller has removed from the counts
+// of its previous state.
 func (p *Limited) startProbe(pc *pooledConn) {
 	if p.cfg.Probe == nil {
 		p.startClose(pc, closedProbeFailed)
@@ -151,8 +151,8 @@
 	p.dispatch()
 }
 
-// startClose starts closing a connection that the caller has removed from the counts of its
-// previous state.
+// startClose starts closing a connection that the caller has removed from the counts of
+// its previous state.
 func (p *Limited) startClose(pc *pooledConn, reason string) {
 	pc.state = stateClosing
 	p.closing++
@@ -161,9 +161,10 @@
 }
 
 // closeConn closes a connection and keeps counting it until the member has confirmed the
-// closing or CloseTimeout has passed. If it stopped counting at once, the member could see
-// one connection more than the limit until it has processed the end of the old one. If the
-// member still holds it after CloseTimeout, only the member's own limit prevents this.
+// closing or CloseTimeout has passed. If it stopped counting at once, the member could
+// see one connection more than the limit until it has processed the end of the old one.
+// If the member still holds it after CloseTimeout, only the member's own limit prevents
+// this.
 func (p *Limited) closeConn(pc *pooledConn) {
 	started := p.cfg.Clock.Now()
 	confirmed := p.closeAndConfirm(pc)
--- a/internal/pool/limited.go
+++ b/internal/pool/limited.go
@@ -33,7 +33,7 @@
 	opening     int
 	probing     int
 	// closing counts closings that the member has not confirmed yet, and failed openings
-	// that the member may still count.
+	// whose connection the member may have accepted.
 	closing int
 	idle    int
 	closed  bool
@@ -96,9 +96,9 @@
 	return m
 }
 
-// suspectWindow bounds the age difference at which a silent connection makes others suspect:
-// those that were opened up to this much later count as being of the same age, because a
-// pool that fills up opens its connections within such a time.
+// suspectWindow bounds the age difference at which a silent connection makes others
+// suspect: those that were opened up to this much later count as being of the same age,
+// because a pool that fills up opens its connections within such a time.
 const suspectWindow = time.Minute
 
 // Suspect implements Pool. Idle connections of that age are probed now and concurrently:
@@ -124,9 +124,9 @@
 }
 
 // ProbeIdle implements Pool. A network device that drops connection state rarely does so
-// for one member only. If the connections to other members were not probed, requests would
-// detect the silent ones member by member, and each such request would cost a statement
-// timeout and hold a slot for as long.
+// for one member only. If the connections to other members were not probed, requests
+// would detect the silent ones member by member, and each such request would cost a
+// statement timeout and hold a slot for as long.
 func (p *Limited) ProbeIdle(cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +175,7 @@
 }
 
 // SetLimit changes the limit. Idle connections in excess are closed at once, those in use
-// when they are released; Settle waits for that.
+// when they are released. Settle waits until the excess is closed.
 func (p *Limited) SetLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/member.go
+++ b/internal/pool/member.go
@@ -24,8 +24,8 @@
 	// zero after an opening that succeeded.
 	backoff      time.Duration
 	backoffUntil time.Time
-	// reportedFull reports that the last opening failed because the member returned "too
-	// many connections", and not because it could not be reached.
+	// reportedFull reports that the last opening failed because the member answered "too
+	// many connections". It is false if the member could not be reached.
 	reportedFull bool
 }
 
@@ -82,15 +82,15 @@
 	return m.backoff == 0 || m.opening == 0
 }
 
-// repeatedlyFull reports whether the member has refused at least two openings in a row as
-// full. This is derived from the backoff, which exceeds the shortest one only after a
-// second failure.
+// repeatedlyFull reports whether the member keeps refusing openings as full: at least two
+// in a row have failed, and the last one was refused as full. This is derived from the
+// backoff, which exceeds the shortest one only after a second failure.
 func (m *memberState) repeatedlyFull(minBackoff time.Duration) bool {
 	return m.reportedFull && m.backoff > minBackoff
 }
 
-// extendBackoff starts a backoff after a failed opening. It is twice as long as the previous
-// one, within the bounds, and jittered between half of that and the whole.
+// extendBackoff starts a backoff after a failed opening. It is twice as long as the
+// previous one, within the bounds, and jittered between half of that and the whole.
 func (m *memberState) extendBackoff(now time.Time, r *rand.Rand, minBackoff, maxBackoff time.Duration) {
 	m.backoff = min(max(2*m.backoff, minBackoff), maxBackoff)
 	half := m.backoff / 2
--- a/internal/pool/memberlimit_test.go
+++ b/internal/pool/memberlimit_test.go
@@ -13,8 +13,9 @@
 	"github.com/topazrock/topazrock/internal/wire"
 )
 
-// A member hangs while all connections that it may have are in use. Requests for another
-// member must still get theirs: the limit applies to each member on its own.
+// A member hangs, and all connections that the pool may hold to it are in use. Requests
+// for another member must still get theirs: the limit applies to each member separately,
+// and one member's connections are not counted for another.
 func TestFullMemberDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/pool/opening_test.go
+++ b/internal/pool/opening_test.go
@@ -35,7 +35,7 @@
 		}
 		callers.Wait()
 		is.True(len(members.attempts) <= 12)
-		gaps := intervalsBetween(members.attempts[DefaultMaxOpening:])
+		gaps := intervalsBetween(members.attempts[DefaultMaxConcurrentOpenings:])
 		is.True(len(gaps) >= 3)
 		for _, gap := range gaps {
 			is.True(gap >= DefaultMinBackoff/2)
@@ -106,7 +106,7 @@
 		}
 		callers.Wait()
 		t.Logf("40 connections, at most %d at once, last use ended after %v", members.maxConcurrent, time.Since(began))
-		is.True(members.maxConcurrent <= 4*DefaultMaxOpening)
+		is.True(members.maxConcurrent <= 4*DefaultMaxConcurrentOpenings)
 		is.True(time.Since(began) < 1200*time.Millisecond)
 		is.Equal(members.openings, 40)
 	})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -30,8 +30,8 @@
 	// all connections of the same age are probed before they are used again.
 	Suspect(address string, opened time.Time)
 	// ProbeIdle probes every idle connection, to any member, that became idle before
-	// cutoff. It is called when there are signs that a network device between this instance
-	// and the members has dropped connection state.
+	// cutoff. It is called when there are signs that a network device between this
+	// instance and the members has dropped connection state.
 	ProbeIdle(cutoff time.Time)
 	// Full reports whether statements for the member at address are refused because it
 	// accepts no connections and the pool has none to it.
@@ -39,6 +39,7 @@
 	// Idle reports whether there is an idle connection of the workspace to the member at
 	// address.
 	Idle(address, workspace string) bool
-	// FullFor reports the same as Full for statements of one workspace.
+	// FullFor reports the same as Full, but for statements of one workspace, which only
+	// that workspace's connections can serve.
 	FullFor(address, workspace string) bool
 }
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -24,8 +24,8 @@
 	p.assignNextState(pc)
 }
 
-// removeInUse removes the connection from the counts of those in use. The caller must assign
-// its next state before it releases the lock.
+// removeInUse removes the connection from the counts of those in use. The caller must
+// assign its next state before it releases the lock.
 func (p *Limited) removeInUse(pc *pooledConn) {
 	p.inUse--
 	pc.member.inUse--
--- a/internal/pool/statemachine_test.go
+++ b/internal/pool/statemachine_test.go
@@ -103,8 +103,8 @@
 	m.pool.SetLimit(n)
 }
 
-// checkInvariants collects the acquired connections and compares the pool's counts with those of the
-// members.
+// checkInvariants collects the acquired connections and compares the pool's counts with
+// those of the members.
 func (m *stateMachine) checkInvariants(t *rapid.T) {
 	synctest.Wait()
 	for len(m.acquired) > 0 {
--- a/internal/shares/acquire.go
+++ b/internal/shares/acquire.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// applyNewerAllocation applies the allocation of the service document to the ledger.
-// An instance whose document is no newer than the ledger's changes nothing.
+// applyNewerAllocation applies the allocation of the service document to the ledger. An
+// instance whose document is no newer than the ledger's changes nothing.
 func (m *Manager) applyNewerAllocation(l *Ledger) bool {
 	a := m.currentAllocation()
 	if a.Document <= l.DocumentVersion {
--- a/internal/shares/apply.go
+++ b/internal/shares/apply.go
@@ -6,8 +6,8 @@
 )
 
 // adoptLedger sets the limits to the size that the ledger gives this instance's share. It
-// must be called only while no change by this instance is unconfirmed. An older version of
-// the ledger is as safe as the newest one, because only this instance lowers the size
+// must be called only while no change by this instance is unconfirmed. An older version
+// of the ledger is as safe as the newest one, because only this instance lowers the size
 // of its share.
 func (m *Manager) adoptLedger(l Ledger) {
 	m.ledger = l
--- a/internal/shares/borrowing.go
+++ b/internal/shares/borrowing.go
@@ -62,9 +62,9 @@
 	if m.changeLedger(call, changeBorrow, func(l *Ledger) bool { return m.borrowFromFreeShares(l, want) }) {
 		return
 	}
-	// This runs in its own goroutine: if two holders asked each other in the
-	// goroutine of Run, neither could answer.
-	go m.borrowFromHolders(ctx, m.possibleLenders(want), want)
+	// This runs in its own goroutine: if two holders asked each other in the goroutine of
+	// Run, neither could answer.
+	go m.borrowFromHolders(ctx, m.possibleLenderAddresses(want), want)
 }
 
 // borrowFromFreeShares moves what free shares have above their floor to this instance's
@@ -88,9 +88,9 @@
 	return !taken.IsZero()
 }
 
-// possibleLenders returns the addresses of the holders that have more than their floor,
-// in random order.
-func (m *Manager) possibleLenders(want Amount) []string {
+// possibleLenderAddresses returns the addresses of the other holders that have more than
+// their floor of something wanted, in random order.
+func (m *Manager) possibleLenderAddresses(want Amount) []string {
 	var addresses []string
 	for _, s := range m.ledger.Shares {
 		if s.isFree() || s.Holder.sameAs(m.self) || s.Size.ExcessOver(s.Floor).Min(want).IsZero() {
--- a/internal/shares/close.go
+++ b/internal/shares/close.go
@@ -48,7 +48,7 @@
 	})
 	if stored {
 		m.cfg.Metrics.changes.WithLabelValues(m.cfg.Group, changeRelease).Inc()
-		m.notifyHolders(ctx, l.otherHolders(m.self))
+		m.notifyHolders(ctx, l.otherHolderAddresses(m.self))
 	}
 	return err
 }
--- a/internal/shares/directory.go
+++ b/internal/shares/directory.go
@@ -30,9 +30,9 @@
 	d.managers[m.cfg.Group] = m
 }
 
-// Remove undoes Add unless the manager's Close failed with connections still in use. In
-// that case the manager keeps answering: otherwise a peer would be told that this
-// instance holds nothing and would take the share while it is in use.
+// Remove undoes Add, except if the manager's Close failed with connections still in use.
+// Peers then still reach the manager: without it, they would be told that this instance
+// holds nothing, and would take the share while it is in use.
 func (d *Directory) Remove(group string) {
 	m, ok := d.findManager(group)
 	if !ok || m.mayHoldConnections() {
--- a/internal/shares/doc.go
+++ b/internal/shares/doc.go
@@ -18,10 +18,10 @@
 // delayed message breaks one. A failure domain that is cut off keeps its whole share for
 // as long as the cut lasts, because only its own instances may take that share. If a
 // holder vanishes and nothing proves that it uses nothing, its successor takes one of a
-// few reserve shares. Idle capacity moves between holders in one conditional update by the lender, which
-// subtracts from its own share what it adds to the borrower's. Calls between instances
-// only request a loan or announce the change; losing one causes a delay and cannot
-// create capacity.
+// few reserve shares. Idle capacity moves between holders in one conditional update by
+// the lender, which subtracts from its own share what it adds to the borrower's. Calls
+// between instances only request a loan or announce the change; losing one causes a delay
+// and cannot create capacity.
 //
 // A Manager does all its work in the goroutine of Run. Lock order: Manager.mu, which
 // guards the fields that other goroutines read, and Directory.mu are both leaf locks.
--- a/internal/shares/even.go
+++ b/internal/shares/even.go
@@ -9,8 +9,8 @@
 )
 
 // Even is a share without a ledger: an equal part of the connections that each member
-// accepts, computed from the number of instances that serve the group. It fits members that
-// limit their connections themselves and refuse excess connections without harm. Two
+// accepts, computed from the number of instances that serve the group. It fits members
+// that limit their connections themselves and refuse excess connections without harm. Two
 // instances may briefly disagree about how many instances serve the group; a member then
 // refuses a connection and the pool waits, which costs less than a ledger that every
 // instance writes.
--- a/internal/shares/even_test.go
+++ b/internal/shares/even_test.go
@@ -54,9 +54,9 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &recordedLimits{}
+		limits := &recordedLimits{}
 		e := &Even{
-			Clock: clock.System{}, Linger: linger, Connections: b, Each: b.setPerMember, Control: 1,
+			Clock: clock.System{}, Linger: linger, Connections: limits, Each: limits.setPerMember, Control: 1,
 			Part:        func(total int) int { return total / instances },
 			SeatChanged: func(bool) {},
 		}
@@ -70,7 +70,7 @@
 		check := func(total, perMember int) {
 			t.Helper()
 			synctest.Wait()
-			gotTotal, gotPerMember := b.current()
+			gotTotal, gotPerMember := limits.current()
 			is.Equal(gotTotal, total)
 			is.Equal(gotPerMember, perMember)
 		}
@@ -92,9 +92,9 @@
 func TestStartingInstanceHasAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &recordedLimits{}
+		limits := &recordedLimits{}
 		e := &Even{
-			Clock: clock.System{}, Linger: time.Second, Connections: b, Each: b.setPerMember, Control: 1,
+			Clock: clock.System{}, Linger: time.Second, Connections: limits, Each: limits.setPerMember, Control: 1,
 			Part:        func(int) int { return 1 },
 			SeatChanged: func(bool) {},
 		}
@@ -106,7 +106,7 @@
 			e.Run(ctx)
 		}()
 		synctest.Wait()
-		total, perMember := b.current()
+		total, perMember := limits.current()
 		is.Equal(total, 2)
 		is.Equal(perMember, 1)
 		stop()
--- a/internal/shares/fakeinstance_test.go
+++ b/internal/shares/fakeinstance_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// blockWhileFrozen blocks while the process is frozen, even if ctx ends: a frozen
-// process does not see its timers.
+// blockWhileFrozen blocks while the process is frozen, even if ctx ends meanwhile,
+// because a frozen process does not see its timers expire. It then returns the error of
+// ctx.
 func (inst *fakeInstance) blockWhileFrozen(ctx context.Context) error {
 	inst.sim.mu.Lock()
 	thawed, killed := inst.frozen, inst.killed
--- a/internal/shares/fixedshares_test.go
+++ b/internal/shares/fixedshares_test.go
@@ -8,8 +8,8 @@
 
 func TestLendingAllowsMoreThanFixedShares(t *testing.T) {
 	// All callers connect through one failure domain. With fixed shares they get that
-	// domain's part of the total; with lending they also get what the others leave
-	// idle. Neither exceeds the total. Cutting the instance off from its peers prevents
+	// domain's part of the total; with lending they also get what the others leave idle.
+	// Neither exceeds the total. Cutting the instance off from its peers prevents
 	// lending, which leaves it its fixed share.
 	used := make(map[string]Amount)
 	for _, kind := range []string{"fixed", "lent"} {
--- a/internal/shares/layout.go
+++ b/internal/shares/layout.go
@@ -27,9 +27,9 @@
 
 // planShares returns the shares for an allocation. Reserve shares have the size of the
 // floor and no slots: the instance that takes one borrows slots, so an unused reserve
-// share leaves no slot idle. If the total is small, floors shrink first, then there are fewer reserve
-// shares, and then some failure domains get no share; their instances forward requests
-// to the others.
+// share leaves no slot idle. If the total is small, floors shrink first, then there are
+// fewer reserve shares, and then some failure domains get no share; their instances
+// forward requests to the others.
 func planShares(a Allocation, control, reserve int) ([]Share, error) {
 	domains := slices.Sorted(slices.Values(a.FailureDomains))
 	domains = slices.Compact(domains)
--- a/internal/shares/ledger.go
+++ b/internal/shares/ledger.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// otherHolders returns the addresses of all holders except self.
-func (l *Ledger) otherHolders(self Holder) []string {
+// otherHolderAddresses returns the addresses of all holders except self.
+func (l *Ledger) otherHolderAddresses(self Holder) []string {
 	var addresses []string
 	for _, s := range l.Shares {
 		if !s.isFree() && !s.Holder.sameAs(self) {
@@ -106,10 +106,10 @@
 	return amount
 }
 
-// trimFreeShares takes from free shares what exceeds their target. It drops what
-// exceeds the total and gives the rest to shares below their target. Free shares that
-// have size zero and are no longer in the allocation are deleted. It reports whether
-// anything changed.
+// trimFreeShares reduces free shares that exceed their target: first by the amount by
+// which the sum of all shares exceeds the total, then by what other shares lack to their
+// target, which it gives to them. Free shares that have size zero and are no longer in
+// the allocation are deleted. It reports whether anything changed.
 func (l *Ledger) trimFreeShares() bool {
 	changed := false
 	for i := range l.Shares {
@@ -131,8 +131,9 @@
 	return changed || len(l.Shares) != before
 }
 
-// validateChange returns an error unless a change keeps the sum within the total. If
-// the sum already exceeds a lowered total, the change must not increase it.
+// validateChange returns an error if a change makes the sum of the sizes exceed the
+// total, or makes a size negative. If the sum already exceeds a lowered total, the change
+// must not increase it.
 func validateChange(before, after *Ledger) error {
 	sum, bound := after.Sum(), after.Total.Max(before.Sum())
 	if !sum.Within(bound) {
--- a/internal/shares/main_test.go
+++ b/internal/shares/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// seedBatches is the number of runs of each state machine, each with its own seed.
-// rapid ends a run after a day of virtual time, so one run has only some thirty checks.
+// seedBatches is the number of runs of each state machine, each with its own seed: rapid
+// ends a run after a day of virtual time, so one run has only some thirty checks.
 var seedBatches = flag.Int("batches", defaultSeedBatches, "runs of each state machine, each with its own seed")
 
 // TestMain parses the flags before the tests use them.
--- a/internal/shares/resource_test.go
+++ b/internal/shares/resource_test.go
@@ -47,13 +47,13 @@
 }
 
 // useRealResources replaces the fake resources of an instance that does not run yet.
-func (inst *fakeInstance) useRealResources(fake *fakeMember) (*pool.Limited, *admission.Controller) {
+func (inst *fakeInstance) useRealResources(member *fakeMember) (*pool.Limited, *admission.Controller) {
 	p := pool.New(pool.Config{
 		Group: testGroup,
 		Clock: clock.System{},
 		Rand:  rand.New(rand.NewPCG(1, 1)),
-		Open:  fake.open,
-		Close: fake.close,
+		Open:  member.open,
+		Close: member.close,
 	})
 	g := admission.New(admission.Config{Group: testGroup, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(2, 2))})
 	inst.manager.cfg.Connections, inst.manager.cfg.Slots = Pool(p), Gate(g)
@@ -69,11 +69,11 @@
 		is := is.New(t)
 		sim := newSimulation(t)
 		defer sim.stop()
-		fake := &fakeMember{}
+		member := &fakeMember{}
 		var pools []*pool.Limited
 		for _, domain := range []string{"poa-a", "poa-b"} {
 			inst := sim.newInstance(domain+"-1", domain)
-			p, _ := inst.useRealResources(fake)
+			p, _ := inst.useRealResources(member)
 			pools = append(pools, p)
 			inst.runManager()
 		}
@@ -82,17 +82,18 @@
 			usePool(is, pools[round%2], 25)
 			sleep(3 * peakWindow)
 		}
-		t.Logf("the member held %d connections at most of %d", fake.highest, total.Connections)
-		is.True(fake.highest <= total.Connections)
-		is.True(fake.highest >= 15)
+		t.Logf("the member held %d connections at most of %d", member.highest, total.Connections)
+		is.True(member.highest <= total.Connections)
+		is.True(member.highest >= 15)
 		for _, p := range pools {
 			is.NoErr(p.Close(t.Context()))
 		}
-		is.Equal(fake.held, 0)
+		is.Equal(member.held, 0)
 	})
 }
 
-// usePool acquires up to n connections within five seconds and then releases them.
+// usePool acquires as many of n connections as it gets within five seconds, checks that
+// it got at least ten, and releases them.
 func usePool(is *is.I, p *pool.Limited, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/shares/share.go
+++ b/internal/shares/share.go
@@ -5,8 +5,8 @@
 	Name string `json:"name"`
 	// FailureDomain restricts who may take the share; empty for a reserve share.
 	FailureDomain string `json:"failure_domain,omitempty"`
-	// Size is what the holder may use now. Loans move it away from Target: they lower
-	// the lender's Size, but never below its Floor, and raise the borrower's.
+	// Size is what the holder may use now. Loans move it away from Target: they lower the
+	// lender's Size, but never below its Floor, and raise the borrower's.
 	Size   Amount  `json:"size"`
 	Target Amount  `json:"target"`
 	Floor  Amount  `json:"floor"`
--- a/internal/shares/statemachine_test.go
+++ b/internal/shares/statemachine_test.go
@@ -153,8 +153,8 @@
 	sleep(time.Duration(rapid.IntRange(10, 40).Draw(t, "s")) * time.Second)
 }
 
-// oneInFour is true one time in four: if faults were more frequent, most instances would be
-// faulty most of the time, and a new fault would change little.
+// oneInFour is true one time in four: if faults were more frequent, most instances would
+// be faulty most of the time, and a new fault would change little.
 func oneInFour(t *rapid.T, name string) bool {
 	return rapid.IntRange(0, 3).Draw(t, name) == 0
 }
@@ -202,7 +202,8 @@
 	if len(f.running) == 0 {
 		return ""
 	}
-	// A domain without any instance keeps the share of its last one.
+	// If the last instance of a domain vanished, its share stays held: only an instance
+	// of the same domain may take it over.
 	if !f.hasOrphanedShare(l) && (l.Total != f.total || l.Sum() != f.total) {
 		return fmt.Sprintf("the total is %+v, the ledger has %+v of %+v", f.total, l.Sum(), l.Total)
 	}
--- a/internal/shares/store.go
+++ b/internal/shares/store.go
@@ -13,11 +13,12 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// Delays between calls to the platform, and the number of attempts after conflicts.
+// Delays between calls to the platform, and the number of attempts at an update that
+// conflicts with those of other writers.
 const (
-	conflictPause = 5 * time.Millisecond
-	resolvePause  = 100 * time.Millisecond
-	maxConflicts  = 10
+	conflictPause     = 5 * time.Millisecond
+	resolvePause      = 100 * time.Millisecond
+	maxUpdateAttempts = 10
 )
 
 // errContended means that another writer came first in every attempt.
@@ -39,8 +40,8 @@
 	// idPrefix and idsIssued form IDs that no other process uses.
 	idPrefix  string
 	idsIssued int
-	// pending must be resolved before any other operation: its update may still take
-	// effect until a later version of the ledger has been read.
+	// pending is nil or a change that must be resolved before any other operation: until
+	// a later version of the ledger has been read, its update may still take effect.
 	pending *unconfirmedChange
 }
 
@@ -71,7 +72,7 @@
 // to change; it may run more than once. update returns the newest ledger it has seen
 // and whether the change was stored.
 func (s *ledgerStore) update(ctx context.Context, change func(*Ledger) bool) (Ledger, bool, error) {
-	for range maxConflicts {
+	for range maxUpdateAttempts {
 		before, version, err := s.read(ctx)
 		if err != nil {
 			return Ledger{}, false, err
--- a/internal/shares/takeover.go
+++ b/internal/shares/takeover.go
@@ -89,10 +89,10 @@
 	})
 }
 
-// hasExpired reports whether an unreachable holder's share may be taken without proof.
-// If the holder is of this failure domain and the platform no longer lists it, hasExpired
-// also marks a share that has no mark yet. This process measures the time from when it first read the stored mark, and starts
-// again when the holder removes the mark.
+// hasExpired reports whether an unreachable holder's share may be taken without proof. If
+// the holder is of this failure domain and the platform no longer lists it, hasExpired
+// also marks a share that has no mark yet. This process measures the time from when it
+// first read the stored mark, and starts again when the holder removes the mark.
 func (m *Manager) hasExpired(ctx context.Context, s Share) bool {
 	if s.Holder.FailureDomain != m.self.FailureDomain || m.isListed(ctx, s.Holder.Instance) {
 		delete(m.suspicions, s.Name)
--- a/internal/shares/target.go
+++ b/internal/shares/target.go
@@ -71,7 +71,7 @@
 		}
 		s.Size = before.Minus(part)
 		s.Size = s.Size.Plus(l.fillToTargets(s.Name, part))
-		addresses = l.otherHolders(m.self)
+		addresses = l.otherHolderAddresses(m.self)
 		return s.Size != before
 	})
 	if returned {
--- a/internal/shares/usage.go
+++ b/internal/shares/usage.go
@@ -3,8 +3,8 @@
 import "time"
 
 // peakWindow is the window for peak usage. A peak covers the current window and the one
-// before it, so between one window and two. The window prevents capacity from moving back and forth between instances whose load varies from
-// second to second.
+// before it, so between one window and two. The window prevents capacity from moving back
+// and forth between instances whose load varies from second to second.
 const peakWindow = 3 * time.Second
 
 // usage tracks how much of a resource is needed.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,8 +15,9 @@
 
 var _ wire.Conn = (*Conn)(nil)
 
-// maxPrepared bounds the prepared statements of one connection. A connection with more of
-// them is not reused, so that ad hoc statements cannot fill the member's memory.
+// maxPrepared bounds the prepared statements of one connection. A connection with more is
+// closed after its current use, so that ad hoc statements cannot fill the member's
+// memory.
 const maxPrepared = 256
 
 // Conn implements wire.Conn.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,8 +19,8 @@
 	response response
 	// preparedNames holds the names of the statements that the prepare part defines.
 	preparedNames []string
-	// prepareFailure is the error of the prepare part, transactionFailure that of BEGIN or
-	// COMMIT.
+	// prepareFailure is the error of the prepare part, transactionFailure that of BEGIN
+	// or COMMIT.
 	prepareFailure     *pgproto3.ErrorResponse
 	transactionFailure *pgproto3.ErrorResponse
 }
@@ -74,8 +74,8 @@
 // applyResults updates the response and the connection once all parts have been answered.
 func (x *exchange) applyResults() {
 	if x.prepareFailure != nil {
-		// The unit's own error only reports that the prepared statement does not exist; the
-		// prepare part's error is the cause.
+		// The unit's own error only reports that the prepared statement does not exist;
+		// the prepare part's error is the cause.
 		x.response.replaceWithError(x.prepareFailure)
 		x.conn.Spoil()
 	} else {
@@ -124,8 +124,9 @@
 
 func (x *exchange) handleMessage(kind wire.StepKind, m pgproto3.BackendMessage, row *[][]byte) error {
 	if _, ok := m.(*pgproto3.CopyInResponse); ok {
-		// A unit cannot contain the copy data that the member now waits for. Closing the connection makes the member abort
-		// the copy; waiting for the response would block forever.
+		// A unit cannot contain the copy data that the member now waits for. Closing the
+		// connection makes the member abort the copy; waiting for the response would
+		// block forever.
 		return errCopyIn
 	}
 	if kind == wire.StepUnit {
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -39,8 +39,8 @@
 }
 
 // Shutdown implements wire.Conn: it returns nil once the member has closed its end. The
-// member counts the connection until then, so the pool must not stop counting it as soon as
-// this end is closed.
+// member counts the connection until then, so the pool must not stop counting it as soon
+// as this end is closed.
 func (c *Conn) Shutdown(ctx context.Context) error {
 	defer c.Close()
 	c.unusable = true
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -7,9 +7,9 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// response collects the member's messages for one unit. They are held back until the whole
-// exchange has been answered, because an error of another part may replace them. Only when
-// rows exceed flushThreshold are they sent in pieces.
+// response collects the member's messages for one unit. They are held back until the
+// whole exchange has been answered, because an error of another part may replace them.
+// Only when rows exceed flushThreshold are they sent in pieces.
 type response struct {
 	messages []byte
 	// remainingSteps holds the steps whose responses are outstanding, one byte for each:
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -2,8 +2,9 @@
 
 import "github.com/jackc/pgx/v5/pgproto3"
 
-// Send writes encoded messages that request the given number of ReadyForQuery messages.
-// After an error the connection is unusable: part of the bytes may have been sent.
+// Send writes encoded messages to which the member responds with readyCount ReadyForQuery
+// messages. After an error the connection is unusable: part of the bytes may have been
+// sent.
 func (c *Conn) Send(messages []byte, readyCount int) error {
 	c.pendingReady += readyCount
 	if _, err := c.netConn.Write(messages); err != nil {
--- a/internal/upstream/values.go
+++ b/internal/upstream/values.go
@@ -8,12 +8,14 @@
 	"github.com/topazrock/topazrock/internal/execution"
 )
 
-// applySessionValues sets exactly the unit's session values on the connection. If they differ,
-// this takes a separate round trip: if the unit were pipelined after it and the member
-// rejected a value, the unit would run without that value. It returns false if the member rejected a value; that error is
-// then the unit's response, and nothing of the unit was sent.
+// applySessionValues sets exactly the unit's session values on the connection. If they
+// differ from those that are set, this takes a separate round trip: if the unit were
+// pipelined after it and the member rejected a value, the unit would run without that
+// value. It returns false if the member rejected a value; that error is then the unit's
+// response, and nothing of the unit was sent.
 func (x *exchange) applySessionValues(u *execution.Unit) (bool, error) {
-	// A unit that the instance itself starts has no ID and does not depend on session values.
+	// A unit that the instance itself starts has no ID and does not depend on session
+	// values.
 	if u.ID == "" {
 		return true, nil
 	}
@@ -34,8 +36,8 @@
 	return true, nil
 }
 
-// buildSetStatements returns the SET and RESET statements that change the connection's session
-// values to the given ones; empty when nothing differs.
+// buildSetStatements returns the SET and RESET statements that change the connection's
+// session values to the given ones; empty when nothing differs.
 func (c *Conn) buildSetStatements(values []execution.Value) string {
 	var statements []string
 	wanted := make(map[string]struct{}, len(values))
@@ -60,8 +62,9 @@
 	}
 }
 
-// recordSessionValues records the session values after a unit that sets some. After a failure it
-// is unknown which of its statements took effect.
+// recordSessionValues records the session values after a unit that sets some. If the unit
+// failed, it is unknown which of its statements took effect, so the connection is not
+// reused.
 func (c *Conn) recordSessionValues(u *execution.Unit, r *response) {
 	if !u.Sets {
 		return
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -12,8 +12,8 @@
 	Unit  *execution.Unit
 	Steps []Step
 	// Required is the minimum position of the member's log, for protocols in which the
-	// member checks it: a read fails with FailureBehind if the log has not reached it. Zero
-	// means no requirement.
+	// member checks it: a read fails with FailureBehind if the log has not reached it.
+	// Zero means no requirement.
 	Required logpos.Mark
 	// AnswerBuffer is how many bytes of the unit's response are buffered before they are
 	// passed to Partial.
@@ -37,9 +37,9 @@
 	KeyFailure *Failure
 	// KeyOutcome is the outcome that a StepFindKey read; empty if there is no row.
 	KeyOutcome KeyOutcome
-	// Committed reports that the exchange committed a transaction that may have written. The
-	// commit was either its StepCommit or done by the unit itself, if the protocol reports
-	// that.
+	// Committed reports that the exchange committed a transaction that may have written.
+	// The commit was either its StepCommit or done by the unit itself, if the protocol
+	// reports that.
 	Committed bool
 	// Report is the member's status after the unit; nil when it was not requested or not
 	// received.
--- a/internal/wire/features.go
+++ b/internal/wire/features.go
@@ -15,7 +15,7 @@
 	// HoldsAnswers reports that responses are always buffered completely, so that two
 	// attempts of one read cannot both have sent a piece of their response to the caller.
 	HoldsAnswers bool
-	// TellsEnd reports that each unit shows reliably whether it ends with a commit, so that
-	// a transaction whose commit was not sent is known to be rolled back.
+	// TellsEnd reports that each unit shows reliably whether it ends with a commit, so
+	// that a transaction whose commit was not sent is known to be rolled back.
 	TellsEnd bool
 }
