--- a/internal/config/adopt.go
+++ b/internal/config/adopt.go
@@ -28,7 +28,7 @@
 	if result, done := s.classifyChange(name, e.Change); done {
 		return result
 	}
-	service, err := parse(name, e.Text)
+	service, err := parseDocument(name, e.Text)
 	if err != nil {
 		s.rejectVersion(name, e.Change, err)
 		return Invalid
@@ -71,9 +71,9 @@
 	}
 }
 
-// parse parses and validates a document's text and checks that the document has
-// the name under which it is stored.
-func parse(name, text string) (*document.Service, error) {
+// parseDocument parses and validates a document's text and checks that the
+// document has the name under which it is stored.
+func parseDocument(name, text string) (*document.Service, error) {
 	service, err := document.Parse(name+".ini", []byte(text))
 	if err != nil {
 		return nil, err
--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// applyTimeout is how long an operator waits while the outcome of an update
-	// with a lost answer is determined.
+	// applyTimeout limits the time that Apply spends on storing a change and on
+	// finding out whether an update whose answer was lost took effect. The
+	// operator waits during that time.
 	applyTimeout = 8 * time.Second
-	// applyRetryInterval is the time between two attempts of Apply.
+	// applyRetryInterval is the time between two attempts to store a change.
 	applyRetryInterval = 200 * time.Millisecond
 	// maxApplyAttempts limits the attempts of a change that repeatedly
 	// conflicts with other updates of the object.
@@ -30,8 +31,9 @@
 	text      string
 	change    Change
 	ifVersion int64
-	// inDoubt reports that the answer to an update conditional on object
-	// version sentAtVersion was lost, so that the update may still take effect.
+	// inDoubt reports that the answer to an update was lost, so that the update
+	// may still take effect. sentAtVersion is the object version on which that
+	// update is conditional.
 	inDoubt       bool
 	sentAtVersion int64
 }
@@ -39,7 +41,7 @@
 // Check validates a document as Apply does, without storing it. The error is a
 // *result.Error; it wraps inifile.Problems if the text is not valid.
 func (s *Store) Check(name, text string) error {
-	service, err := parse(name, text)
+	service, err := parseDocument(name, text)
 	if err != nil {
 		return result.New(result.DocumentInvalid, "%s", name).WithCause(err)
 	}
@@ -118,8 +120,9 @@
 	if outcome, settled := s.resolveOutcome(a, b); settled {
 		return outcome, true, nil
 	}
-	// The object changed without including this change: an update conditional
-	// on its older version can no longer take effect.
+	// The object has a new version that does not include this change, so the
+	// update in doubt, which is conditional on the older version, can no longer
+	// take effect.
 	if a.inDoubt && b.objectVersion != a.sentAtVersion {
 		a.inDoubt = false
 	}
@@ -140,19 +143,19 @@
 }
 
 // resolveOutcome determines the outcome of a change from the stored document.
-// The result is false while the document still has the version that the change
-// is based on, or if the change is in doubt and the history does not contain
-// its version.
+// It returns false if the outcome cannot be determined: the document still has
+// the version that the change is based on, or the change is in doubt and the
+// history does not contain its version.
 func (s *Store) resolveOutcome(a *applyAttempt, b baseDocument) (Outcome, bool) {
 	if b.Version == a.ifVersion {
 		return Outcome{}, false
 	}
-	stored, known := b.findChange(a.change.Version)
+	stored, inHistory := b.findChange(a.change.Version)
 	switch {
-	case known && stored.ID == a.change.ID:
+	case inHistory && stored.ID == a.change.ID:
 		s.adoptVersion(a.name, b.Envelope, FromPlatform)
 		return Outcome{State: Accepted, Version: stored.Version, By: stored.By}, true
-	case known || !a.inDoubt:
+	case inHistory || !a.inDoubt:
 		return Outcome{State: NotAccepted, Version: b.Version, By: b.By}, true
 	default:
 		// The history does not go back to the change's version.
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -206,7 +206,7 @@
 	})
 }
 
-func TestApplyRefusesWhatIsNotValid(t *testing.T) {
+func TestApplyRejectsInvalidDocuments(t *testing.T) {
 	withOrders(t, func(is *is.I, f *testFleet) {
 		for _, bad := range []string{"[service]\nname = orders\n", documentText("stock", 2), ""} {
 			_, err := f.instances[0].Apply(f.t.Context(), "orders", bad, 1, "ana")
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -50,7 +50,7 @@
 	return s
 }
 
-func benchStore(net *network, fleet *fixedFleet) *Store {
+func newBenchStore(net *network, fleet *fixedFleet) *Store {
 	e := endpoint{net, fleet.Self().PeerAddress}
 	return New(Options{Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 1)), Fleet: fleet, Peers: e, Registry: e})
 }
@@ -71,7 +71,7 @@
 func newStorePair(net *network) (first, second *Store) {
 	one, two := newFixedFleet(2), newFixedFleet(2)
 	two.self = 1
-	return benchStore(net, one), benchStore(net, two)
+	return newBenchStore(net, one), newBenchStore(net, two)
 }
 
 func totalBytes(net *network) int {
@@ -86,7 +86,7 @@
 
 // BenchmarkDigest measures one digest exchange: with a peer that has the same
 // documents, and with a peer that has a higher version of one document. The
-// bytes include parameters and answers in both directions.
+// bytes include the parameters and replies of all calls, in both directions.
 func BenchmarkDigest(b *testing.B) {
 	for _, documents := range []int{100, 1000, 5000} {
 		b.Run(fmt.Sprintf("agree/documents=%d", documents), func(b *testing.B) {
@@ -129,7 +129,7 @@
 	for _, peers := range []int{8, 100, 1000, 7400} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
 			net := newNetwork()
-			s := benchStore(net, newFixedFleet(peers))
+			s := newBenchStore(net, newFixedFleet(peers))
 			for _, address := range s.topology.childAddresses("service-0000") {
 				child := endpoint{net, address}
 				child.Handle(methodPush, discardPush)
@@ -154,7 +154,7 @@
 		b.Run(fmt.Sprintf("documents=%d", documents), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				s := benchStore(newNetwork(), newFixedFleet(1))
+				s := newBenchStore(newNetwork(), newFixedFleet(1))
 				fillStores(b, documents, s)
 				b.ReportMetric(float64(heapBytes()-before)/float64(documents), "bytes/document")
 				runtime.KeepAlive(s)
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -15,7 +15,7 @@
 // failure domains. A starting instance asks the platform and its peers.
 //
 // Lock order: Store.adoptMu, then Store.mu, then Store.randMu. peerTopology.mu
-// is held together with no locks other than those of the membership view.
+// is never held together with these, only with locks of the membership view.
 // adoptMu is held while subscribers are called, so that they see versions in
 // order. No lock is held across a call to the platform or to a peer.
 package config
--- a/internal/config/handlers.go
+++ b/internal/config/handlers.go
@@ -109,9 +109,9 @@
 	return list, false
 }
 
-// knownVersion returns the highest version that this instance does not need
-// from peers: the current one, or a higher one that was rejected here as
-// invalid. The caller must hold mu.
+// knownVersion returns the highest version of a document that this instance has
+// received: the current one, or a higher one that was rejected here as invalid.
+// Peers do not need to send it again. The caller must hold mu.
 func (s *Store) knownVersion(name string) int64 {
 	return max(s.table.documents[name].Version, s.rejected[name].Version)
 }
--- a/internal/config/harness_test.go
+++ b/internal/config/harness_test.go
@@ -34,22 +34,24 @@
 
 // testFleet is a set of instances with their platform and network.
 type testFleet struct {
-	t         *testing.T
-	platform  *replaceablePlatform
-	net       *network
-	inventory platform.Inventory
-	instances []*testInstance
-	relays    int
-	seeds     []string
+	t               *testing.T
+	platform        *replaceablePlatform
+	net             *network
+	inventory       platform.Inventory
+	instances       []*testInstance
+	relaysPerDomain int
+	seeds           []string
 }
 
 var testDomains = []string{"poa-a", "poa-b", "fln-c"}
 
 // newFleet starts n instances in three failure domains.
-func newFleet(t *testing.T, n int) *testFleet { return newFleetWithRelays(t, n, DefaultRelays) }
+func newFleet(t *testing.T, n int) *testFleet {
+	return newFleetWithRelays(t, n, DefaultRelaysPerDomain)
+}
 
 func newFleetWithRelays(t *testing.T, n, relays int) *testFleet {
-	f := &testFleet{t: t, platform: &replaceablePlatform{Store: standin.NewStore()}, net: newNetwork(), relays: relays}
+	f := &testFleet{t: t, platform: &replaceablePlatform{Store: standin.NewStore()}, net: newNetwork(), relaysPerDomain: relays}
 	for i := range n {
 		f.inventory.Instances = append(f.inventory.Instances, platform.Instance{ID: fmt.Sprintf("e%d", i),
 			FailureDomain: testDomains[i%len(testDomains)], PeerAddress: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -61,7 +63,7 @@
 	return f
 }
 
-// startInstance starts instance i with no state from an earlier run.
+// startInstance starts instance i without any state of its previous process.
 func (f *testFleet) startInstance(i int) *testInstance {
 	self := f.inventory.Instances[i]
 	link := newPlatformLink(f.platform)
@@ -71,7 +73,7 @@
 	_ = m.Refresh(f.t.Context())
 	e := endpoint{f.net, self.PeerAddress}
 	s := New(Options{API: link, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(uint64(i), seed)), Fleet: m, Peers: e,
-		Registry: e, Relays: f.relays, Seeds: f.seeds})
+		Registry: e, Relays: f.relaysPerDomain, Seeds: f.seeds})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = s.Run(ctx) })
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -12,7 +12,8 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-// matrixCase is a change of a document with one fault injected at one step.
+// matrixCase is one cell of TestApplyMatrix: a change of a document with one
+// fault injected at one step.
 type matrixCase struct {
 	*testFleet
 	cancelApply context.CancelFunc
@@ -91,7 +92,7 @@
 			r.instances[0].stop()
 			r.net.setFlag(r.net.cutAddresses, address, false)
 			r.instances[0] = r.startInstance(0)
-			r.checkVersionsRise(r.instances[0])
+			r.checkVersionsIncrease(r.instances[0])
 		}
 	},
 }
@@ -131,9 +132,9 @@
 	return forward()
 }
 
-// checkVersionsRise checks that the current versions on an instance only
+// checkVersionsIncrease checks that the current versions on an instance only
 // increase.
-func (r *matrixCase) checkVersionsRise(n *testInstance) {
+func (r *matrixCase) checkVersionsIncrease(n *testInstance) {
 	n.Subscribe(func(a Applied) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -165,7 +166,7 @@
 	r.mustApply(r.instances[0], "orders", 2, 0)
 	r.waitForVersion("orders", 1, 10*time.Second)
 	for _, n := range r.instances {
-		r.checkVersionsRise(n)
+		r.checkVersionsIncrease(n)
 	}
 	applier := r.instances[0]
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/config/messages.go
+++ b/internal/config/messages.go
@@ -48,6 +48,6 @@
 type compareReply struct {
 	Documents []wireDocument `json:"documents,omitempty"`
 	Wanted    []string       `json:"wanted,omitempty"`
-	// More reports that more documents differ than fit in the message.
+	// More reports that the caller lacks more documents than fit in the message.
 	More bool `json:"more,omitempty"`
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -10,10 +10,10 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// DefaultRelays is how many instances of each failure domain watch the
+// DefaultRelaysPerDomain is how many instances of each failure domain watch the
 // platform. With three, the watch survives the loss of any two. In a failure
 // domain with three or fewer instances, all of them watch.
-const DefaultRelays = 3
+const DefaultRelaysPerDomain = 3
 
 // Options holds the dependencies and settings of a Store.
 type Options struct {
@@ -29,7 +29,7 @@
 	// Optional.
 	Seeds []string
 	// Relays is how many instances of each failure domain watch the platform.
-	// Zero means DefaultRelays.
+	// Zero means DefaultRelaysPerDomain.
 	Relays int
 	// Log is optional.
 	Log hclog.Logger
--- a/internal/config/propagation_test.go
+++ b/internal/config/propagation_test.go
@@ -11,7 +11,7 @@
 	standin "github.com/topazrock/topazrock/internal/standin/platform"
 )
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+func TestChangeBecomesCurrentOnEveryInstance(t *testing.T) {
 	for _, n := range []int{1, 3, 8, 60} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -22,12 +22,12 @@
 			is.Equal(f.mustApply(f.instances[n-1], "orders", 3, 1).Version, int64(2))
 			f.waitForVersion("orders", 2, time.Second)
 			time.Sleep(peerSyncTimeout)
-			for _, node := range f.instances {
-				a, g, ok := node.FindGroup("orders-1")
+			for _, instance := range f.instances {
+				a, g, ok := instance.FindGroup("orders-1")
 				is.True(ok)
 				is.Equal(a.Version, int64(2))
 				is.Equal(g.Slots, 3)
-				is.True(node.Ready())
+				is.True(instance.Ready())
 			}
 		})
 	}
@@ -44,7 +44,8 @@
 		f.mustApply(f.instances[0], "orders", 2, 0)
 		f.waitForVersion("orders", 1, 2*time.Second)
 		f.setDomainCut("fln-c", true)
-		// Wait for open watches to end before the change below.
+		// Wait until open watches have ended, so that the change below does not
+		// reach the instances through them.
 		synctest.Wait()
 		f.mustApply(f.instances[0], "orders", 3, 1)
 		time.Sleep(time.Minute)
@@ -76,7 +77,7 @@
 // An instance restarts while the platform is down. It has no documents and
 // cannot read the instance list. Its peers still list it, so their digests
 // reach it, and it becomes ready with their documents.
-func TestRestartDuringOutageTakesDocumentsFromPeers(t *testing.T) {
+func TestRestartDuringOutageGetsDocumentsFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 8)
@@ -245,10 +246,10 @@
 	})
 }
 
-// newFleetSharingPlatform returns a fleet of one instance that uses the
-// platform of another fleet.
+// newFleetSharingPlatform starts a fleet of one instance that uses the platform
+// of f but has its own network.
 func newFleetSharingPlatform(t *testing.T, f *testFleet) *testFleet {
-	other := &testFleet{t: t, platform: f.platform, net: newNetwork(), relays: f.relays,
+	other := &testFleet{t: t, platform: f.platform, net: newNetwork(), relaysPerDomain: f.relaysPerDomain,
 		inventory: platform.Inventory{Instances: []platform.Instance{{ID: "other", FailureDomain: "far", PeerAddress: "10.9.0.1:1"}}}}
 	other.instances = append(other.instances, other.startInstance(0))
 	return other
--- a/internal/config/push.go
+++ b/internal/config/push.go
@@ -16,7 +16,8 @@
 	pushTimeout = 2 * time.Second
 )
 
-// queuePush queues a document for pushing to this instance's children.
+// queuePush queues a document for pushing to this instance's children in the
+// relay tree.
 func (s *Store) queuePush(name string) {
 	select {
 	case s.pushQueue <- name:
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -22,7 +22,7 @@
 	if a, ok := s.Current(name); ok && a.Change == b.Change {
 		return a, nil
 	}
-	service, err := parse(name, b.Text)
+	service, err := parseDocument(name, b.Text)
 	if err != nil {
 		s.log.Warn("Stored document is invalid.", "service", name, "version", b.Version, "error", err)
 	}
--- a/internal/config/repair.go
+++ b/internal/config/repair.go
@@ -14,8 +14,8 @@
 	// digestTimeout limits the exchange with one peer. It is shorter than the
 	// interval, so that an unresponsive peer costs only one interval.
 	digestTimeout = 800 * time.Millisecond
-	// maxCompareRounds limits the messages of one exchange. The exchange of the
-	// next interval continues the work.
+	// maxCompareRounds limits the compare calls of one exchange. The exchange of
+	// the next interval compares the remaining differences.
 	maxCompareRounds = 16
 	// intervalJitter is the random variation of intervals, as a fraction of the
 	// interval.
@@ -103,8 +103,8 @@
 }
 
 // requireDocuments returns an error if this instance still has no documents
-// after an exchange, because the peer had none either. Otherwise two starting
-// instances would each count the exchange as a successful sync.
+// after an exchange, because the peer had none either. Without this error, two
+// starting instances would each count the exchange as a successful sync.
 func (s *Store) requireDocuments() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/config/replaceable_test.go
+++ b/internal/config/replaceable_test.go
@@ -14,45 +14,45 @@
 	*standin.Store
 }
 
-func (s *replaceablePlatform) current() *standin.Store {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.Store
+func (p *replaceablePlatform) current() *standin.Store {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.Store
 }
 
-func (s *replaceablePlatform) replace(next *standin.Store) {
-	s.mu.Lock()
-	old := s.Store
-	s.Store = next
-	s.mu.Unlock()
+func (p *replaceablePlatform) replace(next *standin.Store) {
+	p.mu.Lock()
+	old := p.Store
+	p.Store = next
+	p.mu.Unlock()
 	// Open watches of the old store end with an error.
 	old.SetFaults(standin.Faults{Outage: true})
 }
 
-func (s *replaceablePlatform) Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error) {
-	return s.current().Get(ctx, k, name)
+func (p *replaceablePlatform) Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error) {
+	return p.current().Get(ctx, k, name)
 }
 
-func (s *replaceablePlatform) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
-	return s.current().List(ctx, k)
+func (p *replaceablePlatform) List(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
+	return p.current().List(ctx, k)
 }
 
-func (s *replaceablePlatform) Delete(ctx context.Context, k platform.Kind, name string, v int64) error {
-	return s.current().Delete(ctx, k, name, v)
+func (p *replaceablePlatform) Delete(ctx context.Context, k platform.Kind, name string, v int64) error {
+	return p.current().Delete(ctx, k, name, v)
 }
 
-func (s *replaceablePlatform) ListStale(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
-	return s.current().ListStale(ctx, k)
+func (p *replaceablePlatform) ListStale(ctx context.Context, k platform.Kind) ([]platform.Object, int64, error) {
+	return p.current().ListStale(ctx, k)
 }
 
-func (s *replaceablePlatform) Put(ctx context.Context, k platform.Kind, name string, value []byte, v int64) (platform.Object, error) {
-	return s.current().Put(ctx, k, name, value, v)
+func (p *replaceablePlatform) Put(ctx context.Context, k platform.Kind, name string, value []byte, v int64) (platform.Object, error) {
+	return p.current().Put(ctx, k, name, value, v)
 }
 
-func (s *replaceablePlatform) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
-	return s.current().Watch(ctx, k, after)
+func (p *replaceablePlatform) Watch(ctx context.Context, k platform.Kind, after int64) ([]platform.Object, int64, error) {
+	return p.current().Watch(ctx, k, after)
 }
 
-func (s *replaceablePlatform) Inventory(ctx context.Context) (platform.Inventory, error) {
-	return s.current().Inventory(ctx)
+func (p *replaceablePlatform) Inventory(ctx context.Context) (platform.Inventory, error) {
+	return p.current().Inventory(ctx)
 }
--- a/internal/config/restore.go
+++ b/internal/config/restore.go
@@ -17,8 +17,8 @@
 )
 
 // restoreDocuments stores the current version of documents that the platform
-// lacks or has in a lower version. Otherwise a platform whose store was lost or
-// reset would give old versions to new instances. The updates are conditional,
+// lacks or has in a lower version. Without this, a platform whose store was lost
+// or reset would give old versions to new instances. The updates are conditional,
 // so that relays that restore concurrently, or an operator who changes the
 // document in the meantime, cannot overwrite each other. It reports whether any
 // document had to be restored.
--- a/internal/config/settle.go
+++ b/internal/config/settle.go
@@ -15,7 +15,8 @@
 	// maxPending limits the pending changes. When it is exceeded, the oldest is
 	// dropped.
 	maxPending = 64
-	// maxSettled limits the outcomes that are kept.
+	// maxSettled limits the outcomes that are kept. When it is reached, all of
+	// them are discarded.
 	maxSettled = 256
 )
 
--- a/internal/config/startup.go
+++ b/internal/config/startup.go
@@ -8,14 +8,17 @@
 	remotePeer
 )
 
-// startupProgress records which remotes a starting instance has called.
+// startupProgress records the calls of a starting instance to each kind of
+// remote.
 type startupProgress struct {
-	// For each remoteKind, attempted is set once a call has completed and
-	// succeeded once a call has succeeded.
+	// attempted reports for each remoteKind whether a call has completed, with
+	// or without success, and succeeded whether one has succeeded.
 	attempted, succeeded [remotePeer + 1]bool
 }
 
 // recordCallResult records the result of a call to the platform or to a peer.
+// An instance that has its documents from peers and is not a relay does not call
+// the platform; it records errSyncedFromPeers as the result.
 func (s *Store) recordCallResult(kind remoteKind, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -48,7 +48,7 @@
 		o.Metrics = NewMetrics(nil)
 	}
 	if o.Relays == 0 {
-		o.Relays = DefaultRelays
+		o.Relays = DefaultRelaysPerDomain
 	}
 	s := &Store{
 		options:         o,
--- a/internal/config/versionmachine_test.go
+++ b/internal/config/versionmachine_test.go
@@ -23,17 +23,17 @@
 // without their background loops. After each step it checks that no version
 // decreased and that no two changes have the same version.
 type versionMachine struct {
-	platform  *replaceablePlatform
-	net       *network
-	instances []*testInstance
-	starts    int
+	platform   *replaceablePlatform
+	net        *network
+	instances  []*testInstance
+	startCount int
 	// highestSeen is the highest version that the subscribers of each instance
 	// saw.
 	highestSeen map[*testInstance]int64
 	// acceptedIDs maps an accepted version to the ID of its change.
 	acceptedIDs map[int64]string
-	// accepted is the highest version that was reported as accepted.
-	accepted int64
+	// highestAccepted is the highest version that was reported as accepted.
+	highestAccepted int64
 }
 
 func newVersionMachine() *versionMachine {
@@ -56,9 +56,9 @@
 }
 
 func (m *versionMachine) startInstance(i int) *testInstance {
-	m.starts++
+	m.startCount++
 	self := machineInventory().Instances[i]
-	r := rand.New(rand.NewPCG(uint64(m.starts), uint64(i)))
+	r := rand.New(rand.NewPCG(uint64(m.startCount), uint64(i)))
 	link := newPlatformLink(m.platform)
 	members := membership.New(membership.Options{API: link, Clock: instantClock{}, Rand: r, Self: self, PerFailureDomain: 1})
 	e := endpoint{m.net, self.PeerAddress}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if o.State == Accepted {
-		m.accepted = max(m.accepted, o.Version)
+		m.highestAccepted = max(m.highestAccepted, o.Version)
 		if o.Version != from+1 {
 			t.Fatalf("accepted as version %d from %d", o.Version, from)
 		}
@@ -138,9 +138,9 @@
 	m.repairBetween(t, i, (i+1)%len(m.instances))
 }
 
-// losePlatformStore empties the platform's store after the last change has
-// reached all instances. A change that only the platform and one instance have
-// can be lost if both fail.
+// losePlatformStore empties the platform's store. It first exchanges digests
+// so that all instances have the last change: a change that only the platform
+// and one instance have can be lost if both fail.
 func (m *versionMachine) losePlatformStore(t *rapid.T) {
 	for range m.instances {
 		for i := range m.instances {
@@ -164,8 +164,8 @@
 		if acceptedID := m.acceptedIDs[a.Version]; acceptedID != "" && acceptedID != a.ID {
 			t.Fatalf("%s has version %d of change %s, but change %s was accepted", n.id, a.Version, a.ID, acceptedID)
 		}
-		if a.Version > m.accepted {
-			t.Fatalf("%s has version %d, but no version above %d was accepted", n.id, a.Version, m.accepted)
+		if a.Version > m.highestAccepted {
+			t.Fatalf("%s has version %d, but no version above %d was accepted", n.id, a.Version, m.highestAccepted)
 		}
 	}
 }
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -27,7 +27,7 @@
 	store    *Store
 	revision int64
 	backoff  time.Duration
-	// failing reports that the last call failed.
+	// failing reports that the last list or watch failed.
 	failing bool
 }
 
@@ -55,8 +55,9 @@
 }
 
 // runOnce lists or watches once and waits after a failure. After any failure
-// the next call lists: the platform may have restarted with lower revisions,
-// and may since have passed the revision that the watch would resume from.
+// the next call lists: the platform may have restarted with lower revisions and
+// then reached the revision that the watch would resume from, so that the watch
+// would miss changes without an error.
 func (w *watcher) runOnce(ctx context.Context) {
 	err := w.listOrWatch(ctx)
 	if ctx.Err() != nil {
--- a/internal/document/docs_test.go
+++ b/internal/document/docs_test.go
@@ -12,11 +12,11 @@
 
 // The operators' documentation must list exactly the keys that the parser
 // knows, in their sections, with their defaults and ranges.
-func TestPageListsEveryKey(t *testing.T) {
+func TestDocumentationListsEveryKey(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ops", "service-document.md"))
 	is.NoErr(err)
-	for _, fault := range inifile.ComparePage(string(page), Keys()) {
-		t.Error(fault)
+	for _, mismatch := range inifile.ComparePage(string(page), Keys()) {
+		t.Error(mismatch)
 	}
 }
--- a/internal/document/limits.go
+++ b/internal/document/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bounds of a service document. They protect the instances that apply it: a
+// Limits of a service document. They protect the instances that apply it: a
 // mistyped number must not use up a member's last connection or exhaust an
 // instance's memory.
 const (
--- a/internal/document/members.go
+++ b/internal/document/members.go
@@ -8,7 +8,7 @@
 )
 
 // membersKind parses a list of failure-domain/IP:port entries, separated by
-// commas or spaces, into a []Member.
+// commas, spaces or tabs, into a []Member.
 type membersKind struct{}
 
 // Parse implements inifile.Kind.
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// checkClasses rejects a read class and a request class with the same name: a
-// tag identifies a class by name only.
+// checkClasses rejects a read class and a request class with the same name: the
+// tag in a statement identifies a class by name only.
 func checkClasses(f *inifile.File, s *Service) {
 	for _, sec := range f.All(sectionRequest) {
 		if _, taken := s.FindRead(sec.Name); taken {
--- a/internal/document/parse_test.go
+++ b/internal/document/parse_test.go
@@ -59,7 +59,7 @@
 
 // A document with several mistakes is rejected with all of them at once, each
 // with its line, so that the operator can fix them in one pass.
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllProblemsAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
 	text := `stray = 1
 [service]
--- a/internal/document/service.go
+++ b/internal/document/service.go
@@ -113,8 +113,8 @@
 	// Primary reports that reads run only at the primary, and see every write
 	// that was acknowledged before them. MaxAge is ignored in that case.
 	Primary bool
-	// Writes reports that units of the class may also write. Each unit declares
-	// whether it is read-only.
+	// Writes reports that requests of the class may also write. Each request
+	// declares whether it is read-only.
 	Writes bool
 	// Priority determines the order in which classes get a slot: 1 is served
 	// first, 9 last.
