--- a/internal/config/adopt.go
+++ b/internal/config/adopt.go
@@ -12,12 +12,12 @@
 	result := s.installVersion(name, e)
 	s.metrics.arrivals.WithLabelValues(string(from), string(result)).Inc()
 	switch result {
-	case Adopted:
+	case VersionAdopted:
 		s.log.Info("Document version is now current.", "service", name, "version", e.Version, "by", e.By, "from", from)
 		s.queuePush(name)
-	case Lower:
+	case VersionLower:
 		s.log.Warn("Ignored a lower document version.", "service", name, "version", e.Version, "from", from)
-	case Diverged:
+	case VersionDiverged:
 		s.log.Error("Two changes have the same version. The current one is kept.",
 			"service", name, "version", e.Version, "ignored", e.ID, "from", from)
 	}
@@ -31,7 +31,7 @@
 	service, err := parseDocument(name, e.Text)
 	if err != nil {
 		s.rejectVersion(name, e.Change, err)
-		return Invalid
+		return VersionInvalid
 	}
 	s.adoptMu.Lock()
 	defer s.adoptMu.Unlock()
@@ -48,7 +48,7 @@
 	for _, f := range s.subscribers {
 		f(a)
 	}
-	return Adopted
+	return VersionAdopted
 }
 
 // classifyChange compares an arriving change with the current version. done is
@@ -59,15 +59,15 @@
 	current := s.table.documents[name].Change
 	switch {
 	case c.Version < current.Version:
-		return Lower, true
+		return VersionLower, true
 	case c.Version == current.Version && c.ID != current.ID:
-		return Diverged, true
+		return VersionDiverged, true
 	case c.Version == current.Version:
-		return Known, true
+		return VersionKnown, true
 	case s.rejected[name] == c:
-		return Invalid, true
+		return VersionInvalid, true
 	default:
-		return Adopted, false
+		return VersionAdopted, false
 	}
 }
 
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -61,7 +61,7 @@
 		name := fmt.Sprintf("service-%04d", i)
 		text := exampleText(b, name)
 		for _, s := range stores {
-			if s.installVersion(name, Envelope{Change: Change{Version: 1, ID: "a", By: "ana"}, Text: text}) != Adopted {
+			if s.installVersion(name, Envelope{Change: Change{Version: 1, ID: "a", By: "ana"}, Text: text}) != VersionAdopted {
 				b.Fatal("not adopted")
 			}
 		}
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -16,15 +16,15 @@
 
 // Results of adopting a version.
 const (
-	// Adopted means that the version is now current.
-	Adopted AdoptResult = "adopted"
-	// Known means that the version was already current.
-	Known AdoptResult = "known"
-	// Lower means that the current version is higher.
-	Lower AdoptResult = "lower"
-	// Diverged means that the current version has the same number but comes
-	// from another change.
-	Diverged AdoptResult = "diverged"
-	// Invalid means that the document failed validation.
-	Invalid AdoptResult = "invalid"
+	// VersionAdopted means that the version is now current.
+	VersionAdopted AdoptResult = "adopted"
+	// VersionKnown means that the version was already current.
+	VersionKnown AdoptResult = "known"
+	// VersionLower means that the current version is higher.
+	VersionLower AdoptResult = "lower"
+	// VersionDiverged means that the current version has the same number but
+	// comes from another change.
+	VersionDiverged AdoptResult = "diverged"
+	// VersionInvalid means that the document failed validation.
+	VersionInvalid AdoptResult = "invalid"
 )
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -124,11 +124,11 @@
 	for _, o := range objects {
 		e, err := decodeObject(o)
 		if err != nil {
-			w.store.metrics.arrivals.WithLabelValues(string(FromPlatform), string(Invalid)).Inc()
+			w.store.metrics.arrivals.WithLabelValues(string(FromPlatform), string(VersionInvalid)).Inc()
 			w.store.log.Error("Rejected a stored value that cannot be decoded.", "service", o.Name, "error", err)
 			continue
 		}
-		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == Lower {
+		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == VersionLower {
 			lower = true
 		}
 	}
