--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -27,7 +27,7 @@
 	store    *Store
 	revision int64
 	backoff  time.Duration
-	// failing reports that the last call failed.
+	// failing reports that the last list or watch failed.
 	failing bool
 }
 
@@ -55,8 +55,9 @@
 }
 
 // runOnce lists or watches once and waits after a failure. After any failure
-// the next call lists: the platform may have restarted with lower revisions,
-// and may since have passed the revision that the watch would resume from.
+// the next call lists: the platform may have restarted with lower revisions and
+// then reached the revision that the watch would resume from, so that the watch
+// would miss changes without an error.
 func (w *watcher) runOnce(ctx context.Context) {
 	err := w.listOrWatch(ctx)
 	if ctx.Err() != nil {
@@ -123,11 +124,11 @@
 	for _, o := range objects {
 		e, err := decodeObject(o)
 		if err != nil {
-			w.store.metrics.arrivals.WithLabelValues(string(FromPlatform), string(Invalid)).Inc()
+			w.store.metrics.arrivals.WithLabelValues(string(FromPlatform), string(VersionInvalid)).Inc()
 			w.store.log.Error("Rejected a stored value that cannot be decoded.", "service", o.Name, "error", err)
 			continue
 		}
-		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == Lower {
+		if e.Version > 0 && w.store.adoptVersion(o.Name, e, FromPlatform) == VersionLower {
 			lower = true
 		}
 	}
