--- a/internal/instance/callers_test.go
+++ b/internal/instance/callers_test.go
@@ -25,14 +25,14 @@
 	withCluster(t, func(tc *testCluster) {
 		writer := tc.mustConnect(0, "")
 		tc.exec(writer, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		carried := token(writer)
-		tc.is.True(carried != "")
+		writerToken := token(writer)
+		tc.is.True(writerToken != "")
 		for name, read := range map[string]func(*testCluster, string) (string, error){
 			"pgx, SET":        readAfterSet,
 			"pgx, start-up":   readAfterStartup,
 			"lib/pq, options": readThroughLibPQ,
 		} {
-			v, err := read(tc, carried)
+			v, err := read(tc, writerToken)
 			tc.is.NoErr(err)
 			tc.is.Equal(v, "1")
 			_, err = read(tc, "nonsense")
@@ -43,20 +43,20 @@
 	})
 }
 
-const readOldData = "SELECT v FROM kv WHERE k = $1" + agedRead
+const readOldData = "SELECT v FROM kv WHERE k = $1" + staleReadTag
 
-func readAfterSet(tc *testCluster, carried string) (v string, err error) {
+func readAfterSet(tc *testCluster, sessionToken string) (v string, err error) {
 	c := tc.mustConnect(1, "")
-	if _, err := c.Exec(ctx, "SET topazrock.token = '"+carried+"'"); err != nil {
+	if _, err := c.Exec(ctx, "SET topazrock.token = '"+sessionToken+"'"); err != nil {
 		return "", err
 	}
 	err = c.QueryRow(ctx, readOldData, "a").Scan(&v)
 	return v, err
 }
 
-func readAfterStartup(tc *testCluster, carried string) (v string, err error) {
+func readAfterStartup(tc *testCluster, sessionToken string) (v string, err error) {
 	config := tc.config(2, "")
-	config.RuntimeParams["topazrock.token"] = carried
+	config.RuntimeParams["topazrock.token"] = sessionToken
 	c, err := pgx.ConnectConfig(ctx, config)
 	if err != nil {
 		return "", err
@@ -66,9 +66,9 @@
 	return v, err
 }
 
-func readThroughLibPQ(tc *testCluster, carried string) (v string, err error) {
+func readThroughLibPQ(tc *testCluster, sessionToken string) (v string, err error) {
 	dsn := "postgres://clerk:%s@%s/%s?sslmode=disable&options=-c%%20topazrock.token%%3D%s"
-	connector, err := pq.NewConnector(fmt.Sprintf(dsn, testPassword, instanceAddress(1), testGroup, carried))
+	connector, err := pq.NewConnector(fmt.Sprintf(dsn, testPassword, instanceAddress(1), testGroup, sessionToken))
 	if err != nil {
 		return "", err
 	}
--- a/internal/instance/cancel.go
+++ b/internal/instance/cancel.go
@@ -7,8 +7,8 @@
 	"github.com/topazrock/topazrock/internal/frontend"
 )
 
-// methodCancelCaller forwards a cancel request that arrived at a different instance than
-// the one with the caller's session.
+// methodCancelCaller forwards a cancel request to the instance with the caller's session,
+// if the request arrived at another one.
 const methodCancelCaller = "caller.cancel"
 
 // cancelParams identifies a caller's session.
@@ -28,8 +28,9 @@
 	})
 }
 
-// forwardCancel sends a cancel request to the instances with the same process ID prefix:
-// the balancer may send a cancel request to any instance.
+// forwardCancel sends a cancel request to the instances whose process IDs have the same
+// prefix as processID. It is needed because the balancer may send a cancel request to any
+// instance.
 func (n *Instance) forwardCancel(processID, secret uint32) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -29,7 +29,7 @@
 
 const (
 	testGroup = "base-1"
-	// testConnections is the group's limit.
+	// testConnections is the limit of the group's connections.
 	testConnections    = 35
 	testReplicationLag = 5 * time.Millisecond
 	testPassword       = "tagua"
--- a/internal/instance/domainwatch.go
+++ b/internal/instance/domainwatch.go
@@ -16,8 +16,8 @@
 	methodProbeDomain = "instance.far"
 	methodCheckReach  = "instance.look"
 	// domainProbeDuty is the key for picking the instances that probe other failure
-	// domains. probersPerDomain is how many each failure domain has: two, because one of
-	// them may have failed and still be listed.
+	// domains. probersPerDomain is how many are picked in each failure domain: two, because
+	// one of them may have failed and still be listed.
 	domainProbeDuty  = "instance.far"
 	probersPerDomain = 2
 	// domainProbeInterval is the time between two probes of a failure domain.
@@ -77,8 +77,9 @@
 	return self
 }
 
-// probeOtherDomains probes one instance of each other failure domain, a different one each
-// round, and sends the failure domains that answer to answers.
+// probeOtherDomains starts a probe of one instance of each other failure domain, a
+// different one each round. The name of each failure domain that answers is sent to the
+// channel answers.
 func (n *Instance) probeOtherDomains(ctx context.Context, round int, answers chan<- string) {
 	byDomain := make(map[string][]platform.Instance)
 	for _, i := range n.members.Pick(domainProbeDuty, probersPerDomain) {
@@ -102,8 +103,8 @@
 }
 
 // requestReachChecks makes all instances of this failure domain check which members they
-// reach. Each decides by its own check, so that an instance that is cut off alone does not
-// affect the others.
+// reach. Each decides by its own check, so that if only this instance is cut off, the
+// others are not affected.
 func (n *Instance) requestReachChecks(ctx context.Context) {
 	n.checkReachNow()
 	for _, i := range n.members.Peers() {
@@ -120,8 +121,8 @@
 	}
 }
 
-// checkReachNow probes all members that this instance follows, then wakes the reachability
-// check and the polling of other homes.
+// checkReachNow probes all members that this instance follows, then wakes watchReach and
+// pollPeerReach. It does nothing if the last call was less than minReachCheckInterval ago.
 func (n *Instance) checkReachNow() {
 	now := n.options.Clock.Now()
 	last := n.reachCheckedAt.Load()
@@ -130,8 +131,8 @@
 	}
 	for _, h := range n.homesCopy() {
 		for _, m := range h.watcher.Snapshot().Members {
-			// Silence on an open connection proves nothing, silence on a new one does:
-			// ReportFailure makes the watcher open new connections.
+			// ReportFailure makes the watcher open a new connection, because only silence
+			// on a new connection proves that the member is not reached.
 			h.watcher.ReportFailure(m.Address)
 		}
 	}
--- a/internal/instance/endtoend_test.go
+++ b/internal/instance/endtoend_test.go
@@ -51,7 +51,7 @@
 			tc.is.Equal(k+v, "a1")
 		}
 		_, err = one.Prepare(ctx, "bad", "NONSENSE")
-		tc.is.Equal(state(err), "42601")
+		tc.is.Equal(sqlState(err), "42601")
 		tc.is.NoErr(one.QueryRow(ctx, "SELECT 1").Scan(new(int)))
 	})
 }
@@ -66,9 +66,9 @@
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '2')")
-		tc.is.Equal(state(err), "23505")
+		tc.is.Equal(sqlState(err), "23505")
 		_, err = tx.Exec(ctx, "SELECT 1")
-		tc.is.Equal(state(err), "25P02")
+		tc.is.Equal(sqlState(err), "25P02")
 		tc.is.NoErr(tx.Rollback(ctx))
 		tc.is.Equal(tc.count(c), 0)
 		tx, err = c.Begin(ctx)
@@ -152,27 +152,27 @@
 		time.Sleep(100 * time.Millisecond)
 		start := time.Now()
 		tc.cancelThrough(1, c)
-		tc.is.Equal(state(<-done), "57014")
+		tc.is.Equal(sqlState(<-done), "57014")
 		tc.is.True(time.Since(start) < time.Second)
 		tc.is.NoErr(c.Ping(ctx))
 	})
 }
 
-// A wrong password and an unknown user get the same error. An unknown group and an invalid
-// token or one of another group get errors of their own.
+// A wrong password and an unknown user get the same error. An unknown group gets a different
+// one, and so does a token that is invalid or belongs to another group.
 func TestStartupRefusals(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
-		wrong := func(change func(*pgx.ConnConfig)) string {
+		connectError := func(change func(*pgx.ConnConfig)) string {
 			c := tc.config(0, "")
 			change(c)
 			_, err := pgx.ConnectConfig(ctx, c)
-			return state(err)
+			return sqlState(err)
 		}
-		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Password = "no" }), "28P01")
-		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.User = "nobody" }), "28P01")
-		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.Database = "other" }), "TD010")
-		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "other:1:1" }), "TD012")
-		tc.is.Equal(wrong(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "x" }), "TD012")
+		tc.is.Equal(connectError(func(c *pgx.ConnConfig) { c.Password = "no" }), "28P01")
+		tc.is.Equal(connectError(func(c *pgx.ConnConfig) { c.User = "nobody" }), "28P01")
+		tc.is.Equal(connectError(func(c *pgx.ConnConfig) { c.Database = "other" }), "TD010")
+		tc.is.Equal(connectError(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "other:1:1" }), "TD012")
+		tc.is.Equal(connectError(func(c *pgx.ConnConfig) { c.RuntimeParams["topazrock.token"] = "x" }), "TD012")
 	})
 }
 
@@ -184,7 +184,7 @@
 			c := tc.mustConnect(0, forged)
 			start := time.Now()
 			_, err := c.Exec(ctx, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
-			tc.is.Equal(state(err), "TD013")
+			tc.is.Equal(sqlState(err), "TD013")
 			tc.is.True(time.Since(start) < 2*time.Second)
 		}
 	})
@@ -212,8 +212,8 @@
 	})
 }
 
-// Tags that name no class, lack a key, or have an overlong key are refused before anything
-// is sent to a member.
+// Tags that name an unknown class, lack a required key, have an overlong key, or are
+// malformed are refused before anything is sent to a member.
 func TestTagRefusals(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
@@ -228,12 +228,12 @@
 			"/*request='note',traceparent='00-aa-bb-01'*/ ON CONFLICT DO NOTHING -": "42601",
 		} {
 			_, err := c.Exec(ctx, insert+tag)
-			tc.is.Equal(state(err), want)
+			tc.is.Equal(sqlState(err), want)
 		}
 	})
 }
 
-func state(err error) string {
+func sqlState(err error) string {
 	var e *pgconn.PgError
 	if errors.As(err, &e) {
 		return e.Code
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -32,7 +32,7 @@
 	{"platform answer lost", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{LoseAnswers: 3}) }, (*testCluster).healPlatform},
 	{"operator race", (*testCluster).raceOperators, func(*testCluster) {}},
 	{"silent connections", (*testCluster).silenceConnections, func(*testCluster) {}},
-	{"instance list wrong", (*testCluster).showWrongList, (*testCluster).restoreList},
+	{"instance list wrong", (*testCluster).publishWrongList, (*testCluster).restoreList},
 	{"replica far behind", func(tc *testCluster) { tc.nodes[2].SetReplicationLag(time.Minute) }, func(tc *testCluster) { tc.nodes[2].SetReplicationLag(testReplicationLag) }},
 }
 
@@ -149,9 +149,9 @@
 	tc.net.Silence(instanceHost(0), memberHost(0))
 }
 
-// showWrongList publishes a list that lacks the instance of poa-a, which still runs, and
+// publishWrongList publishes a list that lacks the instance of poa-a, which still runs, and
 // contains an instance that does not exist.
-func (tc *testCluster) showWrongList() {
+func (tc *testCluster) publishWrongList() {
 	list := tc.inventory()
 	list.Instances[0] = platform.Instance{ID: "ghost", FailureDomain: testDomains[0], PeerAddress: "10.0.8.8:7432"}
 	tc.store.SetInventory(list)
--- a/internal/instance/forward_test.go
+++ b/internal/instance/forward_test.go
@@ -22,19 +22,20 @@
 }
 
 // An instance that is not home to the group forwards everything to one that is: writes,
-// reads of a session's own writes, transactions, keys, large answers and cancel requests.
+// reads of a session's own writes, transactions, request keys, large answers and cancel
+// requests.
 func TestEntryInstanceForwardsEverything(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		c := tc.mustConnect(tc.nonHome(), "")
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1")
-		tc.is.Equal(tc.readValue(c, "a", agedRead), "1")
+		tc.is.Equal(tc.readValue(c, "a", staleReadTag), "1")
 		tx, err := c.Begin(ctx)
 		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, payFee)
 		tc.is.NoErr(err)
 		tc.is.NoErr(tx.Commit(ctx))
 		_, err = c.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TR001")
+		tc.is.Equal(sqlState(err), "TR001")
 		rows, err := c.Query(ctx, "SELECT repeat_rows(5000, 200)")
 		tc.is.NoErr(err)
 		n := 0
@@ -50,7 +51,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		tc.cancelThrough(tc.homeInDomainOf(tc.nonHome()), c)
-		tc.is.Equal(state(<-done), "57014")
+		tc.is.Equal(sqlState(<-done), "57014")
 	})
 }
 
@@ -69,15 +70,15 @@
 		}
 		start := time.Now()
 		_, err := c.Exec(ctx, "UPDATE kv SET v = '2' WHERE k = 'a'")
-		tc.is.Equal(state(err), "TU005")
+		tc.is.Equal(sqlState(err), "TU005")
 		tc.is.True(time.Since(start) < 6*time.Second)
 		tc.exec(c, "UPDATE kv SET v = '3' WHERE k = 'a'")
-		tc.is.Equal(tc.readValue(c, "a", freshRead), "3")
+		tc.is.Equal(tc.readValue(c, "a", freshReadTag), "3")
 	})
 }
 
-// The nearest home is killed. The outcome of its running units is unknown or, inside a
-// transaction, they are lost with it. Later units go to another home.
+// The nearest home is killed. The outcome of its running units is unknown, except in a
+// transaction, which is lost with all its units. Later units go to another home.
 func TestHomeKilledWhileServingOtherInstances(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
 		at := tc.nonHome()
@@ -88,12 +89,12 @@
 		tc.is.NoErr(err)
 		tc.killInstance(tc.homeInDomainOf(at))
 		_, err = tx.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('b', '1')")
-		tc.is.True(state(err) == "TD025" || state(err) == "TU005")
+		tc.is.True(sqlState(err) == "TD025" || sqlState(err) == "TU005")
 		_, err = tx.Exec(ctx, "SELECT 1")
-		tc.is.Equal(state(err), "25P02")
+		tc.is.Equal(sqlState(err), "25P02")
 		tc.is.NoErr(tx.Rollback(ctx))
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('c', '1')")
-		tc.is.Equal(tc.readValue(c, "c", freshRead), "1")
+		tc.is.Equal(tc.readValue(c, "c", freshReadTag), "1")
 		time.Sleep(time.Second)
 		tc.is.Equal(tc.count(c), 1)
 		tc.stop[tc.homeInDomainOf(at)]()
@@ -149,6 +150,6 @@
 		_, err = reader.Exec(ctx, "ROLLBACK")
 		tc.is.NoErr(err)
 		tc.exec(writer, "UPDATE kv SET v = 'new' WHERE k = 'a'")
-		tc.is.Equal(tc.readValue(reader, "a", agedRead), "new")
+		tc.is.Equal(tc.readValue(reader, "a", staleReadTag), "new")
 	})
 }
--- a/internal/instance/history_test.go
+++ b/internal/instance/history_test.go
@@ -156,7 +156,8 @@
 		c.history.add(c.client, call, neverReturned, in, "")
 		c.moveToAnother(false)
 	case outcomeDidNotRun:
-		// The write is not recorded: no order explains a read that returns its value.
+		// The write is not recorded, so that a read which returns its value fails the
+		// check.
 		c.moveToAnother(false)
 	}
 }
@@ -219,7 +220,7 @@
 				t.Parallel()
 				is := is.New(t)
 				var h *history
-				withCluster(t, func(tc *testCluster) { h = recordHistory(tc, findFault(name), seed, freshRead) })
+				withCluster(t, func(tc *testCluster) { h = recordHistory(tc, findFault(name), seed, freshReadTag) })
 				reads, writes, unknown := h.counts()
 				t.Logf("%d reads, %d writes acknowledged, %d of unknown outcome", reads, writes, unknown)
 				is.Equal(h.check(), porcupine.Ok)
@@ -233,13 +234,13 @@
 // The same sessions use a read class that accepts data up to two seconds old while one
 // replica lags by 300 ms more than the other. A caller then sees an older value than one
 // already acknowledged to another caller, which the class allows and linearizability does
-// not. The check of the test above must detect it.
+// not. The check of TestHistoriesAreLinearizable must detect it.
 func TestHistoryCheckDetectsStaleReads(t *testing.T) {
 	is := is.New(t)
 	var h *history
 	withCluster(t, func(tc *testCluster) {
 		tc.nodes[2].SetReplicationLag(300 * time.Millisecond)
-		h = recordHistory(tc, findFault("none"), 1, agedRead)
+		h = recordHistory(tc, findFault("none"), 1, staleReadTag)
 	})
 	is.Equal(h.check(), porcupine.Illegal)
 }
--- a/internal/instance/home.go
+++ b/internal/instance/home.go
@@ -25,11 +25,12 @@
 	claimer *failover.Claimer
 	pool    *pool.Limited
 	gate    *admission.Controller
-	// queues is the admission gate if each member has its own slots, and nil otherwise.
-	queues   *admission.PerMember
-	executor *executor.Group
-	router   *executor.Router
-	share    connectionShare
+	// perMemberGate replaces gate if each member has its own slots. The unused one of the
+	// two is nil.
+	perMemberGate *admission.PerMember
+	executor      *executor.Group
+	router        *executor.Router
+	share         connectionShare
 
 	// cancelShare stops share.Run, which shareRunning tracks.
 	cancelShare  context.CancelFunc
@@ -64,7 +65,7 @@
 		Metrics: n.metrics.admission,
 	}
 	if n.protocol.Wire.SlotIsConnection {
-		h.queues = admission.NewPerMember(gate)
+		h.perMemberGate = admission.NewPerMember(gate)
 	} else {
 		h.gate = admission.New(gate)
 	}
@@ -119,8 +120,8 @@
 
 // admissionGate returns the gate that admits units.
 func (h *home) admissionGate() admission.Gate {
-	if h.queues != nil {
-		return h.queues
+	if h.perMemberGate != nil {
+		return h.perMemberGate
 	}
 	return h.gate
 }
@@ -128,7 +129,7 @@
 // setMemberLimit limits the connections and slots that the home uses at each member.
 func (h *home) setMemberLimit(connections int) {
 	h.pool.SetMemberLimit(connections)
-	h.queues.SetSlots(connections)
+	h.perMemberGate.SetSlots(connections)
 }
 
 // tracker returns the view of a group that execution uses.
@@ -182,7 +183,8 @@
 }
 
 // allocation returns the limits of a group according to its document. The failure domains
-// are those of the group's members: each of them has its own entry instances.
+// are those of the group's members, because each of these domains has its own entry
+// instances.
 func allocation(g document.Group, version int64) shares.Allocation {
 	a := shares.Allocation{
 		Document:  version,
@@ -196,7 +198,7 @@
 	return a
 }
 
-// start acquires a share and holds it until stop.
+// start acquires a share in the background and holds it until stop is called.
 func (h *home) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancelShare = cancel
--- a/internal/instance/homecount.go
+++ b/internal/instance/homecount.go
@@ -17,8 +17,8 @@
 	// the connections allows it: when one fails, its callers still have another one
 	// nearby.
 	minHomesPerDomain = 2
-	// maxHomesPerSlot is the maximum number of homes for each slot of a member while every
-	// instance is a home.
+	// maxHomesPerSlot is the maximum number of instances for each slot of a member with
+	// which every instance is a home.
 	maxHomesPerSlot = 2
 	// allInstances makes every instance of a failure domain a home.
 	allInstances = 1 << 20
@@ -40,16 +40,16 @@
 // homesPerDomain returns how many instances of each failure domain are homes to a group
 // whose members limit their own connections, and zero for other groups. Every instance is a
 // home as long as each can have minShare connections and there are at most maxHomesPerSlot
-// instances for each slot of a member: no statement then needs a hop, and the loss of an
-// instance affects its own callers only.
+// instances for each slot of a member: no statement is then forwarded to another instance,
+// and the loss of an instance affects its own callers only.
 //
 // Beyond that, the number of homes of a group is about the number of slots of a member, so
 // that one request from each home fills the member. Each home has its own queue and sends
-// at least one request, so that more homes would build up a queue at the member that no
-// admission control orders. They would also divide the connections among more homes: with
-// thirty homes for five slots, the home that received all requests of its failure domain
-// had three connections, and refused requests that the member could have served. Each home
-// also polls every member of the group, whether it has callers or not.
+// at least one request at a time, so with more homes a second queue would build up at the
+// member, which no admission control orders. The connections would also be divided among
+// more homes: with thirty homes for five slots, the home that received all requests of its
+// failure domain had three connections, and refused requests that the member could have
+// served. Each home also polls every member of the group, whether it has callers or not.
 func homesPerDomain(g document.Group, fleet fleetSize) int {
 	if g.MemberConnections <= 0 || fleet.domains == 0 {
 		return 0
@@ -72,11 +72,11 @@
 // memberSlots returns how many statements one member of a group runs concurrently.
 func memberSlots(g document.Group) int { return g.Slots / max(len(g.Members), 1) }
 
-// evenShare returns how many of a member's connections one home may use. Half of them are
-// divided evenly among the homes. The other half is divided evenly among the failure
+// evenShare returns how many of a member's connections the home self may use. Half of them
+// are divided evenly among the homes. The other half is divided evenly among the failure
 // domains and then among the homes of each: callers connect to instances of their own
-// failure domain, so that each instance has more to do where a failure domain has fewer of
-// them. The shares of all homes sum to at most total.
+// failure domain, so in a failure domain with fewer homes each home has more work. The
+// shares of all homes sum to at most total.
 func evenShare(total int, homes []platform.Instance, self platform.Instance) int {
 	domains := make(map[string]int)
 	for _, i := range homes {
--- a/internal/instance/homeload_test.go
+++ b/internal/instance/homeload_test.go
@@ -18,8 +18,8 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// The load on one member of a group. Statements take a third of the usual time that a slot
-// is in use. One operation in six is a transaction that pauses while it holds its
+// The load on one member of a group. Statements take a third of the time for which a slot is
+// usually in use. One operation in six is a transaction that pauses while it holds its
 // connection.
 const (
 	loadModelStatementTime = 33 * time.Millisecond
@@ -33,8 +33,8 @@
 type loadModel struct {
 	// gates holds the homes' gates by failure domain, in the order in which the instances
 	// of the domain try them.
-	gates  [][]*admission.PerMember
-	member chan struct{}
+	gates [][]*admission.PerMember
+	slots chan struct{}
 	// spread distributes callers over all homes of their failure domain instead of the
 	// first.
 	spread bool
@@ -55,7 +55,7 @@
 // newLoadModel builds the given number of homes in each failure domain, each with its share
 // of the connections to one member.
 func newLoadModel(g document.Group, domains, perDomain int) *loadModel {
-	l := &loadModel{gates: make([][]*admission.PerMember, domains), member: make(chan struct{}, memberSlots(g))}
+	l := &loadModel{gates: make([][]*admission.PerMember, domains), slots: make(chan struct{}, memberSlots(g))}
 	homes := fleetOf(perDomain*domains, domains)
 	for k, home := range homes {
 		connections := evenShare(g.MemberConnections, homes, home) - controlConnsPerMember
@@ -67,8 +67,8 @@
 	return l
 }
 
-// run generates callers at a rate for a time, and returns the fraction of requests served
-// in time.
+// run generates requests at the given rate for the given time, and returns the fraction of
+// them that met loadModelObjective.
 func (l *loadModel) run(perSecond float64, length time.Duration) float64 {
 	random := rand.New(rand.NewPCG(loadModelSeed, 1))
 	var all sync.WaitGroup
@@ -100,9 +100,9 @@
 	})
 	if err == nil {
 		defer slot.Release()
-		l.member <- struct{}{}
+		l.slots <- struct{}{}
 		_ = clock.Sleep(context.Background(), clock.System{}, work)
-		<-l.member
+		<-l.slots
 		slot.Answered()
 	}
 	l.recordResult(err == nil && time.Since(began) <= loadModelObjective)
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -170,8 +170,8 @@
 	n.requestReconcile()
 }
 
-// stopHome stops a home, and retries while its share cannot be released on the platform,
-// until ctx ends.
+// stopHome stops a home. If its share cannot be released on the platform, it retries until
+// ctx ends.
 func (n *Instance) stopHome(ctx context.Context, h *home) {
 	for {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
@@ -189,9 +189,10 @@
 }
 
 const (
-	// retirePollInterval is the time between two checks whether a retired home still runs
-	// units.
+	// retirePollInterval is the time between two checks of whether a retired home still
+	// runs units.
 	retirePollInterval = 50 * time.Millisecond
-	// stopTimeout bounds one attempt to stop a home.
+	// stopTimeout bounds one attempt to stop a home, and the forwarding of a cancel
+	// request.
 	stopTimeout = 2 * time.Second
 )
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -43,8 +43,8 @@
 	registry *registry.Registry
 	// listWait is used by runHomes only.
 	listWait instanceListWait
-	// cutOff is set while the instance does not reach a majority of the members of most
-	// groups.
+	// cutOff is set while the instance is cut off from most groups, as reachDetector
+	// decides.
 	cutOff atomic.Bool
 	// reachCheckedAt is when checkReachNow last ran. wakeReach and wakePeerReach wake
 	// watchReach and pollPeerReach.
@@ -80,7 +80,7 @@
 	stopping map[string]bool
 }
 
-// New builds an instance. It does nothing until Run is called.
+// New builds an instance, which does nothing until Run is called.
 func New(o Options) *Instance {
 	n := &Instance{
 		options:            o,
@@ -284,8 +284,9 @@
 	// From now on, callers that connect are told to use another instance; the listener is
 	// closed last.
 	err := n.callers.Drain(ctx)
-	// Where every instance is a home, the remaining callers are served by this instance
-	// until here: sending their last statements elsewhere would open connections there.
+	// Where every instance is a home, SetDraining is called only now: until here this
+	// instance serves its remaining callers itself, because forwarding their last
+	// statements would open connections at other homes.
 	n.members.SetDraining()
 	err = errors.Join(err, n.router.Drain(ctx))
 	callers.Close()
@@ -300,7 +301,8 @@
 func (n *Instance) shutdown(peers net.Listener, stop context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	// Only one goroutine may stop a home: this one, or the one that retired it.
+	// Only one goroutine may stop a home: this one, or the one that drains a retired home.
+	// No home is retired any more once the reconciliation has ended.
 	stop()
 	n.reconciling.Wait()
 	for _, h := range n.homesCopy() {
--- a/internal/instance/instancelistwait.go
+++ b/internal/instance/instancelistwait.go
@@ -18,8 +18,8 @@
 	groupsKnownSince time.Time
 }
 
-// pending reports whether to start no homes yet. It ends after instanceListTimeout even
-// without the list: an outage of the platform may be long, and until it ends each home
+// pending reports whether homes must not be started yet. Without the list, homes start after
+// instanceListTimeout: an outage of the platform may be long, and until it ends each home
 // serves with a small share.
 func (w *instanceListWait) pending(now time.Time, groups int, listKnown bool) bool {
 	if groups == 0 {
--- a/internal/instance/instancelistwait_test.go
+++ b/internal/instance/instancelistwait_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"groups before the list", 0, 200 * time.Millisecond, 200 * time.Millisecond},
 		{"both together", 100 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond},
-		{"groups behind the list", 500 * time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond},
+		{"groups after the list", 500 * time.Millisecond, 100 * time.Millisecond, 500 * time.Millisecond},
 		{"no list", 100 * time.Millisecond, time.Hour, 100*time.Millisecond + instanceListTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/instance/invariants_test.go
+++ b/internal/instance/invariants_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	if l.connections > testConnections {
-		violations = append(violations, fmt.Sprintf("%d connections, total %d", l.connections, testConnections))
+		violations = append(violations, fmt.Sprintf("%d connections, limit %d", l.connections, testConnections))
 	}
 	return violations
 }
--- a/internal/instance/isolation.go
+++ b/internal/instance/isolation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// isolationThreshold is how long all other failure domains must have been silent: more than
-// two probes of each, every time at another instance.
+// isolationThreshold is how long all other failure domains must have been silent. It covers
+// more than two probes of each, every one sent to a different instance than the one before.
 const isolationThreshold = 200 * time.Millisecond
 
 // isolationDetector detects that this failure domain is cut off, from the probe answers of
@@ -15,10 +15,10 @@
 // failure domains at the same time are not.
 //
 // Instances that are short of CPU time, as all are after a restart of the fleet or a large
-// manifest, also get no answers for as long, or get them late. If they mistook this for isolation,
-// they would all reopen every connection to members and be even shorter of CPU time.
-// Therefore an answer counts when it arrives, however late, and time in which this instance
-// did not run its checks does not count as silence. It does no I/O.
+// manifest, may also get no answers for that long, or get them late. If they mistook this
+// for isolation, they would all reopen every connection to members, which takes even more
+// CPU time. Therefore an answer counts from when it arrives, however late, and time in which
+// this instance did not run its checks does not count as silence. It does no I/O.
 type isolationDetector struct {
 	// lastAnswer is when each other failure domain last answered.
 	lastAnswer map[string]time.Time
--- a/internal/instance/leaving_test.go
+++ b/internal/instance/leaving_test.go
@@ -16,7 +16,7 @@
 		c := tc.mustConnect(2, "")
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		for range 20 {
-			tc.is.Equal(tc.readValue(c, "a", agedRead), "1")
+			tc.is.Equal(tc.readValue(c, "a", staleReadTag), "1")
 		}
 		before := tc.nodes[2].Reads()
 		tc.is.True(before != member.Reads{})
@@ -26,8 +26,8 @@
 		time.Sleep(2 * time.Second)
 		before = tc.nodes[2].Reads()
 		for range 20 {
-			tc.is.Equal(tc.readValue(c, "a", agedRead), "1")
-			tc.is.Equal(tc.readValue(c, "a", freshRead), "1")
+			tc.is.Equal(tc.readValue(c, "a", staleReadTag), "1")
+			tc.is.Equal(tc.readValue(c, "a", freshReadTag), "1")
 		}
 		tc.is.Equal(tc.nodes[2].Reads(), before)
 		tc.is.Equal(tc.nodes[2].Connections().Open, 0)
@@ -45,7 +45,7 @@
 		tc.store.SetInventory(list)
 		time.Sleep(4 * time.Second)
 		tc.exec(c, "UPDATE kv SET v = '2' WHERE k = 'a'")
-		tc.is.Equal(tc.readValue(c, "a", freshRead), "2")
+		tc.is.Equal(tc.readValue(c, "a", freshReadTag), "2")
 		tc.is.True(tc.nodes[0].Status().Role != "primary")
 	})
 }
--- a/internal/instance/load_test.go
+++ b/internal/instance/load_test.go
@@ -166,7 +166,7 @@
 	}
 	c.moveToAnother(c.random.IntN(2) == 0)
 	c.load.cluster.callLoadHook("roam.moved")
-	tag := []string{agedRead, freshRead}[c.random.IntN(2)]
+	tag := []string{staleReadTag, freshReadTag}[c.random.IntN(2)]
 	ctx, cancel := context.WithTimeout(c.load.ctx, requestTimeout)
 	defer cancel()
 	conn := c.connected(ctx)
@@ -188,7 +188,8 @@
 }
 
 // pay sends a request that must not run twice, and repeats it under the same key while its
-// outcome is unknown. Each execution would leave its own row.
+// outcome is unknown. Each attempt writes a different row, so that checkInvariants detects
+// if more than one ran.
 func (c *caller) pay() {
 	key := c.nextKey("p")
 	for attempt := range 3 {
--- a/internal/instance/matrix_test.go
+++ b/internal/instance/matrix_test.go
@@ -103,7 +103,7 @@
 	return c
 }
 
-// removeHooks removes all hooks.
+// removeHooks removes the hooks that inject the fault.
 func (tc *testCluster) removeHooks() {
 	for _, n := range tc.nodes {
 		n.SetHook(nil)
@@ -160,5 +160,5 @@
 		return err
 	}
 	var v string
-	return c.QueryRow(ctx, "SELECT v FROM kv WHERE k = 'service'"+freshRead).Scan(&v)
+	return c.QueryRow(ctx, "SELECT v FROM kv WHERE k = 'service'"+freshReadTag).Scan(&v)
 }
--- a/internal/instance/protocol.go
+++ b/internal/instance/protocol.go
@@ -68,6 +68,6 @@
 	Drain(ctx context.Context) error
 	// Draining reports whether Drain has begun.
 	Draining() bool
-	// Close stops what serves sessions. It is called after Drain.
+	// Close stops the goroutines that serve sessions. It is called after Drain.
 	Close()
 }
--- a/internal/instance/reach.go
+++ b/internal/instance/reach.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// cutOffAfter is how long an instance must reach only minorities before it considers
-	// itself cut off. It is long compared with the loss of one member, whose probes fail
-	// one after another.
+	// cutOffAfter is how long an instance must lack the majority in most groups before it
+	// considers itself cut off. It is long compared with the time in which the probes of a
+	// single lost member fail, which they do one after another.
 	cutOffAfter = 300 * time.Millisecond
-	// restoreAfter is how long the instance must reach majorities again before callers are
-	// accepted: a flapping link would otherwise bring them back too early.
+	// restoreAfter is how long the instance must no longer lack the majority in most groups
+	// before callers are accepted again: a flapping link would otherwise bring them back
+	// too early.
 	restoreAfter = 300 * time.Millisecond
 	// dismissAfter is when idle callers are disconnected, counted from when the instance
 	// became not ready. The balancer needs two probes one second apart to notice; a caller
 	// that reconnects earlier would be sent back here.
 	dismissAfter = 2200 * time.Millisecond
-	// hintValidity is how long a hint that all links became silent at once makes
-	// cutOffAfter unnecessary. In this time, members that are probed at once have answered
-	// or timed out, even if recent answers were slow.
+	// hintValidity is how long after a hint the instance considers itself cut off without
+	// waiting for cutOffAfter. A hint means that all links became silent at the same time.
+	// Members that are probed immediately after it have answered or timed out within
+	// hintValidity, even if recent answers were slow.
 	hintValidity = 1500 * time.Millisecond
 )
 
@@ -25,8 +27,8 @@
 // other instances do, and its callers are better served elsewhere. A single group that is
 // down does not mean that the instance is cut off. It does no I/O.
 type reachDetector struct {
-	// changedAt is when reachability last changed between minorities and majorities, and
-	// minority is the current value.
+	// minority is set while the instance reaches a majority of the members in less than
+	// half of the groups, and changedAt is when this last changed.
 	changedAt time.Time
 	minority  bool
 	// cutOff is set while the instance is cut off, cutOffSince is when that began, and
@@ -34,11 +36,11 @@
 	cutOff      bool
 	cutOffSince time.Time
 	dismissed   bool
-	// hintedAt is when all links were last found to have become silent at once.
+	// hintedAt is when hint was last called.
 	hintedAt time.Time
 }
 
-// hint records that all links became silent at once.
+// hint records that all links became silent at the same time.
 func (d *reachDetector) hint(now time.Time) { d.hintedAt = now }
 
 // hintActive reports whether the last hint is still valid.
@@ -57,14 +59,14 @@
 	reachDismissCallers
 )
 
-// update evaluates a check that reached a majority of the members in reached of the given
-// number of groups.
+// update evaluates a reachability check. groups is the number of groups that were checked,
+// and reached is in how many of them a majority of the members is reached.
 func (d *reachDetector) update(now time.Time, groups, reached int) reachEvent {
 	minority := groups > 0 && 2*reached < groups
 	if groups == 0 && d.cutOff {
-		// No information does not mean that the cut is over. A single instance that
-		// accepted callers again would bring its whole failure domain back into the
-		// balancer, which uses all instances of a failure domain where few are ready.
+		// Without information, the instance stays cut off. A single instance that accepted
+		// callers again would bring its whole failure domain back into the balancer, which
+		// uses all instances of a failure domain where few are ready.
 		minority = true
 	}
 	if minority != d.minority {
--- a/internal/instance/reach_test.go
+++ b/internal/instance/reach_test.go
@@ -40,8 +40,8 @@
 }
 
 // An instance that is cut off is no longer home to any group and gets no counts from other
-// homes. This does not mean that the cut is over: it accepts callers again only when it
-// reaches a majority.
+// homes. It must not conclude from this that the cut is over, and accepts callers again only
+// when it reaches a majority.
 func TestCutOffInstanceThatHearsNothingStaysCutOff(t *testing.T) {
 	is := is.New(t)
 	var detector reachDetector
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// methodReach asks a home how many of its groups it reaches.
+	// methodReach asks a home in how many of its groups it reaches a majority.
 	methodReach = "instance.reach"
 	// peerReachInterval is the time between two polls of other homes. peerReachTimeout
 	// bounds an answer; it is many times the time of a slow one inside a failure domain.
 	peerReachInterval = 500 * time.Millisecond
 	peerReachTimeout  = 200 * time.Millisecond
-	// maxPolledHomes is how many homes are polled: two, because one may be down.
+	// maxPolledHomes is the maximum number of homes polled: two, because one may be down.
 	maxPolledHomes = 2
 	// hintedPeerReachInterval is the time between two polls while a hint is valid.
 	hintedPeerReachInterval = 50 * time.Millisecond
 )
 
-// reachCounts holds the number of groups and how many of them are reached, that is, by a
-// majority of their members.
+// reachCounts holds the number of groups, and how many of them are reached. A group is
+// reached if a majority of its members answers.
 type reachCounts struct {
 	Groups  int `json:"groups"`
 	Reached int `json:"reached"`
@@ -59,9 +59,9 @@
 }
 
 // peerReach holds what nearby homes reach. An instance that is home to no group probes no
-// member, and could not detect that its failure domain is cut off. It would stay ready, the
-// balancer would then send callers to all instances of the failure domain even though they
-// are cut off, and all requests would be refused until the cut heals.
+// member, and could not detect by itself that its failure domain is cut off. It would stay
+// ready, which would make the balancer send callers to all instances of the failure domain
+// even though they are cut off. All requests would be refused until the cut heals.
 type peerReach struct {
 	mu  sync.Mutex
 	sum reachCounts
@@ -82,10 +82,10 @@
 // pollPeerReach asks nearby homes what they reach while this instance is home to less than
 // half of the groups, until ctx ends.
 func (n *Instance) pollPeerReach(ctx context.Context, p *peerReach) {
-	var hinted time.Time
+	var hintedAt time.Time
 	for {
 		interval := peerReachInterval
-		if n.options.Clock.Now().Sub(hinted) < hintValidity {
+		if n.options.Clock.Now().Sub(hintedAt) < hintValidity {
 			interval = hintedPeerReachInterval
 		}
 		woken, err := n.sleepOrWake(ctx, interval, n.wakePeerReach)
@@ -93,7 +93,7 @@
 			return
 		}
 		if woken {
-			hinted = n.options.Clock.Now()
+			hintedAt = n.options.Clock.Now()
 			continue
 		}
 		var sum reachCounts
@@ -104,8 +104,8 @@
 	}
 }
 
-// homesToPoll returns the nearest homes of the groups that this instance is not home to.
-// Homes in its own failure domain are the nearest.
+// homesToPoll returns the nearest home of each group that this instance is not home to, at
+// most maxPolledHomes in total. Homes in its own failure domain are the nearest.
 func (n *Instance) homesToPoll() []platform.Instance {
 	var chosen []platform.Instance
 	seen := make(map[string]bool)
@@ -123,8 +123,8 @@
 	return chosen
 }
 
-// pollHomes returns the sum of what the homes reach. A home that does not answer counts as
-// one group that is not reached.
+// pollHomes returns the sum of the homes' counts. A home that does not answer counts as one
+// group that is not reached.
 func (n *Instance) pollHomes(ctx context.Context, homes []platform.Instance) reachCounts {
 	ctx, cancel := context.WithTimeout(ctx, peerReachTimeout)
 	defer cancel()
--- a/internal/instance/reachpeers_test.go
+++ b/internal/instance/reachpeers_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A failure domain is cut off that has one instance that is home to the group and one that
-// is not and probes no member itself. If the second one stayed ready, the balancer would
-// keep sending the failure domain's callers to both. It must learn from the home that a
+// A failure domain with two instances is cut off. One is home to the group; the other is
+// not, and probes no member itself. If the second one stayed ready, the balancer would keep
+// sending the failure domain's callers to both. It must learn from the home that only a
 // minority is reached, and become not ready as well. When the cut heals, both become ready.
 func TestNonHomeInstanceDetectsCutOff(t *testing.T) {
 	withClusterOf(t, 6, func(tc *testCluster) {
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// watchReach checks reachability and maintains cutOff until ctx ends.
+// watchReach checks reachability, sets and clears cutOff, and disconnects idle callers of an
+// instance that is cut off. It returns when ctx ends.
 func (n *Instance) watchReach(ctx context.Context) {
 	var detector reachDetector
 	var peers peerReach
--- a/internal/instance/requestkeys_test.go
+++ b/internal/instance/requestkeys_test.go
@@ -14,8 +14,8 @@
 		tc.exec(tc.mustConnect(0, ""), payFee)
 		c := tc.mustConnect(1, "")
 		_, err := c.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TR001")
-		tc.is.Equal(tc.readValue(c, "fee", freshRead), "paid")
+		tc.is.Equal(sqlState(err), "TR001")
+		tc.is.Equal(tc.readValue(c, "fee", freshReadTag), "paid")
 	})
 }
 
@@ -32,8 +32,8 @@
 			}
 		})
 		_, err := c.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TR001")
-		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "fee", freshRead), "paid")
+		tc.is.Equal(sqlState(err), "TR001")
+		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "fee", freshReadTag), "paid")
 	})
 }
 
@@ -51,10 +51,10 @@
 			}
 		})
 		_, err := c.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TD020")
+		tc.is.Equal(sqlState(err), "TD020")
 		later := tc.mustConnect(2, "")
 		_, err = later.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TD020")
+		tc.is.Equal(sqlState(err), "TD020")
 		tc.is.Equal(tc.count(later), 0)
 	})
 }
@@ -78,11 +78,11 @@
 		tx, err = c.Begin(ctx)
 		tc.is.NoErr(err)
 		_, err = tx.Exec(ctx, payFee)
-		tc.is.Equal(state(err), "TR001")
+		tc.is.Equal(sqlState(err), "TR001")
 		_, err = tx.Exec(ctx, "SELECT 1")
-		tc.is.Equal(state(err), "25P02")
+		tc.is.Equal(sqlState(err), "25P02")
 		tc.is.NoErr(tx.Rollback(ctx))
-		tc.is.Equal(tc.readValue(c, "fee", freshRead), "paid")
+		tc.is.Equal(tc.readValue(c, "fee", freshReadTag), "paid")
 	})
 }
 
@@ -113,23 +113,23 @@
 
 // The primary fails and a caller writes during the failover. The write was not sent yet, so
 // it waits for the new primary and runs there once. If there is no new primary, because two
-// of three members are down, a caller is refused after the time of a failover, and later
-// ones immediately.
+// of three members are down, a caller is refused after the time that a failover takes, and
+// later ones immediately.
 func TestWriteWaitsForFailover(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
 		tc.killMember(0)
 		time.Sleep(100 * time.Millisecond)
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		tc.is.Equal(tc.readValue(c, "a", freshRead), "1")
+		tc.is.Equal(tc.readValue(c, "a", freshReadTag), "1")
 		tc.killMember(1)
 		tc.killMember(2)
 		time.Sleep(2 * time.Second)
 		_, err := c.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('b', '1')")
-		tc.is.Equal(state(err), "TD004")
+		tc.is.Equal(sqlState(err), "TD004")
 		start := time.Now()
 		_, err = c.Exec(ctx, "INSERT INTO kv (k, v) VALUES ('c', '1')")
-		tc.is.Equal(state(err), "TD004")
+		tc.is.Equal(sqlState(err), "TD004")
 		tc.is.True(time.Since(start) < 50*time.Millisecond)
 	})
 }
@@ -158,7 +158,7 @@
 					}
 					tc.net.Silence(instanceHost(1), memberHost(0))
 				})
-				tc.is.Equal(state(tx.Commit(ctx)), want)
+				tc.is.Equal(sqlState(tx.Commit(ctx)), want)
 				tc.is.Equal(c.PgConn().TxStatus(), byte('I'))
 				rows := 0
 				if want == "TR001" {
@@ -172,8 +172,8 @@
 
 // A failure domain is cut off while its callers wait for answers of the primary, which is
 // in another failure domain and remains the only one they know. Their units must end after
-// the time of a failover rather than the statement timeout, and callers that connect later
-// are refused immediately.
+// the time that a failover takes rather than the statement timeout, and callers that connect
+// later are refused immediately.
 func TestCutOffDomainRefusesItsCallersQuickly(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
@@ -181,7 +181,7 @@
 		done := make(chan string)
 		go func() {
 			_, err := c.Exec(ctx, "SELECT pg_sleep(2)")
-			done <- state(err)
+			done <- sqlState(err)
 		}()
 		time.Sleep(100 * time.Millisecond)
 		for _, in := range []string{memberHost(1), instanceHost(1)} {
@@ -195,7 +195,7 @@
 		tc.is.True(time.Since(start) < 2*time.Second)
 		start = time.Now()
 		_, err := tc.mustConnect(1, "").Exec(ctx, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		tc.is.Equal(state(err), "TD004")
+		tc.is.Equal(sqlState(err), "TD004")
 		tc.is.True(time.Since(start) < 200*time.Millisecond)
 	})
 }
--- a/internal/instance/session_test.go
+++ b/internal/instance/session_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	agedRead  = " /*request='pending-visits'*/"
-	freshRead = " /*request='application'*/"
+	staleReadTag = " /*request='pending-visits'*/"
+	freshReadTag = " /*request='application'*/"
 )
 
 func (tc *testCluster) readValue(c *pgx.Conn, key, tag string) string {
@@ -26,7 +26,7 @@
 // session must see its write with and without a token: the token or the barrier of the
 // first read excludes that replica.
 func TestRoamingSessionReadsItsOwnWrite(t *testing.T) {
-	for name, carries := range map[string]bool{"with a token": true, "without a token": false} {
+	for name, withToken := range map[string]bool{"with a token": true, "without a token": false} {
 		t.Run(name, func(t *testing.T) {
 			withCluster(t, func(tc *testCluster) {
 				writer := tc.mustConnect(0, "")
@@ -35,11 +35,11 @@
 				tc.nodes[2].SetReplicationLag(time.Second)
 				for i := range 6 {
 					tc.exec(writer, "UPDATE kv SET v = $1 WHERE k = 'a'", fmt.Sprint(i))
-					carried := ""
-					if carries {
-						carried = token(writer)
+					readerToken := ""
+					if withToken {
+						readerToken = token(writer)
 					}
-					tc.is.Equal(tc.readValue(tc.mustConnect(2, carried), "a", agedRead), fmt.Sprint(i))
+					tc.is.Equal(tc.readValue(tc.mustConnect(2, readerToken), "a", staleReadTag), fmt.Sprint(i))
 				}
 			})
 		})
@@ -54,7 +54,7 @@
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		start := time.Now()
 		for range 20 {
-			tc.is.Equal(tc.readValue(c, "a", agedRead), "1")
+			tc.is.Equal(tc.readValue(c, "a", staleReadTag), "1")
 		}
 		tc.is.True(time.Since(start) < time.Second)
 		tc.is.True(tc.unitsAnswered("pending-visits", "replica") >= 20)
@@ -68,17 +68,17 @@
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(0, "")
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'old')")
-		carried := token(c)
+		oldToken := token(c)
 		tc.net.Cut(memberHost(0), memberHost(2))
 		time.Sleep(3 * time.Second)
 		tc.exec(c, "UPDATE kv SET v = 'new' WHERE k = 'a'")
 		time.Sleep(3 * time.Second)
 		for i := range 3 {
 			for range 10 {
-				tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", agedRead), "new")
+				tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", staleReadTag), "new")
 			}
-			tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", freshRead), "new")
-			tc.is.Equal(tc.readValue(tc.mustConnect(i, carried), "a", agedRead), "new")
+			tc.is.Equal(tc.readValue(tc.mustConnect(i, ""), "a", freshReadTag), "new")
+			tc.is.Equal(tc.readValue(tc.mustConnect(i, oldToken), "a", staleReadTag), "new")
 		}
 	})
 }
@@ -90,13 +90,13 @@
 	withCluster(t, func(tc *testCluster) {
 		c := tc.mustConnect(1, "")
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
-		carried := token(c)
+		oldToken := token(c)
 		tc.nodes[0].Kill()
 		time.Sleep(3 * time.Second)
-		reader := tc.mustConnect(2, carried)
-		tc.is.Equal(tc.readValue(reader, "a", agedRead), "1")
+		reader := tc.mustConnect(2, oldToken)
+		tc.is.Equal(tc.readValue(reader, "a", staleReadTag), "1")
 		tc.exec(reader, "UPDATE kv SET v = '2' WHERE k = 'a'")
-		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "a", freshRead), "2")
+		tc.is.Equal(tc.readValue(tc.mustConnect(1, ""), "a", freshReadTag), "2")
 	})
 }
 
@@ -127,7 +127,7 @@
 		}
 		time.Sleep(2 * lag)
 		start := time.Now()
-		tc.is.Equal(tc.readValue(c, "a", freshRead), "1")
+		tc.is.Equal(tc.readValue(c, "a", freshReadTag), "1")
 		read := time.Since(start)
 		start = time.Now()
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ($1, 'y')", "b")
--- a/internal/instance/sessionsettings_test.go
+++ b/internal/instance/sessionsettings_test.go
@@ -69,7 +69,7 @@
 			tc.is.Equal(tc.showSetting(c, "statement_timeout"), "700")
 		}
 		_, err = c.Exec(ctx, "SHOW _pq_.extension")
-		tc.is.True(err != nil) // it is the protocol's own
+		tc.is.True(err != nil) // names with _pq_. are options of the protocol, not settings
 		tc.exec(c, "DISCARD ALL")
 		tc.is.Equal(tc.showSetting(c, "work_mem"), "4MB")
 		tc.is.Equal(tc.showSetting(c, "statement_timeout"), "0")
--- a/internal/instance/share.go
+++ b/internal/instance/share.go
@@ -8,7 +8,8 @@
 
 // connectionShare limits a home's connections and slots to its share of the group's.
 type connectionShare interface {
-	// Run holds the share until ctx ends; Close releases it afterwards.
+	// Run acquires the share and holds it until ctx ends. Close, called afterwards,
+	// releases it.
 	Run(ctx context.Context)
 	Close(ctx context.Context) error
 	// SetAllocation applies a newer version of the group's limits.
--- a/internal/instance/unnamedstatements_test.go
+++ b/internal/instance/unnamedstatements_test.go
@@ -21,6 +21,6 @@
 			tc.is.Equal(tc.exchange(f, "ready I", bind, run, sync), []string{"bound", "complete", "ready I"})
 		}
 		reader := tc.mustConnect(1, "")
-		tc.is.Equal(tc.readValue(reader, "one", freshRead)+tc.readValue(reader, "two", freshRead), "11")
+		tc.is.Equal(tc.readValue(reader, "one", freshReadTag)+tc.readValue(reader, "two", freshReadTag), "11")
 	})
 }
--- a/internal/instance/workspace_test.go
+++ b/internal/instance/workspace_test.go
@@ -46,8 +46,8 @@
 	return conn
 }
 
-// Guards against PostgreSQL callers who exceed their workspace's limit, and against
-// refusing callers of other workspaces because of it.
+// Guards against PostgreSQL callers that exceed their workspace's limit, and against refusing
+// callers of other workspaces while one workspace is at its limit.
 func TestWorkspaceLimitAppliesToItsAccounts(t *testing.T) {
 	withCluster(t, func(tc *testCluster) {
 		tc.apply(workspaceDocument(t), 1)
@@ -56,7 +56,7 @@
 		north, south := tc.connectAs(0, "north"), tc.connectAs(0, "south")
 		for range 100 {
 			_, err := north.Exec(ctx, "SELECT v FROM kv WHERE k = 'a' /*request='pending-visits'*/")
-			switch state(err) {
+			switch sqlState(err) {
 			case "":
 				served++
 			case "TD030":
