--- a/cmd/topazrock/deployment_test.go
+++ b/cmd/topazrock/deployment_test.go
@@ -22,7 +22,7 @@
 const (
 	testGroup    = "ligacoes-1"
 	testPassword = "pampa"
-	// waitTimeout limits every wait; it allows for a heavily loaded machine.
+	// waitTimeout limits every wait. It is long enough for a heavily loaded machine.
 	waitTimeout  = 60 * time.Second
 	pollInterval = 20 * time.Millisecond
 )
@@ -150,18 +150,18 @@
 	return response.StatusCode
 }
 
-// waitUntil polls until f returns true, and fails the test at waitTimeout.
-func (d *testDeployment) waitUntil(what string, f func() bool) {
+// waitUntil polls until isTrue returns true, and fails the test after waitTimeout.
+func (d *testDeployment) waitUntil(condition string, isTrue func() bool) {
 	d.t.Helper()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	limit := time.NewTimer(waitTimeout)
 	defer limit.Stop()
-	for !f() {
+	for !isTrue() {
 		select {
 		case <-ticker.C:
 		case <-limit.C:
-			d.t.Fatalf("timeout while waiting until: %s", what)
+			d.t.Fatalf("timeout while waiting until: %s", condition)
 		}
 	}
 }
--- a/internal/adminapi/access.go
+++ b/internal/adminapi/access.go
@@ -50,8 +50,8 @@
 	return result.New(result.AccessDenied, "no access token is configured, so changes are taken from loopback only")
 }
 
-// secretsEqual compares two secrets in a time that depends neither on their
-// content nor on their length.
+// secretsEqual compares two secrets. It hashes them first so that the time of the
+// comparison depends neither on their content nor on their length.
 func secretsEqual(a, b string) bool {
 	x, y := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -6,6 +6,6 @@
 // the loopback interface only. Errors are application/problem+json (RFC 9457)
 // with the numbered codes of package result.
 //
-// The package accesses the rest of the instance through the small interfaces of
-// parts.go and holds no state of its own.
+// The package accesses the rest of the instance through the small interfaces in
+// dependencies.go and holds no state of its own.
 package adminapi
--- a/internal/adminapi/documents.go
+++ b/internal/adminapi/documents.go
@@ -81,8 +81,8 @@
 	writeOutcome(w, outcome)
 }
 
-// addResultCode reports an error that has no code as StillSettling, that is with
-// unknown outcome: the change may have been stored before the error occurred.
+// addResultCode gives an error without a result code the code StillSettling, which means
+// that the outcome is unknown: the change may have been stored before the error occurred.
 func addResultCode(err error) error {
 	var problems inifile.Problems
 	if _, ok := result.As(err); ok || errors.As(err, &problems) {
@@ -142,8 +142,8 @@
 	writeJSON(w, http.StatusOK, nonNil(versions))
 }
 
-// editedVersion returns the version that the edit is based on, from If-Match; zero
-// if If-None-Match: * declares that the document does not exist yet.
+// editedVersion returns the version that the edit is based on, from the header If-Match;
+// zero if the header If-None-Match: * states that the document does not exist yet.
 func editedVersion(r *http.Request) (int64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, nil
--- a/internal/adminapi/fleet.go
+++ b/internal/adminapi/fleet.go
@@ -38,9 +38,9 @@
 	documents  Documents
 }
 
-// NewPeerFleet returns a Fleet that reads the instance list from inventory,
-// queries other instances through peerClient and reads the versions of its own
-// instance, self, from documents.
+// NewPeerFleet returns a Fleet that reads the instance list from inventory and queries
+// the other instances through peerClient. For its own instance, self, it reads the
+// versions from documents.
 func NewPeerFleet(self Identity, inventory Inventory, peerClient peer.Caller, documents Documents) *PeerFleet {
 	return &PeerFleet{self: self, inventory: inventory, peerClient: peerClient, documents: documents}
 }
--- a/internal/adminapi/groupstate.go
+++ b/internal/adminapi/groupstate.go
@@ -21,9 +21,9 @@
 	GroupNoPrimary GroupState = "no primary"
 )
 
-// maxConfirmationAge is the maximum age of the last replica report; beyond it the
-// group is shown as unconfirmed. It is for display only; routing has a limit of
-// its own.
+// maxConfirmationAge is the maximum age of the last reports of enough attached replicas. If
+// they are older, the group is shown as unconfirmed. The limit is for display only; routing
+// has a limit of its own.
 const maxConfirmationAge = 3 * time.Second
 
 // newGroupView converts a snapshot; ages are computed as of now.
@@ -51,8 +51,8 @@
 		Leaving:       m.Leaving,
 	}
 	if s.Primary != "" && m.Status.Attached == s.Term && primary.Status.Entered == s.Term {
-		// The reports were requested at different times. If the replica's is
-		// newer, its position can be beyond the one in the primary's report.
+		// The two reports were requested at different times. If the replica's report is
+		// newer, its position can be beyond the position in the primary's report.
 		lag := int64(primary.Status.Last.Position) - int64(m.Status.Last.Position)
 		v.LagBytes = max(0, lag)
 	}
--- a/internal/adminapi/openapi_test.go
+++ b/internal/adminapi/openapi_test.go
@@ -50,9 +50,9 @@
 	is.Equal(strings.Join(described, "\n"), strings.Join(served, "\n"))
 }
 
-func operationLine(method, path string, changes bool) string {
+func operationLine(method, path string, mutating bool) string {
 	line := strings.ToUpper(method) + " " + path
-	if changes {
+	if mutating {
 		line += " needs the token"
 	}
 	return line
--- a/internal/adminapi/outcome.go
+++ b/internal/adminapi/outcome.go
@@ -3,9 +3,9 @@
 // ApplyState is the state of a change after an apply request.
 type ApplyState string
 
-// States of a change. Each is reported only if it is certain.
-// StateOutcomeUnknown is reported if the platform's response was lost and the
-// outcome could not be determined yet.
+// States of a change. StateOutcomeUnknown is reported if the platform's response was
+// lost and the outcome could not be determined yet; each of the others is reported only
+// if it is certain.
 const (
 	// StateAccepted: the change is stored as Outcome.Version.
 	StateAccepted ApplyState = "accepted"
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -22,7 +22,7 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Code is the result code as listed in docs/RESULT-CODES.md.
+	// Code is the number of the result code, as listed in docs/RESULT-CODES.md.
 	Code int `json:"code"`
 	// RetryAfter is in seconds; zero if retrying does not help.
 	RetryAfter int `json:"retry_after,omitempty"`
@@ -58,8 +58,9 @@
 	result.UnknownGroup:        http.StatusNotFound,
 }
 
-// newProblem converts err to a Problem. The only I/O that the API does is to the
-// platform, so an error without a code is reported as PlatformUnavailable.
+// newProblem converts err to a Problem. An error without a code is reported as
+// PlatformUnavailable, because errors without a code can only come from I/O with the
+// platform.
 func newProblem(err error) *Problem {
 	resultErr, ok := result.As(err)
 	var problems inifile.Problems
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -47,7 +47,7 @@
 		<-ctx.Done()
 		s.shutdown(server)
 	}()
-	s.log.Info("serving", "address", listener.Addr().String())
+	s.log.Info("Administration API is listening.", "address", listener.Addr().String())
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		s.log.Warn("Shutdown did not wait for all running requests.", "error", err)
+		s.log.Warn("Shutdown timed out before all running requests finished.", "error", err)
 	}
 }
 
--- a/internal/adminapi/views.go
+++ b/internal/adminapi/views.go
@@ -62,9 +62,9 @@
 	Role          string `json:"role"`
 	Term          uint64 `json:"term"`
 	Position      uint64 `json:"position"`
-	// LagBytes is the distance between the end of the member's log and the end
-	// of the primary's; -1 if the member's log is not known to be a prefix of
-	// the primary's.
+	// LagBytes is how many bytes the end of the member's log is before the end of the
+	// primary's log; -1 if the member's log is not known to be a prefix of the
+	// primary's.
 	LagBytes int64 `json:"lag_bytes"`
 	// MaxAgeMillis is the verified upper bound of the age of the member's data,
 	// in milliseconds; -1 if no bound is known.
--- a/internal/callers/idlewait.go
+++ b/internal/callers/idlewait.go
@@ -14,15 +14,17 @@
 var wakeDeadline = time.Unix(1, 0)
 
 // IdleWait waits for the first bytes of a caller's next message. Only this wait can be
-// interrupted: if a deadline in the past applied while a message is partly read, the read would
-// fail after consuming some bytes, and the rest of the message would be parsed as a new one.
+// interrupted, by a read deadline in the past. If that deadline were set in the middle of a
+// message, the read would fail after consuming some bytes, and the rest of the message would be
+// parsed as a new one.
 //
 // Lock order: IdleWait.mu alone; it is not held while a read blocks.
 type IdleWait struct {
 	conn net.Conn
 
 	mu sync.Mutex
-	// waiting is set while a read blocks, and woken after Wake until the next wait ends.
+	// waiting is set while a read blocks. woken is set by Wake and cleared when the current
+	// wait ends or, if there is none, when the next one begins.
 	waiting, woken bool
 	// hasDeadline is set while the connection has a read deadline.
 	hasDeadline bool
--- a/internal/callers/linger.go
+++ b/internal/callers/linger.go
@@ -8,9 +8,11 @@
 
 const (
 	// lingerTimeout limits how long a closing connection is still read. It allows several
-	// round trips between regions and is a part of the time available after a drain.
+	// round trips between regions, and is shorter than the time between the end of a drain
+	// and the end of the process.
 	lingerTimeout = 500 * time.Millisecond
-	// maxLingerBytes limits how much of it is read, in bytes: a few of the largest messages.
+	// maxLingerBytes limits how much is read from a closing connection, in bytes. It allows
+	// a few messages of the maximum size.
 	maxLingerBytes = 4 << 20
 )
 
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -21,8 +21,8 @@
 
 // Session serves one caller.
 type Session interface {
-	// Run serves the caller until it disconnects, until the session is idle and the
-	// server is draining, or until the drain times out.
+	// Run serves the caller until one of these: the caller disconnects, the session is
+	// idle while the server is draining, or the drain times out.
 	Run()
 	// Wake makes a session that waits for a message check whether it should end.
 	Wake()
@@ -36,8 +36,8 @@
 	Open func(net.Conn) Session
 	// Refuse sends a caller the reason why its connection is rejected.
 	Refuse func(net.Conn, *result.Error)
-	// EndUnits cancels the units that members are running, when a drain times out. Units
-	// that wait for anything else are cancelled through Server.Units.
+	// EndUnits is called when a drain times out, and cancels the units that members are
+	// running. Units that wait for anything else are cancelled through Server.Units.
 	EndUnits func()
 	Clock    clock.Clock
 	// Connected is the number of connected callers.
@@ -46,8 +46,9 @@
 }
 
 // finalReplyTimeout is how long sessions have, after a drain timed out, to send their callers
-// the outcome of the running statement. It is several times what a reply takes, and a part of
-// the time that the platform leaves between the end of a drain and that of the process.
+// the outcome of the running statement. It is several times as long as sending a reply takes,
+// and shorter than the time that the platform allows between the end of a drain and the end of
+// the process.
 const finalReplyTimeout = 250 * time.Millisecond
 
 // Server accepts callers and runs their sessions.
@@ -109,7 +110,7 @@
 		return nil, result.New(result.Draining, "connect again")
 	}
 	if len(s.sessions) >= s.config.Max {
-		return nil, result.New(result.TooManyCallers, "at most %d", s.config.Max).WithRetryAfter(RetryAfterFull)
+		return nil, result.New(result.TooManyCallers, "at most %d", s.config.Max).WithRetryAfter(RetryAfterRejection)
 	}
 	session := s.config.Open(conn)
 	s.sessions[session] = conn
@@ -141,24 +142,24 @@
 	return s.draining
 }
 
-// Dismiss makes idle callers reconnect to another instance: every present session ends
-// as soon as it is idle. Callers that connect later are accepted as usual.
+// Dismiss makes idle callers reconnect to another instance: every session that exists now
+// ends as soon as it is idle. Callers that connect later are accepted as usual.
 func (s *Server) Dismiss() {
 	s.dismissals.Add(1)
 	s.mu.Lock()
-	sessions := s.sessionList()
+	sessions := s.sessionsLocked()
 	s.mu.Unlock()
 	for _, session := range sessions {
 		session.Wake()
 	}
 }
 
-// Dismissals returns the number of calls of Dismiss. A session must end when it is
-// idle and the number has increased since the session began.
+// Dismissals returns the number of calls of Dismiss. An idle session must end if the
+// number has increased since the session began.
 func (s *Server) Dismissals() uint64 { return s.dismissals.Load() }
 
-// sessionList returns the sessions. The caller holds s.mu.
-func (s *Server) sessionList() []Session {
+// sessionsLocked returns the sessions. The caller holds s.mu.
+func (s *Server) sessionsLocked() []Session {
 	sessions := make([]Session, 0, len(s.sessions))
 	for session := range s.sessions {
 		sessions = append(sessions, session)
@@ -167,7 +168,7 @@
 }
 
 // Units returns the context in which sessions run their units. It is cancelled when a drain
-// times out, also for sessions with an open transaction.
+// times out, including for sessions with an open transaction.
 func (s *Server) Units() context.Context { return s.unitContext }
 
 // Drain rejects new callers, wakes idle sessions so that they end, and lets
@@ -197,7 +198,7 @@
 	if len(s.sessions) == 0 {
 		close(s.drained)
 	}
-	return s.sessionList()
+	return s.sessionsLocked()
 }
 
 // closeSessions cancels the running units, wakes the sessions that wait for a message, gives all
@@ -208,7 +209,7 @@
 	s.cancelUnits()
 	s.config.EndUnits()
 	s.mu.Lock()
-	sessions := s.sessionList()
+	sessions := s.sessionsLocked()
 	s.mu.Unlock()
 	for _, session := range sessions {
 		session.Wake()
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -143,13 +143,13 @@
 	})
 }
 
-// busySession is a session with a running statement, which the context of units cancels.
+// busySession is a session with a running statement, which ends when Server.Units is cancelled.
 type busySession struct {
 	server *Server
 	conn   net.Conn
 }
 
-// Run implements Session: it replies when its statement was cancelled.
+// Run implements Session: it replies after its statement has been cancelled.
 func (s *busySession) Run() {
 	<-s.server.Units().Done()
 	_, _ = s.conn.Write([]byte("answer"))
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -101,7 +101,7 @@
 	queryVersions := func(ctx context.Context) ([]adminapi.InstanceVersion, error) {
 		return client.VersionsInForce(ctx, name)
 	}
-	missing, err := waitInForce(ctx, clock.System{}, queryVersions, version)
+	missing, err := waitUntilInForce(ctx, clock.System{}, queryVersions, version)
 	if err == nil && len(missing) == 0 {
 		return nil, nil
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -171,7 +171,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		missing, err := waitInForce(ctx, clock.System{}, queryVersions, 5)
+		missing, err := waitUntilInForce(ctx, clock.System{}, queryVersions, 5)
 		is.NoErr(err)
 		is.Equal(missing, []adminapi.InstanceVersion{{Instance: "i3", Error: "no answer"}})
 		is.Equal(time.Since(start), 10*time.Second)
@@ -184,7 +184,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		queryVersions := func(context.Context) ([]adminapi.InstanceVersion, error) { return nil, errors.New("platform down") }
-		_, err := waitInForce(ctx, clock.System{}, queryVersions, 5)
+		_, err := waitUntilInForce(ctx, clock.System{}, queryVersions, 5)
 		is.True(err != nil)
 	})
 }
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -26,7 +26,7 @@
 // Execute implements flags.Commander.
 func (c *codesCommand) Execute([]string) error { return result.WritePage(c.app.env.Stdout) }
 
-// verifierCommand makes a password verifier.
+// verifierCommand prints the verifier of a password, for a service document.
 type verifierCommand struct{ app *app }
 
 // Execute implements flags.Commander. The password is read from standard input
--- a/internal/cli/versionline.go
+++ b/internal/cli/versionline.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// versionPrefix starts the comment line that the get command adds above a
-// document, so that the apply command knows which version was edited.
+// versionPrefix is the start of the comment line that the get command adds above a
+// document. From it, the apply command knows which version was edited.
 const versionPrefix = "; version: "
 
 // addVersionLine adds a version line above a document.
--- a/internal/cli/wait.go
+++ b/internal/cli/wait.go
@@ -12,10 +12,10 @@
 // waitInterval is the pause between two queries of all instances.
 const waitInterval = 500 * time.Millisecond
 
-// waitInForce queries the instances until all live ones report at least version,
+// waitUntilInForce queries the instances until all live ones report at least version,
 // or ctx ends. It returns the instances that did not report it in the last
 // successful query, and an error if no query succeeded.
-func waitInForce(
+func waitUntilInForce(
 	ctx context.Context, clk clock.Clock, queryVersions func(context.Context) ([]adminapi.InstanceVersion, error), version int64,
 ) ([]adminapi.InstanceVersion, error) {
 	var missing []adminapi.InstanceVersion
@@ -23,7 +23,7 @@
 	for {
 		versions, err := queryVersions(ctx)
 		if err == nil {
-			missing, lastErr = lagging(versions, version), nil
+			missing, lastErr = instancesBelowVersion(versions, version), nil
 		} else if lastErr != nil {
 			lastErr = err
 		}
@@ -36,14 +36,14 @@
 	}
 }
 
-// lagging returns the live instances that do not report at least version. It
-// skips leaving instances: they may stop before they report.
-func lagging(versions []adminapi.InstanceVersion, version int64) []adminapi.InstanceVersion {
-	var lagging []adminapi.InstanceVersion
+// instancesBelowVersion returns the live instances that do not report at least version.
+// It skips leaving instances, because they may stop before they report.
+func instancesBelowVersion(versions []adminapi.InstanceVersion, version int64) []adminapi.InstanceVersion {
+	var missing []adminapi.InstanceVersion
 	for _, v := range versions {
 		if !v.Leaving && (v.Error != "" || v.Version < version) {
-			lagging = append(lagging, v)
+			missing = append(missing, v)
 		}
 	}
-	return lagging
+	return missing
 }
--- a/internal/execution/unit.go
+++ b/internal/execution/unit.go
@@ -25,7 +25,7 @@
 type Step = byte
 
 // Steps. The messages of synthetic steps are left out of Unit.Messages, and their
-// responses are inserted at the right place among those of the member.
+// responses are inserted among those of the member, in the order of Unit.Shape.
 const (
 	StepParse          Step = 'P'
 	StepBind           Step = 'B'
@@ -63,8 +63,8 @@
 	Group   string `json:"group"`
 	// Workspace is the workspace that the unit runs for; empty if the caller has none.
 	Workspace string `json:"workspace,omitempty"`
-	// Owner is the workspace on whose own member connections the unit must run; empty if
-	// connections are shared between workspaces.
+	// Owner is the workspace that has its own member connections, to which the unit is
+	// restricted; empty if the unit uses connections that workspaces share.
 	Owner string `json:"owner,omitempty"`
 	// Class and Key come from the request's tag; empty if there is no tag.
 	Class string `json:"class,omitempty"`
@@ -95,7 +95,7 @@
 	// Values are the session's values, sorted by name. The connection that runs the
 	// unit must have exactly these set.
 	Values []Value `json:"values,omitempty"`
-	// Sets is set when the unit only changes session values. NextValues are the
+	// Sets is set when the unit only changes session values. NextValues then holds the
 	// session's values after the unit has succeeded.
 	Sets       bool    `json:"sets,omitempty"`
 	NextValues []Value `json:"next_values,omitempty"`
@@ -148,10 +148,10 @@
 
 // Executor runs units.
 type Executor interface {
-	// Execute runs one unit. The start of a large reply is passed to partial in
-	// chunks of whole messages before Execute returns the Reply. An error after the
-	// first chunk means that the caller has received part of a reply, which must then
-	// be ended with an error. Errors are *result.Error.
+	// Execute runs one unit. All but the end of a large reply is passed to partial, in
+	// chunks of whole messages, before Execute returns the Reply. If Execute returns
+	// an error after the first chunk, the caller has received part of a reply, and the
+	// reply must be ended with an error. Errors are *result.Error.
 	Execute(ctx context.Context, u *Unit, partial func([]byte) error) (*Reply, error)
 	// Abandon rolls back and releases an open transaction whose caller ended it
 	// without a commit or has disconnected. It does not wait for the member.
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// logLine holds the fields of a log line that reports use. The JSON names are those
-// in the logs of instances; see docs/OPERATIONS.md.
+// logLine holds those fields of a log line that reports use. The JSON names are the field
+// keys in the logs of instances; see docs/OPERATIONS.md.
 type logLine struct {
 	Message   string `json:"@message"`
 	Level     string `json:"@level"`
@@ -26,7 +26,7 @@
 	// FailureDomain is set only in the line that an instance logs when it starts.
 	FailureDomain string `json:"failure_domain"`
 
-	// offset is the time of the line, relative to the first line.
+	// offset is the time in the prefix or, without one, the time since the first line.
 	offset time.Duration
 	// writer is the ID of the instance that wrote the line.
 	writer string
@@ -40,8 +40,8 @@
 }
 
 // parseLine parses one line: a JSON object with an optional prefix. The last word of the
-// prefix names the instance; the first of several may be the time in seconds. parseLine
-// returns false if the line has another form.
+// prefix is the instance's ID. If the prefix has several words, the first may be the time
+// in seconds. parseLine returns false if the line has another form.
 func (p *lineParser) parseLine(text []byte) (logLine, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -29,7 +29,8 @@
 	"The instance's entry was removed.": true, "Opening a connection failed.": true, "Unit was passed on and not served.": true,
 }
 
-// Filter selects the lines for a report. Fields with zero values select all lines.
+// Filter selects the lines for a report. Fields with zero values select all lines. Code
+// and Request apply to refusals only, and Group to lines that have a group.
 type Filter struct {
 	Group, Instance, Code, Request string
 	// From and To limit the time range; if To is zero, it has no end.
@@ -79,7 +80,7 @@
 // Report holds the refusals and state changes found in a set of logs.
 type Report struct {
 	Lines        int            `json:"lines"`
-	Unread       int            `json:"unread"`
+	Unparsed     int            `json:"unread"`
 	ByCode       map[string]int `json:"by_code"`
 	Refusals     []RefusalCount `json:"refusals"`
 	StateChanges []StateChange  `json:"beliefs"`
@@ -118,7 +119,7 @@
 	for scanner.Scan() {
 		l, ok := p.parseLine(scanner.Bytes())
 		if !ok {
-			b.report.Unread++
+			b.report.Unparsed++
 			continue
 		}
 		b.report.Lines++
@@ -184,7 +185,7 @@
 // each second. Seconds without refusals are omitted.
 func (r Report) WriteText(w io.Writer) error {
 	out := bufio.NewWriter(w)
-	fmt.Fprintf(out, "%d lines, %d not read\n", r.Lines, r.Unread)
+	fmt.Fprintf(out, "%d lines, %d not read\n", r.Lines, r.Unparsed)
 	for _, code := range slices.Sorted(maps.Keys(r.ByCode)) {
 		fmt.Fprintf(out, "%6d %s\n", r.ByCode[code], code)
 	}
--- a/internal/explain/report_test.go
+++ b/internal/explain/report_test.go
@@ -24,7 +24,7 @@
 	r, err := Read(Filter{}, strings.NewReader(prefixedLog))
 	is.NoErr(err)
 	is.Equal(r.Lines, 4)
-	is.Equal(r.Unread, 1)
+	is.Equal(r.Unparsed, 1)
 	is.Equal(r.ByCode, map[string]int{"TZ1004": 2, "TZ1006": 1})
 	is.Equal(r.Refusals[0], RefusalCount{Second: 5, Code: "TZ1004", Group: "g", Instance: "edge-1", Class: "pay", Count: 2,
 		Example: "TZ1004 did not run: no primary", Request: "r1"})
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -25,8 +25,8 @@
 	Count int    `json:"count"`
 }
 
-// WorstSecond describes a second with many refusals, and the state changes in it and in
-// the second before.
+// WorstSecond describes a second with many refusals. StateChanges counts the state changes
+// in this second and in the one before.
 type WorstSecond struct {
 	Second         int     `json:"second"`
 	Refusals       int     `json:"refusals"`
@@ -108,7 +108,7 @@
 func (r Report) WriteSummary(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	s := r.Summary()
-	fmt.Fprintf(out, "%d lines, %d not read; %d refusals\n", r.Lines, r.Unread, s.Refusals)
+	fmt.Fprintf(out, "%d lines, %d not read; %d refusals\n", r.Lines, r.Unparsed, s.Refusals)
 	writeCounts(out, "by code", s.Codes)
 	writeCounts(out, "by group", s.Groups)
 	writeCounts(out, "by failure domain", s.FailureDomains)
--- a/internal/frontend/authenticate.go
+++ b/internal/frontend/authenticate.go
@@ -22,7 +22,7 @@
 func (s *session) authenticate(backend *pgproto3.Backend, m *pgproto3.StartupMessage) error {
 	directory := s.server.config.Directory
 	if !directory.Ready() {
-		return result.New(result.NotReady, "no service document is known yet").WithRetryAfter(callers.RetryAfterFull)
+		return result.New(result.NotReady, "no service document is known yet").WithRetryAfter(callers.RetryAfterRejection)
 	}
 	service, ok := directory.FindService(s.state.Group)
 	if !ok {
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// decoyCredentials stand in for an unknown user's credentials. They match no password.
+// decoyCredentials are used for an unknown user, so that the exchange is the same as for a
+// known one. They match no password.
 var decoyCredentials = scram.StoredCredentials{
 	KeyFactors: scram.KeyFactors{Salt: "topazrock-no-user", Iters: 4096},
 	StoredKey:  make([]byte, 32),
--- a/internal/frontend/batch.go
+++ b/internal/frontend/batch.go
@@ -41,8 +41,8 @@
 	// definedNames are the named statements that the batch has defined.
 	definedNames []string
 	sql          string
-	// settings are the session values that the batch changes. otherEffects is set when
-	// the batch does more than that.
+	// settings are the changes of session values by the batch, in order. otherEffects is
+	// set when the batch does more than change session values.
 	settings     []setting
 	otherEffects bool
 	// failure is the error with which the whole batch is rejected, up to its Sync.
@@ -109,7 +109,7 @@
 	b.shape = append(b.shape, execution.StepSyntheticParse)
 }
 
-// recordSQL keeps the SQL text whose tag and hints apply to the batch: the first one.
+// recordSQL keeps the first SQL text of the batch, whose tag and hints apply to the batch.
 func (b *batch) recordSQL(sql string) {
 	if b.sql == "" {
 		b.sql = sql
@@ -127,7 +127,7 @@
 // the session has not defined is sent unchanged, and the member rejects it.
 func (b *batch) resolveName(name string) string {
 	if name == "" {
-		b.resolveUnnamed()
+		b.includeUnnamed()
 		return ""
 	}
 	s := b.session.statements[name]
@@ -139,7 +139,7 @@
 	return s.memberName
 }
 
-func (b *batch) resolveUnnamed() {
+func (b *batch) includeUnnamed() {
 	s := b.session.unnamed
 	if s == nil || b.definedUnnamed {
 		return
@@ -190,9 +190,9 @@
 	b.encodeAndAppend(&m, execution.StepDescribe)
 }
 
-// addExecute decodes a message that is then sent unchanged. A member that cannot
-// decode it may close the connection, and the caller would get "outcome unknown"
-// although nothing has run.
+// addExecute decodes the message only to validate it; the message is sent unchanged. A
+// member that cannot decode it may close the connection, and the caller would get
+// "outcome unknown" although nothing has run.
 func (b *batch) addExecute(f frame) {
 	var m pgproto3.Execute
 	if err := m.Decode(f.body()); err != nil {
--- a/internal/frontend/batch_fuzz_test.go
+++ b/internal/frontend/batch_fuzz_test.go
@@ -12,8 +12,9 @@
 
 // A caller sends extended-protocol messages with arbitrary bodies. A body that
 // cannot be decoded fails the batch with a code of the family "did not run", and
-// the messages after it are ignored. What is sent to a member consists of complete
-// messages, one per step. Otherwise a member could get a batch with missing messages.
+// the messages after it are ignored. What is sent to a member must consist of complete
+// messages, one for each step that is not synthetic. Otherwise a member could get a batch
+// with missing messages.
 func FuzzBatch(f *testing.F) {
 	f.Add(encode(&pgproto3.Parse{Query: "SELECT 1"}, &pgproto3.Bind{}, &pgproto3.Describe{ObjectType: 'P'}, &pgproto3.Execute{}))
 	f.Add(encode(&pgproto3.Parse{Name: "s", Query: "SELECT $1", ParameterOIDs: []uint32{23}}, &pgproto3.Describe{ObjectType: 'S', Name: "s"}))
--- a/internal/frontend/config.go
+++ b/internal/frontend/config.go
@@ -6,7 +6,7 @@
 // message, and a small session. Buffers come from a pool, and a worker runs each
 // unit, so that the stack of the waiting goroutine stays small.
 //
-// Lock order: Server.mu, then session.mu. Neither is held across I/O.
+// Lock order: callers.Server.mu, then processIDs.mu, then session.mu. None is held across I/O.
 package frontend
 
 import (
@@ -32,7 +32,8 @@
 	Instance  string
 	Directory Directory
 	Executor  execution.Executor
-	// EndUnits cancels the units that members are running, when a drain times out. It may be nil.
+	// EndUnits is called when a drain times out, and cancels the units that members are
+	// running. It may be nil.
 	EndUnits func()
 	Clock    clock.Clock
 	Logger   hclog.Logger
--- a/internal/frontend/flush.go
+++ b/internal/frontend/flush.go
@@ -7,17 +7,17 @@
 )
 
 // handleFlush replies to the messages that a batch has so far, before its Sync. Some
-// drivers use Flush to get the description of a statement. Only preparing and
-// describing can be replied to early: statements that run form one unit with the
-// Sync, because their outcome is not known before it.
+// drivers use Flush to get the description of a statement. Only messages that prepare
+// or describe statements can get an early reply. Messages that run statements form one
+// unit with the Sync, because their outcome is not known before it.
 func (s *session) handleFlush(b **batch) bool {
 	switch {
 	case (*b).isEmpty() || (*b).errorReported:
 		return true
 	case (*b).failure != nil:
-		return s.reportEarly(*b, (*b).failure)
+		return s.sendErrorBeforeSync(*b, (*b).failure)
 	case s.state.Lost() || (*b).executes():
-		return s.reportEarly(*b, result.New(result.NotSupported, "Flush behind a statement that runs"))
+		return s.sendErrorBeforeSync(*b, result.New(result.NotSupported, "Flush behind a statement that runs"))
 	case (*b).isLocal():
 		completed := *b
 		*b = &batch{session: s}
@@ -26,7 +26,7 @@
 	r := (*b).toRequest()
 	reply, err := s.submit(r)
 	if err != nil {
-		return s.reportEarly(*b, err)
+		return s.sendErrorBeforeSync(*b, err)
 	}
 	(*b).errorReported = reply.Failed
 	if !reply.Failed {
@@ -35,9 +35,9 @@
 	return s.write(s.applyReply(r, reply)) == nil
 }
 
-// reportEarly sends a batch's error before its Sync. The Sync is then answered with
+// sendErrorBeforeSync sends a batch's error before its Sync. The Sync is then answered with
 // ReadyForQuery alone.
-func (s *session) reportEarly(b *batch, err error) bool {
+func (s *session) sendErrorBeforeSync(b *batch, err error) bool {
 	b.failure, b.errorReported = err, true
 	if s.state.Transaction != "" {
 		s.loseTransaction()
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -36,12 +36,12 @@
 	return bytes
 }
 
-func fatal(state, message string) *pgproto3.ErrorResponse {
-	return &pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: state, Message: message}
+func fatalResponse(sqlState, message string) *pgproto3.ErrorResponse {
+	return &pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: sqlState, Message: message}
 }
 
-// errorResponse converts an error to an ErrorResponse: it has the SQLSTATE of the
-// result code, the code's number in the message, and the retry delay in the detail.
+// errorResponse converts an error to an ErrorResponse with the SQLSTATE of the result
+// code, the code's number in the message, and the retry delay in the detail.
 func errorResponse(err error) *pgproto3.ErrorResponse {
 	e, ok := result.As(err)
 	if !ok {
@@ -106,7 +106,7 @@
 }
 
 // sendError replies to a unit with its error. If a transaction was open, it is
-// lost, and the caller must end it.
+// abandoned, and the caller must still end it with ROLLBACK or COMMIT.
 func (s *session) sendError(err error, inTransaction bool) bool {
 	if inTransaction {
 		s.loseTransaction()
@@ -143,9 +143,9 @@
 	return strings.HasPrefix(last, "ROLLBACK")
 }
 
-// replyInLostTransaction replies to a unit in a lost transaction: a statement that
-// ends the transaction gets ROLLBACK, any other the error that PostgreSQL sends in
-// a failed transaction.
+// replyInLostTransaction replies to a unit in a lost transaction. A statement that
+// ends the transaction gets the command tag ROLLBACK. Any other statement gets the error
+// that PostgreSQL sends in a failed transaction.
 func (s *session) replyInLostTransaction(u *execution.Unit, sql string) bool {
 	if !hintEndsTransaction(sql) {
 		e := &pgproto3.ErrorResponse{
@@ -193,7 +193,7 @@
 // setToken runs SET topazrock.token, which a caller uses to carry over its token from
 // another instance.
 func (s *session) setToken(text string) bool {
-	t, err := s.checkToken(text)
+	t, err := s.parseSessionToken(text)
 	if err != nil {
 		return s.sendError(err, false)
 	}
@@ -210,7 +210,7 @@
 	)
 }
 
-func (s *session) checkToken(text string) (logpos.Token, error) {
+func (s *session) parseSessionToken(text string) (logpos.Token, error) {
 	t, err := logpos.ParseToken(text)
 	if err != nil {
 		return t, result.New(result.BadToken, "%.80q", text)
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -11,7 +11,7 @@
 	sql string
 	// batch is the batch of the unit; nil for a simple query.
 	batch *batch
-	// settings are the session values that the unit changes, in order.
+	// settings are the changes of session values by the unit, in order.
 	settings []setting
 	// otherEffects is set when the unit does more than change session values.
 	otherEffects bool
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -39,8 +39,8 @@
 	return sess
 }
 
-// processIDBits is the number of low bits of a process ID that number the sessions of
-// an instance. They allow more sessions than the settings allow callers, so that
+// processIDBits is the number of low bits of a process ID that identify a session within
+// its instance. They allow more sessions than the settings allow callers, so that
 // there is always a free ID.
 const processIDBits = 20
 
@@ -52,7 +52,7 @@
 	return uint32(xxhash.Sum64String(instance)) >> processIDBits
 }
 
-// Close stops the workers that serve sessions. Drain must be called before.
+// Close stops the workers that serve sessions. Drain must be called first.
 func (s *Server) Close() { s.workers.stop() }
 
 // Cancel cancels the running statement of the session that a cancel request names, if
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -32,10 +32,10 @@
 	unnamed         *statement
 	unitCount       uint64
 
-	// mu guards running.
+	// mu guards runningUnitID.
 	mu sync.Mutex
-	// running is the ID of the running unit; empty if there is none.
-	running string
+	// runningUnitID is the ID of the running unit; empty if there is none.
+	runningUnitID string
 }
 
 func newSession(s *Server, conn net.Conn) *session {
@@ -110,16 +110,16 @@
 
 var errDraining = errors.New("instance is draining")
 
-// sendShutdownNotice tells the caller about a planned shutdown. A session that ends for
-// another reason gets no message.
+// sendShutdownNotice sends the caller the notice of a planned shutdown, if that is why the
+// session ends. Otherwise it sends nothing.
 func (s *session) sendShutdownNotice(err error) {
 	if errors.Is(err, errDraining) {
-		s.send(fatal(sqlStateAdminShutdown, "this instance is shutting down; connect again"))
+		s.send(fatalResponse(sqlStateAdminShutdown, "this instance is shutting down; connect again"))
 	}
 }
 
-// serve handles messages until no further data has arrived. It returns false when
-// the session has ended.
+// serve handles messages until no data is buffered and no batch is unfinished. It returns
+// false when the session has ended.
 func (s *session) serve(kind byte) bool {
 	r := readerPool.Get().(*bufio.Reader)
 	r.Reset(s.conn)
@@ -144,8 +144,8 @@
 	}
 }
 
-// readMessageType reads the type of the next message in the buffer or in an unfinished
-// batch.
+// readMessageType reads the type of the next message, which is already buffered or belongs
+// to an unfinished batch.
 func (s *session) readMessageType(r *bufio.Reader) (byte, error) {
 	if err := s.setReadDeadline(); err != nil {
 		return 0, err
@@ -154,7 +154,7 @@
 }
 
 // setReadDeadline limits the wait for the rest of a message or batch. Without it, a
-// caller that sends half a message and stalls would occupy a worker and a buffer
+// caller that stalls in the middle of a message would occupy a worker and a buffer
 // forever.
 func (s *session) setReadDeadline() error {
 	return s.conn.SetReadDeadline(s.server.config.Clock.Now().Add(s.server.config.MessageTimeout))
@@ -206,19 +206,19 @@
 		e = result.New(result.StatementTooLarge, "at most %d bytes", s.server.config.MaxUnit)
 	}
 	s.server.config.Metrics.countError(e)
-	s.send(fatal(e.Code.SQLState(), e.Error()))
+	s.send(fatalResponse(e.Code.SQLState(), e.Error()))
 }
 
-func (s *session) setRunning(id string) {
+func (s *session) setRunningUnit(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running = id
+	s.runningUnitID = id
 }
 
 // cancel cancels the running unit, if there is one.
 func (s *session) cancel() {
 	s.mu.Lock()
-	id := s.running
+	id := s.runningUnitID
 	s.mu.Unlock()
 	if id != "" {
 		s.server.config.Executor.Cancel(s.state.Group, id)
--- a/internal/frontend/setting.go
+++ b/internal/frontend/setting.go
@@ -32,9 +32,9 @@
 	"role", "session_authorization", "default_transaction_read_only", "transaction_read_only", TokenParameter,
 }
 
-// parseSettings parses a text that only changes session values. The result isSettings
-// is false if the text does not begin with such a statement. If it does, but is not
-// supported as a whole, parseSettings returns an error.
+// parseSettings parses an SQL text that only changes session values. It returns
+// isSettings false if the text does not begin with a statement that changes them, and an
+// error if it begins with one but any part of it is not supported.
 func parseSettings(sql string) (changes []setting, isSettings bool, err error) {
 	if !changesSettings(sql) {
 		return nil, false, nil
@@ -146,8 +146,8 @@
 }
 
 // settingTokens splits a text into words, numbers, quoted strings and punctuation. It
-// returns false if the text contains anything else, because that might not be safe to
-// run before another session's statement.
+// returns false if the text contains anything else: the text runs on shared connections
+// before other sessions' statements, and other content might affect these.
 func settingTokens(sql string) ([]string, bool) {
 	var tokens []string
 	for {
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if cancel, ok := message.(*pgproto3.CancelRequest); ok {
-		s.cancelRequest(cancel)
+		s.handleCancelRequest(cancel)
 		return
 	}
 	r := errorResponse(err)
@@ -70,7 +70,7 @@
 	}
 	switch m := message.(type) {
 	case *pgproto3.CancelRequest:
-		s.server.cancelRequest(m)
+		s.server.handleCancelRequest(m)
 		return false
 	case *pgproto3.StartupMessage:
 		return s.completeStartup(backend, m)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (s *Server) cancelRequest(m *pgproto3.CancelRequest) {
+func (s *Server) handleCancelRequest(m *pgproto3.CancelRequest) {
 	if len(m.SecretKey) != 4 {
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // initialSettings holds the initial values that are reported to a new session, by setting
-// name. A start-up parameter that asks for the same value is ignored.
+// name. A start-up parameter with the same value is ignored.
 var initialSettings = map[string]string{
 	"client_encoding": "UTF8",
 	"datestyle":       "ISO, MDY",
@@ -186,7 +186,7 @@
 	if !ok || text == "" {
 		return nil
 	}
-	t, err := s.checkToken(text)
+	t, err := s.parseSessionToken(text)
 	if err != nil {
 		return err
 	}
--- a/internal/frontend/startvalues.go
+++ b/internal/frontend/startvalues.go
@@ -9,9 +9,10 @@
 )
 
 // connectionParameters are start-up parameters that are not session values: they
-// identify the user and the database. application_name is one of them on purpose:
-// nearly every caller has a different name, so each change of caller on a member
-// connection would cost a round trip. Member connections use the instance's name.
+// identify the user and the database. application_name is included deliberately:
+// nearly every caller has a different name, and as a session value it would cost a round
+// trip each time a member connection changes to another caller. Member connections use
+// the instance's name.
 var connectionParameters = []string{
 	"user", "database", "replication", "options", "application_name", TokenParameter,
 }
--- a/internal/frontend/tag.go
+++ b/internal/frontend/tag.go
@@ -18,8 +18,8 @@
 	class, key string
 }
 
-// parseTag parses the request's tag in the comment at the start or end of an SQL
-// text, which has the sqlcommenter format: /*request='pay-fee',key='42'*/. The SQL
+// parseTag parses the request's tag, which is a comment at the start or end of an SQL
+// text in the sqlcommenter format: /*request='pay-fee',key='42'*/. The SQL
 // itself is not parsed. A comment without a request is not a tag.
 func parseTag(sql string) (tag, error) {
 	comment, ok := outerComment(sql)
--- a/internal/frontend/tag_test.go
+++ b/internal/frontend/tag_test.go
@@ -7,8 +7,8 @@
 )
 
 // A caller sends an SQL text that ends in "/*/". The start and end delimiters of the
-// comment overlap, and slicing between them gives a negative length: the panic crashed
-// the whole instance and with it the sessions of all other callers. Such a text has
+// comment overlap, and slicing between them gives a negative length: the panic would
+// crash the whole instance and with it the sessions of all other callers. Such a text has
 // no tag and is sent to a member.
 func TestOverlappingCommentDelimitersAreNoTag(t *testing.T) {
 	is := is.New(t)
--- a/internal/frontend/units.go
+++ b/internal/frontend/units.go
@@ -68,9 +68,9 @@
 	}
 	ctx, cancel := context.WithCancel(s.server.Units())
 	defer cancel()
-	s.setRunning(u.ID)
+	s.setRunningUnit(u.ID)
 	reply, err := s.server.config.Executor.Execute(ctx, u, s.write)
-	s.setRunning("")
+	s.setRunningUnit("")
 	if r.batch != nil && (err != nil || reply.Failed) {
 		s.deleteStatements(r.batch.definedNames)
 	}
@@ -78,8 +78,8 @@
 		s.state.Repeats.Refused(s.server.config.Clock.Now())
 	}
 	if err != nil && u.Ends {
-		// The transaction has ended, whatever its outcome. Its home instance may not have
-		// received this unit.
+		// The transaction has ended, whatever its outcome. It is abandoned explicitly,
+		// because its home instance may not have received this unit.
 		s.state.Abandon(s.server.config.Executor)
 		s.pendingSettings = nil
 	}
@@ -98,7 +98,7 @@
 }
 
 // setWorkspace sets the workspace that the unit runs for according to the current document, so
-// that after a user moves to another workspace, its next operation belongs to the new one.
+// that after a user is moved to another workspace, the next operation belongs to the new one.
 func (s *session) setWorkspace(u *execution.Unit) {
 	service, ok := s.server.config.Directory.FindService(s.state.Group)
 	if !ok {
@@ -134,7 +134,7 @@
 }
 
 // timeout returns the timeout of a class in the service document. The entry instance
-// also applies it, in case the home instance stops responding.
+// applies it in addition to the home instance, which may stop responding.
 func (s *session) timeout(class string) time.Duration {
 	service, ok := s.server.config.Directory.FindService(s.state.Group)
 	if !ok {
--- a/internal/logpos/logpos.go
+++ b/internal/logpos/logpos.go
@@ -19,7 +19,7 @@
 	Position Position `json:"position"`
 }
 
-// Less reports whether m precedes o. Terms are compared before positions.
+// Less reports whether m precedes other. Terms are compared before positions.
 func (m Mark) Less(other Mark) bool {
 	if m.Term != other.Term {
 		return m.Term < other.Term
--- a/internal/logpos/token.go
+++ b/internal/logpos/token.go
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("%s:%d:%d", t.Group, t.Term, t.Position)
 }
 
-// ParseToken parses the wire form of a token. An empty string is the zero Token.
-// Any other malformed text gives ErrBadToken.
+// ParseToken parses the wire form of a token. It returns the zero Token for an empty
+// string, and ErrBadToken for malformed text.
 func ParseToken(s string) (Token, error) {
 	if s == "" {
 		return Token{}, nil
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxQueuedBytes limits the queued lines, in bytes. It holds some hundred lines,
-	// about what one second under load logs.
+	// maxQueuedBytes limits the queued lines, in bytes. This is enough for a few
+	// hundred lines, about as many as are logged in one second under load.
 	maxQueuedBytes = 256 << 10
 	// maxWriteBytes limits the queued bytes in one write to the output.
 	maxWriteBytes = 64 << 10
@@ -28,7 +28,8 @@
 	queued          []byte
 	unreportedDrops int
 	closed          bool
-	// ready signals that lines are queued. Its buffer of one makes the signal sticky.
+	// ready signals that lines are queued. Its capacity of one keeps a signal that is
+	// sent while run is writing.
 	ready chan struct{}
 	quit  chan struct{}
 	done  chan struct{}
@@ -99,7 +100,7 @@
 		if len(buffer) == 0 {
 			return buffer
 		}
-		// A failure to write the log cannot be reported anywhere.
+		// The error is ignored because there is nowhere else to report it.
 		_, _ = q.out.Write(buffer)
 	}
 }
--- a/internal/result/family.go
+++ b/internal/result/family.go
@@ -4,8 +4,8 @@
 // Each code belongs to exactly one family. A code of FamilyDidNotRun is used only
 // if no byte of the statement has been written to a member, or if it is proved
 // that the statement can never run. Any other failure after sending has a code of
-// FamilyOutcomeUnknown. A caller can safely repeat a request that did not run; if
-// the outcome is unknown, the caller must find it out itself.
+// FamilyOutcomeUnknown. A caller can safely repeat a request that did not run. If the
+// outcome is unknown, the caller itself must find out whether the request ran.
 package result
 
 // Family is a group of codes from which a caller can draw the same conclusion.
@@ -17,7 +17,7 @@
 	FamilyDidNotRun Family = iota + 1
 	// FamilyOutcomeUnknown: the request may or may not have run.
 	FamilyOutcomeUnknown
-	// FamilyRan: the request ran, but this response does not contain its result.
+	// FamilyRan: the request has run, but this response does not contain its result.
 	FamilyRan
 	// FamilyAdmin: the code is a result of the administration API.
 	FamilyAdmin
