--- a/internal/inifile/problem.go
+++ b/internal/inifile/problem.go
@@ -18,7 +18,8 @@
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// maxQuotedValue limits how much of a value a problem's text quotes, in bytes.
+// maxQuotedValue is the maximum number of bytes of a value, key or line that a
+// problem quotes.
 const maxQuotedValue = 80
 
 // String returns the problem as one line of text.
--- a/internal/inifile/read.go
+++ b/internal/inifile/read.go
@@ -15,9 +15,9 @@
 	ChildSectionDelimiter:    "\x00",
 }
 
-// Read parses text and checks it against a schema. Problems are reported by
-// File.Err and not returned here, so that the code that calls Read can add its
-// own checks and report all problems together.
+// Read parses text and checks it against a schema. It returns no error: File.Err
+// returns the problems, together with those that other packages add by Refuse and
+// RefuseSection after Read.
 func Read(schema *Schema, name string, text []byte) *File {
 	f := &File{Name: name}
 	if len(text) > schema.MaxSize {
@@ -92,9 +92,9 @@
 
 func (r *reader) readKeys(s *Section, h *sectionPosition) {
 	values := r.loaded.Section(sectionID(h.line))
-	for _, e := range h.keys {
-		s.keyLines[e.key] = e.line
-		r.readKey(s, e.key, values.Key(e.key).Value())
+	for _, pos := range h.keys {
+		s.keyLines[pos.key] = pos.line
+		r.readKey(s, pos.key, values.Key(pos.key).Value())
 	}
 	for _, k := range r.schema.sectionKeys(s.Kind) {
 		if k.Required && !s.HasKey(k.Name) {
--- a/internal/inifile/scan.go
+++ b/internal/inifile/scan.go
@@ -73,8 +73,9 @@
 	m := headerPattern.FindStringSubmatch(line)
 	if m == nil {
 		s.addProblem(n, fmt.Sprintf("%q is not a section header", truncate(line)))
-		// The keys that follow belong to no known section. A section with an
-		// empty name collects them, so that they are not reported as well.
+		// The keys that follow belong to no known section. They are collected in a
+		// section with an empty name, which is skipped later, so that only the
+		// header is reported and not each of its keys.
 		m = []string{"", ""}
 	}
 	s.headers = append(s.headers, &sectionPosition{name: strings.Join(strings.Fields(m[1]), " "), line: n})
@@ -105,10 +106,10 @@
 
 func (s *scanner) addKey(n int, key, line string) string {
 	h := s.headers[len(s.headers)-1]
-	for _, e := range h.keys {
-		if e.key == key {
+	for _, pos := range h.keys {
+		if pos.key == key {
 			s.problems = append(s.problems, Problem{File: s.file, Line: n, Section: h.name, Key: key,
-				Reason: fmt.Sprintf("the key stands twice, first in line %d", e.line)})
+				Reason: fmt.Sprintf("the key stands twice, first in line %d", pos.line)})
 			return ""
 		}
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -62,8 +62,8 @@
 type Control interface {
 	// Status returns the current status of the member.
 	Status(ctx context.Context) (Status, error)
-	// WaitPosition returns the status once the log reaches position, the entered
-	// term changes, or the deadline of ctx is near.
+	// WaitPosition returns the status once the log reaches position or the entered
+	// term changes, and otherwise shortly before the deadline of ctx.
 	WaitPosition(ctx context.Context, position logpos.Position) (Status, error)
 	// EnterTerm makes the member enter term, which fences it. It is idempotent.
 	EnterTerm(ctx context.Context, term logpos.Term) (Status, error)
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -65,7 +65,7 @@
 // Allowed implements inifile.Kind.
 func (baseURL) Allowed() string { return "http://IP:port or https://IP:port" }
 
-// maxSeeds is the maximum length of an address list.
+// maxSeeds is the maximum number of addresses in an address list.
 const maxSeeds = 32
 
 // addressList is a list of IP addresses with ports, separated by commas, spaces
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,8 +53,8 @@
 // Peer configures the listener for other instances.
 type Peer struct {
 	Address string
-	// Seeds are the peer addresses from which documents are requested while the
-	// platform does not return the instance list. It may be empty.
+	// Seeds are the peer addresses from which the instance requests documents as
+	// long as it cannot get the instance list from the platform. It may be empty.
 	Seeds []string
 }
 
--- a/internal/standin/bench/baselines_test.go
+++ b/internal/standin/bench/baselines_test.go
@@ -18,7 +18,7 @@
 		r, err := Run(t.Context(), Config{
 			Profile: ProfileLentes, Duration: 2 * time.Second, Seed: 1, Fault: FaultPrimaryKill, Baseline: baseline,
 			Sessions: 12, Think: 10 * time.Millisecond, Lag: 200 * time.Millisecond, Cost: DefaultStatementCost,
-			Say: io.Discard, Logs: io.Discard, small: true,
+			Progress: io.Discard, Logs: io.Discard, small: true,
 		})
 		is.NoErr(err)
 		t.Logf("baseline %q: %d of %d acknowledged writes lost", baseline, r.AckedLost, r.WritesAcked)
--- a/internal/standin/bench/bench.go
+++ b/internal/standin/bench/bench.go
@@ -72,8 +72,8 @@
 	Cost time.Duration
 	// Instances is the number of entry instances; zero means the profile's number.
 	Instances int
-	// Say receives progress messages, and Logs the logs of the instances.
-	Say, Logs io.Writer
+	// Progress receives progress messages, and Logs the logs of the instances.
+	Progress, Logs io.Writer
 	// small limits the fleet to one group and one instance per failure domain.
 	small bool
 }
@@ -187,5 +187,5 @@
 }
 
 func (b *bench) printProgress(format string, args ...any) {
-	fmt.Fprintf(b.config.Say, format+"\n", args...)
+	fmt.Fprintf(b.config.Progress, format+"\n", args...)
 }
--- a/internal/standin/bench/profile.go
+++ b/internal/standin/bench/profile.go
@@ -35,7 +35,7 @@
 	// domainLatency is the one-way latency between failure domains, and to the
 	// platform; callerLatency is the one to callers.
 	domainLatency, callerLatency time.Duration
-	// instances and connections are the organisation's present sizes.
+	// instances and connections are the organisation's current sizes.
 	instances, groups, connections, slots int
 	document                              string
 	classes                               []class
--- a/internal/standin/bench/proxy_test.go
+++ b/internal/standin/bench/proxy_test.go
@@ -176,7 +176,7 @@
 	r, err := Run(t.Context(), Config{
 		Profile: ProfileLigacaoSul, Duration: 2 * time.Second, Seed: 1, Fault: FaultReplicaLag,
 		Sessions: 12, Think: 20 * time.Millisecond, Lag: 5 * time.Millisecond, Cost: DefaultStatementCost,
-		Say: io.Discard, Logs: io.Discard, small: true,
+		Progress: io.Discard, Logs: io.Discard, small: true,
 	})
 	is.NoErr(err)
 	is.True(!r.Failed())
--- a/internal/standin/bench/report.go
+++ b/internal/standin/bench/report.go
@@ -210,8 +210,8 @@
 
 func round(v float64) float64 { return math.Round(v*100) / 100 }
 
-// Words returns a readable summary of the report.
-func (r *Report) Words() string {
+// Summary returns a readable summary of the report.
+func (r *Report) Summary() string {
 	return fmt.Sprintf(`Reads answered:                 %d, %.1f %% of them by replicas
 Writes acknowledged:            %d, of which %d are lost
 Reads that missed an own write: %d
--- a/internal/standin/bench/session.go
+++ b/internal/standin/bench/session.go
@@ -59,8 +59,8 @@
 			pause(ctx, refusalBackoff)
 			continue
 		}
-		// A request in progress may finish after ctx is done: to abort it would
-		// only add writes with an unknown outcome.
+		// A request in progress may finish after ctx is done, because aborting it
+		// would only add writes with an unknown outcome.
 		s.runRequest(context.WithoutCancel(ctx))
 		pause(ctx, time.Duration(s.rng.Int64N(int64(2*meanPause))))
 	}
--- a/internal/standin/bench/wan.go
+++ b/internal/standin/bench/wan.go
@@ -50,7 +50,7 @@
 
 // Dial implements netio.Dialer.
 func (h *wanHost) Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialled, accepted, err := h.wan.links.Pair(ctx, h.ip, address)
+	dialled, accepted, err := h.wan.links.Connect(ctx, h.ip, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/command/bench.go
+++ b/internal/standin/command/bench.go
@@ -69,7 +69,7 @@
 	r, err := bench.Run(c.ctx, bench.Config{
 		Profile: c.Profile, Duration: c.Duration, Seed: c.Seed, Fault: bench.Fault(c.Fault), Fleets: c.Fleets, Repeat: c.Repeat,
 		Baseline: bench.Baseline(c.Baseline), Cost: c.Cost, Instances: c.Instances,
-		Sessions: c.Sessions, Think: c.Think, Lag: c.Lag, Say: c.out, Logs: c.logWriter(c.Logs),
+		Sessions: c.Sessions, Think: c.Think, Lag: c.Lag, Progress: c.out, Logs: c.logWriter(c.Logs),
 	})
 	return c.writeReport(r, err)
 }
--- a/internal/standin/member/group_test.go
+++ b/internal/standin/member/group_test.go
@@ -30,74 +30,74 @@
 }
 
 // runWithGroup starts a group and runs f with it in virtual time.
-func runWithGroup(t *testing.T, o Options, f func(t *testing.T, b *testGroup)) {
+func runWithGroup(t *testing.T, o Options, f func(t *testing.T, g *testGroup)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		b := &testGroup{t: t, net: memnet.New()}
-		nodes, err := StartGroup(o, func(ip string) netio.Network { return b.net.Host(ip) }, addresses...)
+		g := &testGroup{t: t, net: memnet.New()}
+		nodes, err := StartGroup(o, func(ip string) netio.Network { return g.net.Host(ip) }, addresses...)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.nodes = nodes
+		g.nodes = nodes
 		defer func() {
 			for _, n := range nodes {
 				n.Stop()
 			}
 		}()
-		b.advanceSecond()
-		f(t, b)
+		g.advanceSecond()
+		f(t, g)
 	})
 }
 
 // advanceSecond advances virtual time by one second.
-func (b *testGroup) advanceSecond() {
+func (g *testGroup) advanceSecond() {
 	<-time.After(time.Second)
 	synctest.Wait()
 }
 
-func (b *testGroup) connect(i int, application string) (*pgx.Conn, error) {
+func (g *testGroup) connect(i int, application string) (*pgx.Conn, error) {
 	c, err := pgx.ParseConfig("postgres://u@" + addresses[i] + "/g?sslmode=disable&application_name=" + application)
 	if err != nil {
 		return nil, err
 	}
 	c.DialFunc = func(ctx context.Context, _, address string) (net.Conn, error) {
-		return b.net.Host(clientIP).Dial(ctx, address)
+		return g.net.Host(clientIP).Dial(ctx, address)
 	}
 	c.LookupFunc = func(_ context.Context, host string) ([]string, error) { return []string{host}, nil }
-	return pgx.ConnectConfig(b.t.Context(), c)
+	return pgx.ConnectConfig(g.t.Context(), c)
 }
 
-func (b *testGroup) mustConnect(i int) *pgx.Conn {
-	b.t.Helper()
-	c, err := b.connect(i, "test")
+func (g *testGroup) mustConnect(i int) *pgx.Conn {
+	g.t.Helper()
+	c, err := g.connect(i, "test")
 	if err != nil {
-		b.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	return c
 }
 
-func (b *testGroup) exec(c *pgx.Conn, sql string, args ...any) error {
-	_, err := c.Exec(b.t.Context(), sql, args...)
+func (g *testGroup) exec(c *pgx.Conn, sql string, args ...any) error {
+	_, err := c.Exec(g.t.Context(), sql, args...)
 	return err
 }
 
-func (b *testGroup) queryValue(c *pgx.Conn, sql string, args ...any) string {
-	b.t.Helper()
+func (g *testGroup) queryValue(c *pgx.Conn, sql string, args ...any) string {
+	g.t.Helper()
 	var v string
-	if err := c.QueryRow(b.t.Context(), sql, args...).Scan(&v); err != nil {
-		b.t.Fatal(err)
+	if err := c.QueryRow(g.t.Context(), sql, args...).Scan(&v); err != nil {
+		g.t.Fatal(err)
 	}
 	return v
 }
 
 // controlCall runs a control call on a separate connection.
-func (b *testGroup) controlCall(i int, call string) (member.Status, error) {
-	c, err := b.connect(i, ControlApplication)
+func (g *testGroup) controlCall(i int, call string) (member.Status, error) {
+	c, err := g.connect(i, ControlApplication)
 	if err != nil {
 		return member.Status{}, err
 	}
-	defer c.Close(b.t.Context())
-	return queryStatus(b.t.Context(), c, call)
+	defer c.Close(g.t.Context())
+	return queryStatus(g.t.Context(), c, call)
 }
 
 func queryStatus(ctx context.Context, c *pgx.Conn, call string) (member.Status, error) {
--- a/internal/standin/member/lexer.go
+++ b/internal/standin/member/lexer.go
@@ -52,8 +52,8 @@
 			end := spanEnd(sql, i, func(r rune) bool { return unicode.IsDigit(r) || r == '.' })
 			out = append(out, token{kindNumber, sql[i:end]})
 			i = end
-		case isWord(c):
-			end := spanEnd(sql, i, isWord)
+		case isWordRune(c):
+			end := spanEnd(sql, i, isWordRune)
 			out = append(out, token{kindWord, strings.ToLower(sql[i:end])})
 			i = end
 		default:
@@ -82,7 +82,7 @@
 	return "", 0, false
 }
 
-func isWord(r rune) bool { return r == '_' || unicode.IsLetter(r) || unicode.IsDigit(r) }
+func isWordRune(r rune) bool { return r == '_' || unicode.IsLetter(r) || unicode.IsDigit(r) }
 
 func spanEnd(s string, i int, in func(rune) bool) int {
 	for i < len(s) && in(rune(s[i])) {
--- a/internal/standin/member/linepause.go
+++ b/internal/standin/member/linepause.go
@@ -13,8 +13,8 @@
 	enteredTerm logpos.Term
 	role        member.Role
 	primary     string
-	// steppedDown reports that the node was a primary and was demoted by STEPDOWN.
-	// RESUME must not make it primary again.
+	// steppedDown is set if the node was a primary that STEPDOWN demoted. RESUME
+	// must not make it primary again.
 	steppedDown bool
 }
 
--- a/internal/standin/member/node_test.go
+++ b/internal/standin/member/node_test.go
@@ -13,15 +13,15 @@
 )
 
 func TestStatements(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
+		c := g.mustConnect(0)
 		defer c.Close(t.Context())
-		is.NoErr(b.exec(c, "/*class='x'*/ INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1"))
-		is.Equal(sqlState(b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'it''s')")), stateDuplicateKey)
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'it''s') ON CONFLICT (k) DO UPDATE SET v = EXCLUDED.v"))
-		is.Equal(b.queryValue(c, "SELECT v FROM kv WHERE k = $1", "a"), "it's")
-		is.Equal(b.queryValue(c, "SELECT v FROM kv WHERE k = 'a'", pgx.QueryExecModeSimpleProtocol), "it's")
+		is.NoErr(g.exec(c, "/*class='x'*/ INSERT INTO kv (k, v) VALUES ($1, $2)", "a", "1"))
+		is.Equal(sqlState(g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'it''s')")), stateDuplicateKey)
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', 'it''s') ON CONFLICT (k) DO UPDATE SET v = EXCLUDED.v"))
+		is.Equal(g.queryValue(c, "SELECT v FROM kv WHERE k = $1", "a"), "it's")
+		is.Equal(g.queryValue(c, "SELECT v FROM kv WHERE k = 'a'", pgx.QueryExecModeSimpleProtocol), "it's")
 		var n int
 		is.NoErr(c.QueryRow(t.Context(), "SELECT count(*) FROM kv").Scan(&n))
 		is.Equal(n, 1)
@@ -32,16 +32,16 @@
 		is.NoErr(err)
 		is.Equal(tag.String(), "DELETE 0")
 		is.NoErr(c.QueryRow(t.Context(), "SELECT 1").Scan(&n))
-		is.Equal(b.queryValue(c, "SELECT $1", "x"), "x")
-		is.Equal(sqlState(b.exec(c, "DROP TABLE kv")), stateSyntax)
-		is.Equal(b.queryValue(c, "SHOW transaction_read_only"), "off")
+		is.Equal(g.queryValue(c, "SELECT $1", "x"), "x")
+		is.Equal(sqlState(g.exec(c, "DROP TABLE kv")), stateSyntax)
+		is.Equal(g.queryValue(c, "SHOW transaction_read_only"), "off")
 	})
 }
 
 func TestLargeAnswerIsWhole(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(1)
+		c := g.mustConnect(1)
 		defer c.Close(t.Context())
 		rows, err := c.Query(t.Context(), "SELECT repeat_rows(5000, 1000)")
 		is.NoErr(err)
@@ -59,116 +59,116 @@
 }
 
 func TestTransactions(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c, other := b.mustConnect(0), b.mustConnect(0)
+		c, other := g.mustConnect(0), g.mustConnect(0)
 		defer c.Close(t.Context())
 		defer other.Close(t.Context())
-		is.NoErr(b.exec(c, "BEGIN"))
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
-		is.Equal(b.queryValue(c, "SELECT v FROM kv WHERE k = 'a'"), "1")
+		is.NoErr(g.exec(c, "BEGIN"))
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
+		is.Equal(g.queryValue(c, "SELECT v FROM kv WHERE k = 'a'"), "1")
 		is.Equal(other.QueryRow(t.Context(), "SELECT v FROM kv WHERE k = 'a'").Scan(new(string)), pgx.ErrNoRows)
-		is.Equal(sqlState(b.exec(c, "nonsense")), stateSyntax)
-		is.Equal(sqlState(b.exec(c, "SELECT 1")), stateAborted)
+		is.Equal(sqlState(g.exec(c, "nonsense")), stateSyntax)
+		is.Equal(sqlState(g.exec(c, "SELECT 1")), stateAborted)
 		tag, err := c.Exec(t.Context(), "COMMIT")
 		is.NoErr(err)
 		is.Equal(tag.String(), "ROLLBACK")
-		is.Equal(len(b.nodes[0].Rows("kv")), 0)
+		is.Equal(len(g.nodes[0].Rows("kv")), 0)
 	})
 }
 
 // Two callers insert the same key. The second insert waits while the transaction of
 // the first is open, and fails after its commit because the key is unique.
 func TestKeyInsertWaitsForOpenTransaction(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
 		const insert = "INSERT INTO topazrock_request_keys (key, outcome) VALUES ('x', 'ran')"
-		c, other := b.mustConnect(0), b.mustConnect(0)
+		c, other := g.mustConnect(0), g.mustConnect(0)
 		defer c.Close(t.Context())
 		defer other.Close(t.Context())
-		is.NoErr(b.exec(c, "BEGIN"))
-		is.NoErr(b.exec(c, insert))
+		is.NoErr(g.exec(c, "BEGIN"))
+		is.NoErr(g.exec(c, insert))
 		second := make(chan error, 1)
-		go func() { second <- b.exec(other, insert) }()
-		b.advanceSecond()
+		go func() { second <- g.exec(other, insert) }()
+		g.advanceSecond()
 		is.Equal(len(second), 0)
-		is.NoErr(b.exec(c, "COMMIT"))
+		is.NoErr(g.exec(c, "COMMIT"))
 		is.Equal(sqlState(<-second), stateDuplicateKey)
 	})
 }
 
 func TestCancelEndsTheStatement(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
+		c := g.mustConnect(0)
 		defer c.Close(t.Context())
-		time.AfterFunc(time.Second, func() { is.NoErr(c.PgConn().CancelRequest(b.t.Context())) })
+		time.AfterFunc(time.Second, func() { is.NoErr(c.PgConn().CancelRequest(g.t.Context())) })
 		start := time.Now()
-		is.Equal(sqlState(b.exec(c, "SELECT pg_sleep(100)")), stateCancelled)
+		is.Equal(sqlState(g.exec(c, "SELECT pg_sleep(100)")), stateCancelled)
 		is.Equal(time.Since(start), time.Second)
 	})
 }
 
 func TestConnectionLimitSlotsAndDelay(t *testing.T) {
 	o := Options{ConnectionTotal: 2, Slots: 1, ConnectDelay: 10 * time.Millisecond}
-	runWithGroup(t, o, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, o, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
 		start := time.Now()
-		first, second := b.mustConnect(0), b.mustConnect(0)
+		first, second := g.mustConnect(0), g.mustConnect(0)
 		is.Equal(time.Since(start), 20*time.Millisecond)
-		_, err := b.connect(0, "test")
+		_, err := g.connect(0, "test")
 		is.Equal(sqlState(err), stateTooManyConnections)
-		_, err = b.controlCall(0, "group_status()")
+		_, err = g.controlCall(0, "group_status()")
 		is.NoErr(err)
 		done := make(chan error, 1)
 		start = time.Now()
-		go func() { done <- b.exec(first, "SELECT pg_sleep(1)") }()
-		is.NoErr(b.exec(second, "SELECT pg_sleep(1)"))
+		go func() { done <- g.exec(first, "SELECT pg_sleep(1)") }()
+		is.NoErr(g.exec(second, "SELECT pg_sleep(1)"))
 		is.NoErr(<-done)
 		is.Equal(time.Since(start), 2*time.Second)
-		is.Equal(b.nodes[0].Connections(), Connections{Open: 2, Highest: 2, ControlOpen: 0, ControlHighest: 1, Refused: 1})
+		is.Equal(g.nodes[0].Connections(), Connections{Open: 2, Highest: 2, ControlOpen: 0, ControlHighest: 1, Refused: 1})
 		is.NoErr(first.Close(t.Context()))
 		is.NoErr(second.Close(t.Context()))
 	})
 }
 
 func TestReplicationLag(t *testing.T) {
-	runWithGroup(t, Options{ReplicationLag: 500 * time.Millisecond}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{ReplicationLag: 500 * time.Millisecond}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
+		c := g.mustConnect(0)
 		defer c.Close(t.Context())
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
 		primaryStatus, err := queryStatus(t.Context(), c, "group_status()")
 		is.NoErr(err)
-		is.Equal(len(b.nodes[1].Rows("kv")), 0)
+		is.Equal(len(g.nodes[1].Rows("kv")), 0)
 		start := time.Now()
-		s, err := b.controlCall(1, "group_wait_position("+strconv.Itoa(int(primaryStatus.Last.Position))+", 2000)")
+		s, err := g.controlCall(1, "group_wait_position("+strconv.Itoa(int(primaryStatus.Last.Position))+", 2000)")
 		is.NoErr(err)
 		is.Equal(s.Last, primaryStatus.Last)
 		is.Equal(s.Attached, logpos.Term(1))
 		is.Equal(time.Since(start), 500*time.Millisecond)
-		replica := b.mustConnect(1)
+		replica := g.mustConnect(1)
 		defer replica.Close(t.Context())
-		is.Equal(b.queryValue(replica, "SELECT v FROM kv WHERE k = 'a'"), "1")
-		is.Equal(sqlState(b.exec(replica, "DELETE FROM kv WHERE k = 'a'")), stateReadOnly)
+		is.Equal(g.queryValue(replica, "SELECT v FROM kv WHERE k = 'a'"), "1")
+		is.Equal(sqlState(g.exec(replica, "DELETE FROM kv WHERE k = 'a'")), stateReadOnly)
 	})
 }
 
 // The primary enters a higher term while a caller's transaction is open. COMMIT must
 // fail with 25006: a new primary would never receive the writes.
 func TestFencedPrimaryCommitsNothing(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
+		c := g.mustConnect(0)
 		defer c.Close(t.Context())
-		is.NoErr(b.exec(c, "BEGIN"))
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
-		s, err := b.controlCall(0, "group_enter_term(2)")
+		is.NoErr(g.exec(c, "BEGIN"))
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')"))
+		s, err := g.controlCall(0, "group_enter_term(2)")
 		is.NoErr(err)
 		is.Equal(s.Role, member.RoleFenced)
-		is.Equal(sqlState(b.exec(c, "COMMIT")), stateReadOnly)
-		is.Equal(sqlState(b.exec(c, "INSERT INTO kv (k, v) VALUES ('b', '1')")), stateReadOnly)
-		_, err = b.controlCall(0, "group_enter_term(1)")
+		is.Equal(sqlState(g.exec(c, "COMMIT")), stateReadOnly)
+		is.Equal(sqlState(g.exec(c, "INSERT INTO kv (k, v) VALUES ('b', '1')")), stateReadOnly)
+		_, err = g.controlCall(0, "group_enter_term(1)")
 		is.Equal(sqlState(err), stateTermPassed)
 	})
 }
@@ -178,42 +178,42 @@
 // although the old log is longer: its tail of the older term is truncated before new
 // records are applied.
 func TestPromotionAndDiscardedTail(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('kept', '1')"))
-		b.advanceSecond()
+		c := g.mustConnect(0)
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('kept', '1')"))
+		g.advanceSecond()
 		for _, ip := range []string{"10.0.1.2", "10.0.1.3"} {
-			b.net.Cut("10.0.1.1", ip)
+			g.net.Cut("10.0.1.1", ip)
 		}
-		is.NoErr(b.exec(c, "INSERT INTO kv (k, v) VALUES ('lost', $1)", strings.Repeat("x", 500)))
+		is.NoErr(g.exec(c, "INSERT INTO kv (k, v) VALUES ('lost', $1)", strings.Repeat("x", 500)))
 		is.NoErr(c.Close(t.Context()))
 		for _, i := range []int{1, 2} {
-			_, err := b.controlCall(i, "group_promote(2)")
+			_, err := g.controlCall(i, "group_promote(2)")
 			is.Equal(sqlState(err), stateNotInState)
-			_, err = b.controlCall(i, "group_enter_term(2)")
+			_, err = g.controlCall(i, "group_enter_term(2)")
 			is.NoErr(err)
 		}
-		promoted, err := b.controlCall(1, "group_promote(2)")
+		promoted, err := g.controlCall(1, "group_promote(2)")
 		is.NoErr(err)
-		repeated, err := b.controlCall(1, "group_promote(2)")
+		repeated, err := g.controlCall(1, "group_promote(2)")
 		is.NoErr(err)
 		is.Equal(promoted, repeated)
 		is.Equal(promoted.Last.Term, logpos.Term(2))
-		_, err = b.controlCall(2, "group_follow(2, '"+addresses[1]+"')")
+		_, err = g.controlCall(2, "group_follow(2, '"+addresses[1]+"')")
 		is.NoErr(err)
 		for _, ip := range []string{"10.0.1.2", "10.0.1.3"} {
-			b.net.Heal("10.0.1.1", ip)
+			g.net.Heal("10.0.1.1", ip)
 		}
-		b.advanceSecond()
-		is.Equal(len(b.nodes[0].Rows("kv")), 2)
-		_, err = b.controlCall(0, "group_enter_term(2)")
+		g.advanceSecond()
+		is.Equal(len(g.nodes[0].Rows("kv")), 2)
+		_, err = g.controlCall(0, "group_enter_term(2)")
 		is.NoErr(err)
-		before, err := b.controlCall(0, "group_follow(2, '"+addresses[1]+"')")
+		before, err := g.controlCall(0, "group_follow(2, '"+addresses[1]+"')")
 		is.NoErr(err)
 		is.Equal(before.Attached, logpos.Term(0))
-		b.advanceSecond()
-		for _, n := range b.nodes {
+		g.advanceSecond()
+		for _, n := range g.nodes {
 			is.Equal(n.Rows("kv"), map[string]string{"kept": "1"})
 			is.Equal(n.Status().Attached, logpos.Term(2))
 			is.Equal(n.Status().TermStart, promoted.TermStart)
@@ -224,21 +224,21 @@
 // The primary is killed after a commit and before its response, so the caller gets no
 // response. After the restart the write and the term must still be there.
 func TestRestartKeepsLogAndTerm(t *testing.T) {
-	runWithGroup(t, Options{}, func(t *testing.T, b *testGroup) {
+	runWithGroup(t, Options{}, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
-		c := b.mustConnect(0)
-		b.nodes[0].SetHook(func(point string) {
+		c := g.mustConnect(0)
+		g.nodes[0].SetHook(func(point string) {
 			if point == "commit.after_before_answer" {
-				b.nodes[0].Kill()
+				g.nodes[0].Kill()
 			}
 		})
-		err := b.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
+		err := g.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		is.True(err != nil && sqlState(err) == "")
-		b.nodes[0].SetHook(nil)
-		is.NoErr(b.nodes[0].Restart())
-		is.Equal(b.nodes[0].Rows("kv"), map[string]string{"a": "1"})
-		is.Equal(b.nodes[0].Status().Role, member.RolePrimary)
-		b.advanceSecond()
-		is.Equal(b.nodes[2].Rows("kv"), map[string]string{"a": "1"})
+		g.nodes[0].SetHook(nil)
+		is.NoErr(g.nodes[0].Restart())
+		is.Equal(g.nodes[0].Rows("kv"), map[string]string{"a": "1"})
+		is.Equal(g.nodes[0].Status().Role, member.RolePrimary)
+		g.advanceSecond()
+		is.Equal(g.nodes[2].Rows("kv"), map[string]string{"a": "1"})
 	})
 }
--- a/internal/standin/member/replication.go
+++ b/internal/standin/member/replication.go
@@ -13,7 +13,7 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Settings of the replication between members.
+// Parameters of the replication between members.
 const (
 	heartbeatInterval   = 200 * time.Millisecond
 	streamTimeout       = time.Second
@@ -31,9 +31,9 @@
 	Ends []logpos.Mark
 }
 
-// attachAnswer is the primary's response. The replica truncates its log at Common,
+// attachResponse is the primary's response. The replica truncates its log at Common,
 // where the two logs diverge.
-type attachAnswer struct {
+type attachResponse struct {
 	Refused   bool
 	Common    logpos.Position
 	TermStart logpos.Position
@@ -52,20 +52,20 @@
 		return
 	}
 	encoder := gob.NewEncoder(conn)
-	answer := n.handleAttach(request)
-	if err := encoder.Encode(answer); err != nil || answer.Refused {
+	response := n.handleAttach(request)
+	if err := encoder.Encode(response); err != nil || response.Refused {
 		return
 	}
-	n.streamRecords(proc, encoder, request.Term, answer.Common)
+	n.streamRecords(proc, encoder, request.Term, response.Common)
 }
 
-func (n *Node) handleAttach(r attachRequest) attachAnswer {
+func (n *Node) handleAttach(r attachRequest) attachResponse {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.role != member.RolePrimary || n.enteredTerm != r.Term {
-		return attachAnswer{Refused: true}
+		return attachResponse{Refused: true}
 	}
-	return attachAnswer{Common: n.log.commonPosition(r.Ends), TermStart: n.termStart}
+	return attachResponse{Common: n.log.commonPosition(r.Ends), TermStart: n.termStart}
 }
 
 func (n *Node) streamRecords(proc *process, encoder *gob.Encoder, term logpos.Term, sent logpos.Position) {
@@ -150,8 +150,8 @@
 		if err := conn.SetReadDeadline(time.Now().Add(streamTimeout)); err != nil {
 			return err
 		}
-		// When the stream breaks, ctx is canceled and pending records are dropped,
-		// as bytes in transit from a dead primary are lost.
+		// When the stream breaks, ctx is canceled and pending records are dropped.
+		// This simulates the loss of bytes in transit from a dead primary.
 		if err := decoder.Decode(&b); err != nil {
 			return err
 		}
@@ -195,16 +195,16 @@
 	if err := gob.NewEncoder(conn).Encode(request); err != nil {
 		return nil, err
 	}
-	var answer attachAnswer
+	var response attachResponse
 	decoder := gob.NewDecoder(conn)
-	if err := decoder.Decode(&answer); err != nil {
+	if err := decoder.Decode(&response); err != nil {
 		return nil, err
 	}
 	n.callHook("replica.attach.before")
-	return decoder, n.finishAttach(term, answer)
+	return decoder, n.finishAttach(term, response)
 }
 
-func (n *Node) finishAttach(term logpos.Term, a attachAnswer) error {
+func (n *Node) finishAttach(term logpos.Term, a attachResponse) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.Refused || n.enteredTerm != term || n.role != member.RoleReplica {
--- a/internal/standin/member/session.go
+++ b/internal/standin/member/session.go
@@ -19,8 +19,8 @@
 	backend   *pgproto3.Backend
 	cancelKey string
 	settings  map[string]string
-	// settingsBeforeTransaction are the settings before the open transaction first
-	// changed them, or nil if it has not.
+	// settingsBeforeTransaction are the settings before the first change by the open
+	// transaction, or nil if it has not changed any.
 	settingsBeforeTransaction map[string]string
 	prepared                  map[string]*prepared
 	portals                   map[string]*portal
--- a/internal/standin/member/startup.go
+++ b/internal/standin/member/startup.go
@@ -27,8 +27,8 @@
 	{"TimeZone", "UTC"},
 }
 
-// serveConn detects the protocol of a connection by its first byte and serves it: the
-// startup message of PostgreSQL begins with its length, whose first byte is zero.
+// serveConn serves a connection. It detects the protocol by the first byte: a startup
+// message of PostgreSQL begins with its length, whose first byte is zero.
 func (n *Node) serveConn(proc *process, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	first, err := in.Peek(1)
--- a/internal/standin/memnet/conn.go
+++ b/internal/standin/memnet/conn.go
@@ -51,7 +51,7 @@
 }
 
 // reset ends the connection as if this end's process had died: undelivered bytes are
-// lost. The caller holds the mutex.
+// lost. c.net.mu must be held.
 func (c *conn) reset() {
 	if c.in.readerClosed {
 		return
@@ -60,7 +60,7 @@
 	c.terminate(syscall.ECONNRESET)
 }
 
-// endStream sends the end of the stream. The caller holds the mutex.
+// endStream sends the end of the stream. c.net.mu must be held.
 func (c *conn) endStream(reason error) {
 	c.out.send(chunk{endErr: reason})
 	c.out.writerClosed = true
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// firstEphemeralPort is where the range of ports for dialing ends and port 0 begins.
+// firstEphemeralPort is the start of the port range that is used for the local ports of
+// dialled connections and for listeners on port 0.
 const firstEphemeralPort = 32768
 
 // link is the direction from one host to another.
@@ -146,9 +147,9 @@
 	return dialled, nil
 }
 
-// Pair returns both ends of a connection between two hosts, after a round trip, without
-// a listener. Other networks use it to apply this network's latency and faults.
-func (n *Network) Pair(ctx context.Context, from, address string) (dialled, accepted net.Conn, err error) {
+// Connect returns both ends of a new connection between two hosts after one round trip.
+// It needs no listener. Other networks use it to apply this network's latency and faults.
+func (n *Network) Connect(ctx context.Context, from, address string) (dialled, accepted net.Conn, err error) {
 	to, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, nil, err
@@ -162,7 +163,7 @@
 	return dialled, accepted, nil
 }
 
-// waitRoundTrip waits for the time that connection setup takes. The caller holds the mutex.
+// waitRoundTrip waits for the time that connection setup takes. n.mu must be held.
 func (n *Network) waitRoundTrip(ctx context.Context, from, to string) error {
 	stop := context.AfterFunc(ctx, func() {
 		n.mu.Lock()
@@ -186,7 +187,7 @@
 	}
 }
 
-// newConnPair creates both ends of a connection. The caller holds the mutex.
+// newConnPair creates both ends of a connection. n.mu must be held.
 func (n *Network) newConnPair(from, address string) (dialled, accepted *conn) {
 	n.nextPort++
 	dialled = &conn{net: n, local: tcpAddr(net.JoinHostPort(from, fmt.Sprint(n.nextPort))), remote: tcpAddr(address)}
--- a/internal/standin/memnet/pipe.go
+++ b/internal/standin/memnet/pipe.go
@@ -38,7 +38,8 @@
 	return &pipe{net: n, link: l, cond: sync.NewCond(&n.mu)}
 }
 
-// send queues a chunk for delivery. A blackholed pipe drops it. The caller holds the mutex.
+// send queues a chunk for delivery. A blackholed pipe drops it. p.net.mu must be
+// held.
 func (p *pipe) send(c chunk) {
 	if p.blackholed {
 		return
@@ -52,7 +53,7 @@
 	p.cond.Broadcast()
 }
 
-// dropUndelivered drops the chunks that have not arrived. The caller holds the mutex.
+// dropUndelivered drops the chunks that have not arrived. p.net.mu must be held.
 func (p *pipe) dropUndelivered() {
 	arrived := p.chunks[:0]
 	p.size = 0
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -26,8 +26,8 @@
 
 // Handler serves a store over the platform's published HTTP API, plus endpoints that
 // set its faults and inventory and report its call counts. When a fault loses the
-// response to a change, the connection is closed without a response. An object's
-// Revision is its own version, not the revision of the store.
+// response to a change, the connection is closed without a response. In this API, an
+// object's Revision is its platform.Object.Version, not the revision of the store.
 func Handler(s *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/objects/{kind}/{name}", s.serveGet)
@@ -43,7 +43,7 @@
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
 	o, err := s.Get(r.Context(), requestedKind(r), r.PathValue("name"))
-	writeReply(w, toPublished(o), err)
+	writeReply(w, toAPIObject(o), err)
 }
 
 // serveList serves a list, or a watch if the query contains Watch.
@@ -63,7 +63,7 @@
 			p.HasMore = true
 			break
 		}
-		p.Items = append(p.Items, toPublished(o))
+		p.Items = append(p.Items, toAPIObject(o))
 	}
 	writeReply(w, p, err)
 }
@@ -81,7 +81,7 @@
 	objects, revision, err := s.watch(r.Context(), requestedKind(r), after, wait)
 	response := eventList{Events: []event{}, StoreRevision: revision}
 	for _, o := range objects {
-		response.Events = append(response.Events, event{Object: toPublished(o), Removed: o.Removed})
+		response.Events = append(response.Events, event{Object: toAPIObject(o), Removed: o.Removed})
 	}
 	writeReply(w, response, err)
 }
@@ -105,7 +105,7 @@
 	if errors.Is(err, platform.ErrOutcomeUnknown) {
 		panic(http.ErrAbortHandler)
 	}
-	writeReply(w, toPublished(stored), err)
+	writeReply(w, toAPIObject(stored), err)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -66,7 +66,7 @@
 	return s.Value
 }
 
-func toPublished(o platform.Object) object {
+func toAPIObject(o platform.Object) object {
 	p := object{Meta: meta{Name: o.Name, Revision: o.Version}, Spec: o.Value}
 	if writtenExternally(o.Kind) {
 		return p
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -103,18 +103,19 @@
 	if s.deferPut(kind, name, value, ifVersion) {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
-	o, answerLost, err := s.applyPut(kind, name, value, ifVersion)
+	o, responseLost, err := s.applyPut(kind, name, value, ifVersion)
 	if err != nil {
 		return platform.Object{}, err
 	}
 	s.callHook(string(kind) + ".put.after_before_answer")
-	if answerLost || ctx.Err() != nil {
+	if responseLost || ctx.Err() != nil {
 		return platform.Object{}, platform.ErrOutcomeUnknown
 	}
 	return o, nil
 }
 
-// deferPut schedules the change for later and returns true if LateChanges is not used up.
+// deferPut returns false if LateChanges is zero. Otherwise it decrements LateChanges,
+// schedules the change to be applied after LateBy, and returns true.
 func (s *Store) deferPut(kind platform.Kind, name string, value []byte, ifVersion int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +127,7 @@
 	return true
 }
 
-func (s *Store) applyPut(kind platform.Kind, name string, value []byte, ifVersion int64) (o platform.Object, answerLost bool, err error) {
+func (s *Store) applyPut(kind platform.Kind, name string, value []byte, ifVersion int64) (o platform.Object, responseLost bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.collectionFor(kind)
@@ -140,12 +141,12 @@
 	c.revision++
 	o = platform.Object{Kind: kind, Name: name, Version: ifVersion + 1, Revision: c.revision, Value: bytes.Clone(value)}
 	c.objects[name] = o
-	answerLost = s.faults.LoseAnswers > 0
-	if answerLost {
+	responseLost = s.faults.LoseAnswers > 0
+	if responseLost {
 		s.faults.LoseAnswers--
 	}
 	s.notifyWatchers()
-	return o, answerLost, nil
+	return o, responseLost, nil
 }
 
 // Delete implements platform.API.
--- a/internal/standin/platform/view.go
+++ b/internal/standin/platform/view.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// callTimeout and watchTimeout bound calls the way an instance's platform client does,
-	// so that calls that never get a response end.
+	// callTimeout and watchTimeout limit calls and watches, as an instance's platform
+	// client does. Without them, a call without a response would never end.
 	callTimeout  = 2 * time.Second
 	watchTimeout = 30 * time.Second
 )
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -34,11 +34,11 @@
 	defer timer.Stop()
 	for {
 		objects, revision, changed, err := s.changesAfter(kind, after)
-		deaf := s.Faults().DeafWatches
-		if err != nil || len(objects) > 0 && !deaf {
+		suppressEvents := s.Faults().DeafWatches
+		if err != nil || len(objects) > 0 && !suppressEvents {
 			return objects, revision, err
 		}
-		if deaf {
+		if suppressEvents {
 			revision = after
 		}
 		select {
--- a/internal/standin/slopes/stores.go
+++ b/internal/standin/slopes/stores.go
@@ -25,8 +25,8 @@
 	// historyLength is the number of earlier changes stored with a document. At
 	// seven changes per document and day, a history fills up within days.
 	historyLength = 50
-	// idleWindow and maxIdleBytes distinguish mere digests from the pushes after a
-	// start: fewer than maxIdleBytes within idleWindow are digests.
+	// The pushes after a start are considered complete once fewer than maxIdleBytes
+	// are sent within idleWindow. Digests alone stay below that.
 	idleWindow   = 2 * time.Second
 	maxIdleBytes = 8 << 10
 	// pushesTimeout limits the wait for the pushes after a start to end.
