--- a/internal/standin/bench/apply.go
+++ b/internal/standin/bench/apply.go
@@ -27,7 +27,7 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		pause(ctx, applyPoll)
+		sleep(ctx, applyPoll)
 	}
 	for _, s := range all {
 		if err := awaitReady(ctx, s.Admin.Address); err != nil {
@@ -47,6 +47,6 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		pause(ctx, applyPoll)
+		sleep(ctx, applyPoll)
 	}
 }
--- a/internal/standin/bench/baselines.go
+++ b/internal/standin/bench/baselines.go
@@ -34,7 +34,8 @@
 // Confirm implements group.Tracker.
 func (primaryAck) Confirm(context.Context, logpos.Mark) error { return nil }
 
-// primaryReads is a tracker whose barrier is a position that no replica reaches.
+// primaryReads is a tracker whose barrier is a position that no replica reaches, so
+// that every fresh read goes to the primary.
 type primaryReads struct{ group.Tracker }
 
 // Barrier implements group.Tracker.
--- a/internal/standin/bench/bench.go
+++ b/internal/standin/bench/bench.go
@@ -137,7 +137,7 @@
 func (b *bench) run(ctx context.Context) (*Report, error) {
 	b.printProgress("Started the platform, %d groups of %d members and %d instances in %d failure domains (seed %d).",
 		b.profile.groups, len(b.profile.domains), b.profile.instances, len(b.profile.domains), b.config.Seed)
-	pause(ctx, warmUp)
+	sleep(ctx, warmUp)
 	b.printProgress("%d callers begin; they roam between the instances.", b.config.Sessions)
 	began := time.Now()
 	b.countersBefore = b.readCounters()
@@ -148,9 +148,9 @@
 		s := b.newSession(i)
 		callers.Go(func() { s.run(load, b.config.Think) })
 	}
-	pause(ctx, b.config.Duration/2)
+	sleep(ctx, b.config.Duration/2)
 	err := b.injectFault(ctx)
-	pause(ctx, b.config.Duration/2)
+	sleep(ctx, b.config.Duration/2)
 	stop()
 	callers.Wait()
 	elapsed := time.Since(began)
--- a/internal/standin/bench/faults.go
+++ b/internal/standin/bench/faults.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	err = b.awaitConvergence(ctx, faultGroup)
-	pause(ctx, faultInterval)
+	sleep(ctx, faultInterval)
 	return err
 }
 
@@ -99,9 +99,9 @@
 	for range b.config.Repeat {
 		primaryHost := host(b.memberAddresses[faultGroup][b.primary(faultGroup)])
 		b.wan.links.Freeze(primaryHost)
-		pause(ctx, pauseDuration)
+		sleep(ctx, pauseDuration)
 		b.wan.links.Thaw(primaryHost)
-		pause(ctx, pauseInterval)
+		sleep(ctx, pauseInterval)
 	}
 	b.falsePromotions = b.primaryTerm(faultGroup) - before
 	return nil
--- a/internal/standin/bench/fleet.go
+++ b/internal/standin/bench/fleet.go
@@ -44,7 +44,8 @@
 // groups and the entry instances, each on its own loopback address.
 type fleet struct {
 	profile profile
-	// wrapTracker replaces part of topazrock by a baseline; nil for no baseline.
+	// wrapTracker wraps each group's tracker to replace part of topazrock with a
+	// baseline. It is nil if there is no baseline.
 	wrapTracker func(group.Tracker) group.Tracker
 	wan         *wan
 	network     func(ip string) netio.Network
@@ -293,7 +294,7 @@
 		if ctx.Err() != nil {
 			return errNotConverged
 		}
-		pause(ctx, convergencePoll)
+		sleep(ctx, convergencePoll)
 	}
 	return nil
 }
--- a/internal/standin/bench/recentwrites.go
+++ b/internal/standin/bench/recentwrites.go
@@ -16,8 +16,8 @@
 	next    int
 }
 
-// add adds an acknowledged write. It replaces an older one if the group has
-// maxRecentWrites.
+// add adds an acknowledged write. If the group already has maxRecentWrites, the write
+// replaces an older one.
 func (r *recentWrites) add(w writeRecord) {
 	if w.key == "" {
 		return
--- a/internal/standin/bench/session.go
+++ b/internal/standin/bench/session.go
@@ -22,9 +22,8 @@
 	// requestTimeout is the client-side limit of a request. It is longer than the
 	// instance's own deadline, so that the instance can respond first.
 	requestTimeout = 20 * time.Second
-	// Probabilities in percent: reconnectPercent that a session reconnects after a
-	// request, noTokenPercent that it connects without its token, and
-	// otherSessionsPercent that it reads a row of another session.
+	// The probabilities, in percent, that a session reconnects after a request, that it
+	// connects without its token, and that a read is for a row of another session.
 	reconnectPercent     = 5
 	noTokenPercent       = 30
 	otherSessionsPercent = 50
@@ -32,7 +31,7 @@
 	refusalBackoff = 50 * time.Millisecond
 )
 
-// Prefixes of the SQLSTATE of result codes: the request did not run, or it ran.
+// Prefixes of the SQLSTATE of a result code, which tell whether the request ran.
 const (
 	prefixDidNotRun = "TD"
 	prefixRan       = "TR"
@@ -56,13 +55,13 @@
 	defer s.disconnect()
 	for ctx.Err() == nil {
 		if s.conn == nil && !s.connect(ctx) {
-			pause(ctx, refusalBackoff)
+			sleep(ctx, refusalBackoff)
 			continue
 		}
 		// A request in progress may finish after ctx is done, because aborting it
 		// would only add writes with an unknown outcome.
 		s.runRequest(context.WithoutCancel(ctx))
-		pause(ctx, time.Duration(s.rng.Int64N(int64(2*meanPause))))
+		sleep(ctx, time.Duration(s.rng.Int64N(int64(2*meanPause))))
 	}
 }
 
@@ -77,7 +76,7 @@
 	}
 	if err != nil {
 		s.bench.history.recordError(err, began)
-		pause(ctx, refusalBackoff)
+		sleep(ctx, refusalBackoff)
 	}
 	if s.rng.IntN(100) < reconnectPercent || s.conn.IsClosed() {
 		s.disconnect()
@@ -142,7 +141,8 @@
 }
 
 // read reads the session's own last write, which must be visible, or a row that
-// another session wrote, which may be too recent for a read that allows staleness.
+// another session wrote. A read that allows staleness may miss the latter if it was
+// written recently.
 func (s *session) read(ctx context.Context, c class) error {
 	w, own := s.lastWrite, true
 	if s.rng.IntN(100) < otherSessionsPercent {
@@ -202,7 +202,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/standin/linedemo/caller.go
+++ b/internal/standin/linedemo/caller.go
@@ -80,8 +80,8 @@
 }
 
 const (
-	// verifyAttempts is how many times verifyLastWrite tries to read, verifyInterval the
-	// pause between attempts.
+	// verifyAttempts is how many times verifyLastWrite tries to read, and verifyInterval
+	// is the pause between two attempts.
 	verifyAttempts = 50
 	verifyInterval = 100 * time.Millisecond
 )
@@ -91,12 +91,12 @@
 // attempt succeeds, that counts as lost as well.
 func (c *caller) verifyLastWrite(ctx context.Context) {
 	for range verifyAttempts {
-		stale := c.report.Stale
+		staleBefore := c.report.Stale
 		s := openSession(c.system.callerAddresses[c.homeInstance], freshDatabase)
-		answered := c.checkRead(s)
+		succeeded := c.checkRead(s)
 		s.close()
-		if answered {
-			c.report.Lost += c.report.Stale - stale
+		if succeeded {
+			c.report.Lost += c.report.Stale - staleBefore
 			return
 		}
 		sleep(ctx, verifyInterval)
--- a/internal/standin/linedemo/demo_test.go
+++ b/internal/standin/linedemo/demo_test.go
@@ -19,7 +19,7 @@
 
 // The gap ends at the first acknowledgement that cannot have been in flight when the
 // primary was killed.
-func TestGapSkipsInFlightAnswers(t *testing.T) {
+func TestGapSkipsInFlightResponses(t *testing.T) {
 	is := is.New(t)
 	killed := time.Now()
 	r := &Report{ackTimes: []time.Time{killed.Add(-time.Second), killed.Add(time.Millisecond), killed.Add(600 * time.Millisecond)}}
--- a/internal/standin/linedemo/report.go
+++ b/internal/standin/linedemo/report.go
@@ -42,7 +42,8 @@
 	r.ackTimes = append(r.ackTimes, time.Now())
 }
 
-// inFlightWindow is how long after the kill responses sent before it can still arrive.
+// inFlightWindow is the time after the kill in which responses that were sent before
+// the kill can still arrive.
 const inFlightWindow = 50 * time.Millisecond
 
 // gapAfter returns the time from a moment to the first later acknowledgement that was
--- a/internal/standin/memnet/network_test.go
+++ b/internal/standin/memnet/network_test.go
@@ -114,7 +114,7 @@
 
 // A connection whose state is lost between the two ends (for example in a NAT device)
 // never delivers anything again, while a new dial works.
-func TestSilenceSparesNewConnections(t *testing.T) {
+func TestSilenceDoesNotAffectNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n, a, b := connectHosts(t)
--- a/internal/standin/slopes/callers.go
+++ b/internal/standin/slopes/callers.go
@@ -148,12 +148,12 @@
 
 // Execute implements execution.Executor.
 func (emptyExecutor) Execute(context.Context, *execution.Unit, func([]byte) error) (*execution.Reply, error) {
-	answer, err := (&pgproto3.CommandComplete{CommandTag: []byte("SELECT 0")}).Encode(nil)
+	messages, err := (&pgproto3.CommandComplete{CommandTag: []byte("SELECT 0")}).Encode(nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err = (&pgproto3.ReadyForQuery{TxStatus: 'I'}).Encode(answer)
-	return &execution.Reply{Messages: answer, TransactionStatus: 'I'}, err
+	messages, err = (&pgproto3.ReadyForQuery{TxStatus: 'I'}).Encode(messages)
+	return &execution.Reply{Messages: messages, TransactionStatus: 'I'}, err
 }
 
 // Abandon implements execution.Executor.
--- a/internal/standin/slopes/changes.go
+++ b/internal/standin/slopes/changes.go
@@ -63,13 +63,13 @@
 
 // changeAtRate applies changes for the duration of the window, waits until the other
 // instance has applied all of them, and returns their number.
-func (t *storePair) changeAtRate(ctx context.Context, rate int, window time.Duration) (int, error) {
+func (p *storePair) changeAtRate(ctx context.Context, rate int, window time.Duration) (int, error) {
 	begin, changes := time.Now(), 0
-	pause := time.Second / time.Duration(rate)
+	interval := time.Second / time.Duration(rate)
 	for time.Since(begin) < window {
 		i := changes % changedDocuments
-		current, _ := t.relay.Current(serviceName(i))
-		outcome, err := t.relay.Apply(ctx, serviceName(i), documentText(i), current.Version, "operator@example.org")
+		current, _ := p.relay.Current(serviceName(i))
+		outcome, err := p.relay.Apply(ctx, serviceName(i), documentText(i), current.Version, "operator@example.org")
 		if err != nil {
 			return changes, err
 		}
@@ -77,14 +77,14 @@
 			return changes, fmt.Errorf("change was not accepted but %s: %s", outcome.State, outcome.Detail)
 		}
 		changes++
-		next := begin.Add(time.Duration(changes) * pause)
+		next := begin.Add(time.Duration(changes) * interval)
 		if err := clock.Sleep(ctx, clock.System{}, time.Until(next)); err != nil {
 			return changes, err
 		}
 	}
 	return changes, waitUntil(ctx, func() bool {
-		for name, version := range t.relay.Versions() {
-			if t.child.Versions()[name] < version {
+		for name, version := range p.relay.Versions() {
+			if p.child.Versions()[name] < version {
 				return false
 			}
 		}
--- a/internal/standin/slopes/loans.go
+++ b/internal/standin/slopes/loans.go
@@ -55,12 +55,12 @@
 // sharePair is two instances that each hold a share of every group. The first lends
 // connections to the second.
 type sharePair struct {
-	platform  *standin.Store
-	network   *countingNetwork
-	lenders   []*shares.Manager
-	borrowers []*shares.Manager
-	demands   []*fakeResource
-	stop      func()
+	platform          *standin.Store
+	network           *countingNetwork
+	lenders           []*shares.Manager
+	borrowers         []*shares.Manager
+	borrowerResources []*fakeResource
+	stop              func()
 }
 
 func startSharePair(ctx context.Context, o Options, n int) (*sharePair, error) {
@@ -72,8 +72,8 @@
 	p.stop = func() {
 		cancel()
 		running.Wait()
-		for _, end := range closers {
-			end()
+		for _, closeItem := range closers {
+			closeItem()
 		}
 	}
 	for i, domain := range []string{"fd-0", "fd-1"} {
@@ -95,7 +95,7 @@
 			if i == 0 {
 				p.lenders = append(p.lenders, m)
 			} else {
-				p.borrowers, p.demands = append(p.borrowers, m), append(p.demands, d)
+				p.borrowers, p.borrowerResources = append(p.borrowers, m), append(p.borrowerResources, d)
 			}
 		}
 	}
@@ -135,13 +135,13 @@
 	var before []int
 	for i, m := range p.borrowers {
 		before = append(before, m.Limit().Connections)
-		p.demands[i].waiting.Store(waitingCallers)
+		p.borrowerResources[i].waiting.Store(waitingCallers)
 	}
 	return waitUntil(ctx, func() bool {
 		all := true
 		for i, m := range p.borrowers {
 			if m.Limit().Connections > before[i] {
-				p.demands[i].waiting.Store(0)
+				p.borrowerResources[i].waiting.Store(0)
 				continue
 			}
 			all = false
--- a/internal/standin/slopes/peers.go
+++ b/internal/standin/slopes/peers.go
@@ -97,13 +97,13 @@
 // returns the number of calls.
 func callAtRate(ctx context.Context, client *peer.Client, address string, rate int, window time.Duration) (int, error) {
 	begin, calls := time.Now(), 0
-	pause := time.Second / time.Duration(rate)
+	interval := time.Second / time.Duration(rate)
 	for time.Since(begin) < window {
 		if err := client.Call(ctx, address, echoMethod, echoMessage{"sixteen bytes..."}, &echoMessage{}); err != nil {
 			return calls, err
 		}
 		calls++
-		next := begin.Add(time.Duration(calls) * pause)
+		next := begin.Add(time.Duration(calls) * interval)
 		if err := clock.Sleep(ctx, clock.System{}, time.Until(next)); err != nil {
 			return calls, err
 		}
--- a/internal/standin/slopes/stores.go
+++ b/internal/standin/slopes/stores.go
@@ -64,8 +64,8 @@
 	p.stop = func() {
 		cancel()
 		running.Wait()
-		for _, end := range closers {
-			end()
+		for _, closeItem := range closers {
+			closeItem()
 		}
 	}
 	pair, err := newInstancePair()
--- a/internal/standin/slopes/wait.go
+++ b/internal/standin/slopes/wait.go
@@ -15,8 +15,8 @@
 	pollInterval = 2 * time.Millisecond
 )
 
-// waitUntil polls until done returns true. It returns an error if ctx is done or after
-// waitTimeout.
+// waitUntil polls until done returns true. It returns an error if ctx ends or
+// waitTimeout expires first.
 func waitUntil(ctx context.Context, done func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
