--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against tokens that are used after their lifetime, in a later window.
-func TestHeldTokensExpire(t *testing.T) {
+func TestPrefetchedTokensExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	a := newAccount(now)
@@ -28,8 +28,8 @@
 	is.True(!a.takeToken(now.Add(prefetchLifetime)))
 }
 
-// The load pattern is a workspace with few operations at an instance, and one with many. Guards
-// against prefetched tokens for operations that do not come.
+// One workspace has few operations at an instance, and another has many. Guards against
+// prefetching tokens for operations that do not come.
 func TestPrefetchFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
@@ -47,8 +47,8 @@
 	is.Equal(frequent.tokensToPrefetch(end.Add(accountLifetime)), 0)
 }
 
-// Guards against asking a limiter that had no token again for each operation of a hot
-// workspace, and against never asking it again.
+// Guards against two faults: a limiter without tokens is asked again for each operation of a
+// hot workspace, or is never asked again.
 func TestRefusingLimiterIsNotAskedAgainAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -4,8 +4,8 @@
 // An entry is written when an instance starts and removed when it stops. There is no heartbeat:
 // with many instances, each one would wake every watch. The entry of a crashed instance stays
 // until one of the two instances that monitor it finds that it has not answered for
-// removeAfter. Requests sent to it until then are sent to another instance, because they were
-// never accepted. An instance that was only unreachable sees that its entry was removed and
+// removeAfter. A request sent to it before that was never accepted and is sent to another
+// instance instead. An instance that was only unreachable sees that its entry was removed and
 // writes it again.
 package registry
 
@@ -34,8 +34,8 @@
 	// together, and the pause lets the watch deliver their entries in one response.
 	watchPause = time.Second
 	// missingDelay is how long this instance's entry must be missing to count as removed. An
-	// instance that starts may get a list from a peer that has not seen the new entry yet,
-	// which takes that peer up to two pauses between watches.
+	// instance that starts may get a list from a peer that has not seen the new entry yet; that
+	// peer sees it after at most two pauses between watches.
 	missingDelay = 3 * watchPause
 )
 
@@ -103,7 +103,7 @@
 	}
 	objectwatch.New(objectwatch.Config{
 		API: r.Entries, Kind: platform.KindInstances, Sink: r, Clock: r.Clock, Log: r.Log,
-		Rand: random, Settle: watchPause,
+		Rand: random, WatchPause: watchPause,
 	}).Run(ctx)
 }
 
@@ -208,16 +208,16 @@
 	return r.API.Delete(ctx, platform.KindInstances, r.Self.ID, stored.Version)
 }
 
-// Listed implements objectwatch.Sink.
-func (r *Registry) Listed(objects []platform.Object) {
+// ApplyList implements objectwatch.Sink.
+func (r *Registry) ApplyList(objects []platform.Object) {
 	r.mu.Lock()
 	clear(r.entries)
 	r.mu.Unlock()
-	r.Changed(objects)
+	r.ApplyChanges(objects)
 }
 
-// Changed implements objectwatch.Sink. It ignores entries that cannot be decoded.
-func (r *Registry) Changed(objects []platform.Object) {
+// ApplyChanges implements objectwatch.Sink. It ignores entries that cannot be decoded.
+func (r *Registry) ApplyChanges(objects []platform.Object) {
 	r.mu.Lock()
 	for _, o := range objects {
 		r.applyObject(o)
@@ -265,6 +265,6 @@
 	return all
 }
 
-// Touch implements objectwatch.Sink. It does nothing: the last list stays in use while the
+// SetReachable implements objectwatch.Sink. It does nothing: the last list stays in use while the
 // platform is unreachable.
-func (r *Registry) Touch(bool) {}
+func (r *Registry) SetReachable(bool) {}
--- a/internal/shares/close.go
+++ b/internal/shares/close.go
@@ -42,13 +42,13 @@
 			return false
 		}
 		s.setHolder(nil)
-		extra := s.Size.ExcessOver(s.Target)
-		s.Size = s.Size.Minus(extra).Plus(l.fillToTargets(s.Name, extra))
+		excess := s.Size.ExcessOver(s.Target)
+		s.Size = s.Size.Minus(excess).Plus(l.fillToTargets(s.Name, excess))
 		return true
 	})
 	if stored {
 		m.cfg.Metrics.changes.WithLabelValues(m.cfg.Group, changeRelease).Inc()
-		m.notifyHolders(ctx, l.otherHolders(m.self))
+		m.notifyHolders(ctx, l.otherHolderAddresses(m.self))
 	}
 	return err
 }
