--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -85,7 +85,7 @@
 			return reply, nil
 		}
 		g.homeFinder.forgetHome(home)
-		g.Logger.Info("Unit was passed on and not served.", "request", u.Request, "unit", u.ID, "group", u.Group, "home", home.ID, "error", err)
+		g.Logger.Info("Relaying a unit to another home failed.", "request", u.Request, "unit", u.ID, "group", u.Group, "home", home.ID, "error", err)
 		refusal = relayError(refusal, err)
 		if !mayRelayAgain(u, answerStarted.Load(), err) {
 			return nil, refusal
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -18,15 +18,20 @@
 // stateChangeMessages are the messages that report a change of the instance's state or of
 // its view of groups, members, the platform and other instances.
 var stateChangeMessages = map[string]bool{
-	"Member does not answer.": true, "Member answers again.": true, "Too few replicas get on.": true,
-	"Replicas get on again.": true, "Term rose.": true, "Primary found.": true, "Term claimed.": true,
-	"Member is promoted.": true, "Primary replaced.": true, "Others reach the primary.": true, "Claim failed.": true,
-	"Claimed term was left.": true, "The platform does not answer.": true, "The platform answers.": true,
+	"Member does not answer.": true, "Member answers again.": true, "Not enough replicas make progress.": true,
+	"Enough replicas make progress again.": true, "The group's term increased.": true, "Primary found.": true, "Term claimed.": true,
+	"Member is promoted.": true, "Primary replaced.": true,
+	"Failover was not started because other instances reach the primary.": true, "Claim failed.": true,
+	"Failover attempt for the claimed term was abandoned.": true, "The platform does not answer.": true, "The platform answers.": true,
 	"Instance is cut off from most groups.": true, "Instance reaches most groups again.": true,
-	"No other failure domain answers.": true,
-	"Idle callers are sent elsewhere.": true, "Instance starts.": true, "Drain begins.": true, "Instance has stopped.": true,
-	"Home of a group was started.": true, "Home of a group is retired.": true, "Entry of a silent instance was removed.": true,
-	"The instance's entry was removed.": true, "Opening a connection failed.": true, "Unit was passed on and not served.": true,
+	"No other failure domain answers.": true, "Instance disconnects idle callers so that they reconnect elsewhere.": true,
+	"Instance starts.": true, "Drain begins.": true, "Instance has stopped.": true,
+	"Home of a group was started.": true, "Home of a group is retired.": true, "Entry of an unresponsive instance was removed.": true,
+	"The instance's entry was removed.": true, "Opening a connection failed.": true, "Relaying a unit to another home failed.": true,
+	// Instances of earlier builds write these; during an upgrade, logs of both builds are read.
+	"Too few replicas get on.": true, "Replicas get on again.": true, "Term rose.": true, "Others reach the primary.": true,
+	"Claimed term was left.": true, "Idle callers are sent elsewhere.": true, "Unit was passed on and not served.": true,
+	"Entry of a silent instance was removed.": true,
 }
 
 // Filter selects the lines for a report. Fields with zero values select all lines. Code
--- a/internal/explain/report_test.go
+++ b/internal/explain/report_test.go
@@ -63,3 +63,26 @@
 	is.Equal(r.Refusals[0].Instance, "i1")
 	is.Equal(r.Refusals[0].Second, 2)
 }
+
+// During an upgrade, instances of an earlier build still write the old text of a message.
+// The report must contain the state change under either text.
+func TestRecognizesMessagesOfEarlierBuilds(t *testing.T) {
+	is := is.New(t)
+	for old, current := range map[string]string{
+		"Too few replicas get on.":                "Not enough replicas make progress.",
+		"Replicas get on again.":                  "Enough replicas make progress again.",
+		"Term rose.":                              "The group's term increased.",
+		"Others reach the primary.":               "Failover was not started because other instances reach the primary.",
+		"Claimed term was left.":                  "Failover attempt for the claimed term was abandoned.",
+		"Idle callers are sent elsewhere.":        "Instance disconnects idle callers so that they reconnect elsewhere.",
+		"Unit was passed on and not served.":      "Relaying a unit to another home failed.",
+		"Entry of a silent instance was removed.": "Entry of an unresponsive instance was removed.",
+	} {
+		for _, message := range []string{old, current} {
+			log := `  5.1000 edge-1 {"@message":"` + message + `","@timestamp":"2026-01-01T00:00:05.1Z","group":"g"}`
+			r, err := Read(Filter{}, strings.NewReader(log))
+			is.NoErr(err)
+			is.Equal(r.StateChanges, []StateChange{{Second: 5, Instance: "edge-1", Group: "g", Message: message, Count: 1}})
+		}
+	}
+}
--- a/internal/failover/monitor.go
+++ b/internal/failover/monitor.go
@@ -76,7 +76,7 @@
 	gap := Gap{Group: c.Group, Term: won.record.Term, Cause: a.cause,
 		Detect: decidedAt.Sub(a.since), Claim: c.Clock.Now().Sub(decidedAt)}
 	if err := newAttempt(c, won, s).run(ctx, &gap); err != nil {
-		c.log.Warn("Claimed term was left.", "term", won.record.Term, "error", err)
+		c.log.Warn("Failover attempt for the claimed term was abandoned.", "term", won.record.Term, "error", err)
 		c.Metrics.countClaim(a.cause, outcomeAbandoned)
 		m.delayClaims(m.backoff.nextDelay())
 		return
@@ -96,7 +96,7 @@
 	reports := m.claimer.Witness.Query(ctx, WitnessRequest{Group: m.claimer.Group, Term: s.Term})
 	ok := majorityReportsLoss(m.claimer.Self.FailureDomain, reports)
 	if !ok {
-		m.claimer.log.Info("Others reach the primary.", "term", s.Term, "answers", len(reports))
+		m.claimer.log.Info("Failover was not started because other instances reach the primary.", "term", s.Term, "answers", len(reports))
 	}
 	return ok
 }
--- a/internal/group/observe.go
+++ b/internal/group/observe.go
@@ -56,7 +56,7 @@
 	if term <= w.term {
 		return
 	}
-	w.log.Info("Term rose.", "group", w.group, "from", w.term, "to", term)
+	w.log.Info("The group's term increased.", "group", w.group, "from", w.term, "to", term)
 	w.metrics.termChanges.WithLabelValues(w.group).Inc()
 	w.samples.startTerm(w.isQuorum)
 	w.term, w.primary, w.termStart = term, "", 0
--- a/internal/group/stall.go
+++ b/internal/group/stall.go
@@ -76,10 +76,10 @@
 	switch {
 	case since.IsZero() && w.stallLogged:
 		w.stallLogged = false
-		w.log.Info("Replicas get on again.", "group", w.group, "term", w.term)
+		w.log.Info("Enough replicas make progress again.", "group", w.group, "term", w.term)
 	case !since.IsZero() && !w.stallLogged && w.clock.Now().Sub(since) >= stallLogAfter:
 		w.stallLogged = true
-		w.log.Warn("Too few replicas get on.", "group", w.group, "term", w.term, "since", since, "members", w.describeMembers())
+		w.log.Warn("Not enough replicas make progress.", "group", w.group, "term", w.term, "since", since, "members", w.describeMembers())
 	}
 }
 
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -62,7 +62,7 @@
 		case reachDismissCallers:
 			if d, ok := n.callers.(dismisser); ok {
 				d.Dismiss()
-				n.options.Logger.Info("Idle callers are sent elsewhere.")
+				n.options.Logger.Info("Instance disconnects idle callers so that they reconnect elsewhere.")
 			}
 		}
 	}
--- a/internal/registry/sweeper.go
+++ b/internal/registry/sweeper.go
@@ -103,7 +103,7 @@
 		s.Log.Info("Removing the entry of an unresponsive instance failed.", "instance", i.ID, "error", err)
 		return
 	}
-	s.Log.Warn("Entry of a silent instance was removed.", "instance", i.ID, "address", i.PeerAddress, "silent", s.Clock.Now().Sub(s.unresponsive[i]).String())
+	s.Log.Warn("Entry of an unresponsive instance was removed.", "instance", i.ID, "address", i.PeerAddress, "silent", s.Clock.Now().Sub(s.unresponsive[i]).String())
 }
 
 func (s *sweeper) removeEntry(ctx context.Context, i platform.Instance) error {
