--- a/internal/adminapi/dependencies.go
+++ b/internal/adminapi/dependencies.go
@@ -64,9 +64,9 @@
 	Draining() bool
 }
 
-// Parts holds the components of the instance that the server depends on. Routes
+// Dependencies holds the components of the instance that the server depends on. Routes
 // whose component is nil respond with result.NotReady.
-type Parts struct {
+type Dependencies struct {
 	Identity   Identity
 	Documents  Documents
 	Fleet      Fleet
--- a/internal/adminapi/fleet.go
+++ b/internal/adminapi/fleet.go
@@ -24,8 +24,8 @@
 	peerCallTimeout = 2 * time.Second
 )
 
-// Inventory is the part of the platform that lists machines.
-type Inventory interface {
+// InventoryReader is the part of the platform that lists machines.
+type InventoryReader interface {
 	Inventory(ctx context.Context) (platform.Inventory, error)
 }
 
@@ -33,7 +33,7 @@
 // addresses.
 type PeerFleet struct {
 	self       Identity
-	inventory  Inventory
+	inventory  InventoryReader
 	peerClient peer.Caller
 	documents  Documents
 }
@@ -41,7 +41,7 @@
 // NewPeerFleet returns a Fleet that reads the instance list from inventory and queries
 // the other instances through peerClient. For its own instance, self, it reads the
 // versions from documents.
-func NewPeerFleet(self Identity, inventory Inventory, peerClient peer.Caller, documents Documents) *PeerFleet {
+func NewPeerFleet(self Identity, inventory InventoryReader, peerClient peer.Caller, documents Documents) *PeerFleet {
 	return &PeerFleet{self: self, inventory: inventory, peerClient: peerClient, documents: documents}
 }
 
--- a/internal/adminapi/groupstate.go
+++ b/internal/adminapi/groupstate.go
@@ -29,7 +29,7 @@
 // newGroupView converts a snapshot; ages are computed as of now.
 func newGroupView(s *group.Snapshot, now time.Time) GroupView {
 	v := GroupView{Name: s.Group, Term: uint64(s.Term), Primary: s.Primary, Members: []MemberView{}}
-	primary, _ := s.Find(s.Primary)
+	primary, _ := s.FindMember(s.Primary)
 	for _, m := range s.Members {
 		v.Members = append(v.Members, newMemberView(s, m, primary, now))
 	}
@@ -43,17 +43,17 @@
 		Address:       m.Address,
 		FailureDomain: m.FailureDomain,
 		Role:          string(m.Status.Role),
-		Term:          uint64(m.Status.Entered),
-		Position:      uint64(m.Status.Last.Position),
+		Term:          uint64(m.Status.EnteredTerm),
+		Position:      uint64(m.Status.LastRecord.Position),
 		LagBytes:      -1,
 		MaxAgeMillis:  -1,
-		Failing:       !m.Failing.IsZero(),
+		Failing:       !m.FailingSince.IsZero(),
 		Leaving:       m.Leaving,
 	}
-	if s.Primary != "" && m.Status.Attached == s.Term && primary.Status.Entered == s.Term {
+	if s.Primary != "" && m.Status.AttachedTerm == s.Term && primary.Status.EnteredTerm == s.Term {
 		// The two reports were requested at different times. If the replica's report is
 		// newer, its position can be beyond the position in the primary's report.
-		lag := int64(primary.Status.Last.Position) - int64(m.Status.Last.Position)
+		lag := int64(primary.Status.LastRecord.Position) - int64(m.Status.LastRecord.Position)
 		v.LagBytes = max(0, lag)
 	}
 	if !m.FreshAsOf.IsZero() {
@@ -67,11 +67,11 @@
 	if s.Primary == "" {
 		return GroupNoPrimary
 	}
-	if s.ConfirmedAt.IsZero() || now.Sub(s.ConfirmedAt) > maxConfirmationAge {
+	if s.QuorumAttachedAt.IsZero() || now.Sub(s.QuorumAttachedAt) > maxConfirmationAge {
 		return GroupUnconfirmed
 	}
 	for _, m := range s.Members {
-		if !m.Failing.IsZero() || m.Leaving || m.Status.Attached != s.Term {
+		if !m.FailingSince.IsZero() || m.Leaving || m.Status.AttachedTerm != s.Term {
 			return GroupDegraded
 		}
 	}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -14,7 +14,7 @@
 // Server serves the administration API of one instance.
 type Server struct {
 	config        Config
-	dependencies  Parts
+	dependencies  Dependencies
 	network       netio.Network
 	clock         clock.Clock
 	log           hclog.Logger
@@ -22,7 +22,7 @@
 }
 
 // New returns a server; it listens once Run is called.
-func New(c Config, d Parts, n netio.Network, clk clock.Clock, log hclog.Logger) *Server {
+func New(c Config, d Dependencies, n netio.Network, clk clock.Clock, log hclog.Logger) *Server {
 	return &Server{config: c, dependencies: d, network: n, clock: clk, log: log.Named("admin"), accessControl: newAccessControl(c.Token)}
 }
 
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -63,7 +63,7 @@
 func (f *fakeLifecycle) Drain()                  { f.draining = true }
 func (f *fakeLifecycle) Draining() bool          { return f.draining }
 
-func newTestServer(token string, p Parts) *Server {
+func newTestServer(token string, p Dependencies) *Server {
 	return New(Config{Token: token}, p, netio.TCP{}, clock.System{}, hclog.NewNullLogger())
 }
 
@@ -112,7 +112,7 @@
 	for _, c := range cases {
 		is := is.New(t)
 		documents := &fakeDocuments{outcome: c.outcome, err: c.err}
-		s := newTestServer("", Parts{Documents: documents})
+		s := newTestServer("", Dependencies{Documents: documents})
 		w, p := call(s, local, "PUT", "/v1/services/base", "[service]", "If-Match", `"7"`, OperatorHeader, "ana\x07")
 		is.Equal(w.Code, c.status)
 		is.Equal(p.Code, int(c.code))
@@ -130,7 +130,7 @@
 func TestApplyRequiresEditedVersion(t *testing.T) {
 	is := is.New(t)
 	documents := &fakeDocuments{outcome: Outcome{State: StateAccepted, Version: 1}}
-	s := newTestServer("", Parts{Documents: documents})
+	s := newTestServer("", Dependencies{Documents: documents})
 	for _, match := range []string{"", "x", "0", "-1", "*"} {
 		w, p := call(s, local, "PUT", "/v1/services/base", "[service]", "If-Match", match)
 		is.Equal(w.Code, http.StatusBadRequest)
@@ -159,7 +159,7 @@
 	for _, c := range cases {
 		is := is.New(t)
 		life := &fakeLifecycle{}
-		s := newTestServer(c.token, Parts{Lifecycle: life})
+		s := newTestServer(c.token, Dependencies{Lifecycle: life})
 		w, _ := call(s, c.from, "POST", "/v1/drain", "", c.header...)
 		is.Equal(w.Code, c.want) // c.name
 		is.Equal(life.draining, c.want == http.StatusAccepted)
@@ -168,7 +168,7 @@
 
 func TestRequestBodySizeIsLimited(t *testing.T) {
 	is := is.New(t)
-	s := newTestServer("", Parts{Documents: &fakeDocuments{}})
+	s := newTestServer("", Dependencies{Documents: &fakeDocuments{}})
 	w, p := call(s, local, "POST", "/v1/services/base/check", strings.Repeat("x", MaxDocumentSize+1))
 	is.Equal(w.Code, http.StatusRequestEntityTooLarge)
 	is.Equal(p.Code, int(result.StatementTooLarge))
@@ -176,7 +176,7 @@
 
 func TestCheckListsEveryDocumentError(t *testing.T) {
 	is := is.New(t)
-	s := newTestServer("", Parts{Documents: &fakeDocuments{}})
+	s := newTestServer("", Dependencies{Documents: &fakeDocuments{}})
 	w, p := call(s, remote, "POST", "/v1/services/base/check", "nothing")
 	is.Equal(w.Code, http.StatusUnprocessableEntity)
 	is.Equal(p.Errors, []string{"base:1: first", "base:2: second"})
@@ -189,7 +189,7 @@
 // drain.
 func TestDrainFailsReadinessButNotHealth(t *testing.T) {
 	is := is.New(t)
-	s := newTestServer("", Parts{Lifecycle: &fakeLifecycle{}})
+	s := newTestServer("", Dependencies{Lifecycle: &fakeLifecycle{}})
 	w, _ := call(s, remote, "GET", "/readyz", "")
 	is.Equal(w.Code, http.StatusOK)
 	w, _ = call(s, local, "POST", "/v1/drain", "")
@@ -202,7 +202,7 @@
 }
 
 func TestMissingDependenciesReturnResultCode(t *testing.T) {
-	s := newTestServer("", Parts{})
+	s := newTestServer("", Dependencies{})
 	for _, r := range s.routes() {
 		is := is.New(t)
 		path := strings.ReplaceAll(r.path, "{name}", "base")
@@ -219,7 +219,7 @@
 	registry := prometheus.NewRegistry()
 	counter := prometheus.NewCounter(prometheus.CounterOpts{Name: "topazrock_test_total"})
 	registry.MustRegister(counter)
-	w, _ := call(newTestServer("", Parts{Metrics: registry}), remote, "GET", "/metrics", "")
+	w, _ := call(newTestServer("", Dependencies{Metrics: registry}), remote, "GET", "/metrics", "")
 	is.True(strings.Contains(w.Body.String(), "topazrock_test_total 0"))
 }
 
@@ -230,10 +230,10 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	status := func(role member.Role, p logpos.Position, attached logpos.Term) member.Status {
-		return member.Status{Role: role, Entered: 3, Last: logpos.Mark{Term: 3, Position: p}, Attached: attached}
+		return member.Status{Role: role, EnteredTerm: 3, LastRecord: logpos.TermPosition{Term: 3, Position: p}, AttachedTerm: attached}
 	}
 	s := &group.Snapshot{
-		Group: "g", Term: 3, Primary: "a", ConfirmedAt: now,
+		Group: "g", Term: 3, Primary: "a", QuorumAttachedAt: now,
 		Members: []group.MemberView{
 			{Address: "a", Status: status(member.RolePrimary, 100, 3)},
 			{Address: "b", Status: status(member.RoleReplica, 60, 3), FreshAsOf: now.Add(-time.Second)},
--- a/internal/adminapi/views.go
+++ b/internal/adminapi/views.go
@@ -100,11 +100,11 @@
 	// are zero if there is no limit.
 	Rate  float64 `json:"rate_per_second"`
 	Burst float64 `json:"burst"`
-	// BegunPerSecond is the recent average rate of operations that callers asked
+	// RequestedPerSecond is the recent average rate of operations that callers asked
 	// this instance to start. Refused counts the operations that this instance
 	// refused because of the limit.
-	BegunPerSecond float64 `json:"begun_per_second"`
-	Refused        uint64  `json:"refused"`
+	RequestedPerSecond float64 `json:"begun_per_second"`
+	Refused            uint64  `json:"refused"`
 }
 
 // PeerView describes another instance that this instance knows.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -27,9 +27,9 @@
 	MaxQueue int
 	// Deadline is the caller's deadline.
 	Deadline time.Time
-	// WantedBy is the time by which the class's objective requires the answer; zero if the
+	// ObjectiveDeadline is the time by which the class's objective requires the answer; zero if the
 	// class has no objective.
-	WantedBy time.Time
+	ObjectiveDeadline time.Time
 	// Member is the address of the member that the request is for. Gates with separate
 	// slots for each member use it.
 	Member string
@@ -37,7 +37,7 @@
 
 // Gate grants the slots of one group.
 type Gate interface {
-	// Enter waits for a slot. Errors are *result.Error of the did-not-run family and carry
+	// Acquire waits for a slot. Errors are *result.Error of the did-not-run family and carry
 	// a retry-after.
-	Enter(ctx context.Context, r Request) (*Slot, error)
+	Acquire(ctx context.Context, r Request) (*Slot, error)
 }
--- a/internal/admission/burstload_test.go
+++ b/internal/admission/burstload_test.go
@@ -158,12 +158,12 @@
 func (b *burstLoad) attempt(plan attemptPlan, objectives bool, firstTry time.Time) (time.Duration, bool) {
 	r := Request{Class: "read", Priority: 2, MaxQueue: 500, Member: "m", Deadline: time.Now().Add(burstTimeout)}
 	if objectives {
-		r.WantedBy = time.Now().Add(burstObjective)
+		r.ObjectiveDeadline = time.Now().Add(burstObjective)
 	}
 	if b.firstTryKnown {
-		r.WantedBy = firstTry.Add(burstObjective)
+		r.ObjectiveDeadline = firstTry.Add(burstObjective)
 	}
-	slot, err := b.homes[plan.home].Enter(context.Background(), r)
+	slot, err := b.homes[plan.home].Acquire(context.Background(), r)
 	if err != nil {
 		e, _ := result.As(err)
 		return e.RetryAfter, false
--- a/internal/admission/cancelled_test.go
+++ b/internal/admission/cancelled_test.go
@@ -21,7 +21,7 @@
 			release := mustEnter(t, c, Request{Class: "lookup"})
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
-				if slot, err := c.Enter(ctx, Request{Class: "lookup", Deadline: time.Now().Add(time.Minute)}); err == nil {
+				if slot, err := c.Acquire(ctx, Request{Class: "lookup", Deadline: time.Now().Add(time.Minute)}); err == nil {
 					slot.Release()
 				}
 			}()
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -71,7 +71,7 @@
 }
 
 // SetSlots changes the number of slots. Requests that already run are not interrupted when
-// the number is lowered; Settle waits until enough of them have ended.
+// the number is lowered; WaitWithinLimit waits until enough of them have ended.
 func (c *Controller) SetSlots(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +81,8 @@
 	c.dispatch()
 }
 
-// Settle waits until no more requests run than there are slots.
-func (c *Controller) Settle(ctx context.Context) error {
+// WaitWithinLimit waits until no more requests run than there are slots.
+func (c *Controller) WaitWithinLimit(ctx context.Context) error {
 	return c.released.Wait(ctx, &c.mu, func() bool { return len(c.inUse) <= c.slots })
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -26,7 +26,7 @@
 // mustEnter acquires a slot, or fails the test, and returns the slot's Release.
 func mustEnter(t *testing.T, c *Controller, r Request) func() {
 	t.Helper()
-	slot, err := c.Enter(t.Context(), r)
+	slot, err := c.Acquire(t.Context(), r)
 	if err != nil {
 		t.Fatalf("enter: %v", err)
 	}
@@ -45,7 +45,7 @@
 // releases the slot.
 func enterInBackground(c *Controller, r Request, got chan<- string) {
 	go func() {
-		slot, err := c.Enter(context.Background(), r)
+		slot, err := c.Acquire(context.Background(), r)
 		if err == nil {
 			got <- r.Class
 			slot.Release()
@@ -141,10 +141,10 @@
 		is := is.New(t)
 		c := newController(2)
 		begin := func() *Slot {
-			slot, err := c.Enter(t.Context(), lookup)
+			slot, err := c.Acquire(t.Context(), lookup)
 			is.NoErr(err)
 			_ = clock.Sleep(t.Context(), clock.System{}, 5*time.Millisecond)
-			slot.Answered()
+			slot.MarkAnswered()
 			return slot
 		}
 		for range 2 {
@@ -173,7 +173,7 @@
 		r := lookup
 		r.Deadline = time.Now().Add(500 * time.Millisecond)
 		began := time.Now()
-		_, err := c.Enter(t.Context(), r)
+		_, err := c.Acquire(t.Context(), r)
 		e, ok := result.As(err)
 		is.True(ok)
 		is.Equal(e.Code, result.DeadlineTooShort)
@@ -194,7 +194,7 @@
 		bounded := lookup
 		bounded.MaxQueue = 1
 		enterInBackground(c, bounded, got)
-		_, err := c.Enter(t.Context(), bounded)
+		_, err := c.Acquire(t.Context(), bounded)
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.QueueFull)
 		enterInBackground(c, renewal, got)
@@ -215,7 +215,7 @@
 		r := renewal
 		r.Deadline = time.Now().Add(time.Second)
 		began := time.Now()
-		_, err := c.Enter(t.Context(), r)
+		_, err := c.Acquire(t.Context(), r)
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.QueueTimeout)
 		is.Equal(time.Since(began), time.Second)
@@ -233,12 +233,12 @@
 		occupySlot(t, c, lookup, 90*time.Millisecond)
 		release := mustEnter(t, c, lookup)
 		late := lookup
-		late.WantedBy = time.Now()
+		late.ObjectiveDeadline = time.Now()
 		late.Deadline = time.Now().Add(400 * time.Millisecond)
 		began := time.Now()
 		refusedAfter := make(chan time.Duration, 1)
 		go func() {
-			_, err := c.Enter(context.Background(), late)
+			_, err := c.Acquire(context.Background(), late)
 			is.True(err != nil)
 			refusedAfter <- time.Since(began)
 		}()
@@ -247,8 +247,8 @@
 		for range 6 {
 			wg.Go(func() {
 				soon := renewal
-				soon.WantedBy = time.Now().Add(time.Minute)
-				slot, err := c.Enter(context.Background(), soon)
+				soon.ObjectiveDeadline = time.Now().Add(time.Minute)
+				slot, err := c.Acquire(context.Background(), soon)
 				is.NoErr(err)
 				_ = clock.Sleep(t.Context(), clock.System{}, 90*time.Millisecond)
 				slot.Release()
@@ -274,7 +274,7 @@
 		drained := make(chan error, 1)
 		go func() { drained <- c.Drain(context.Background()) }()
 		synctest.Wait()
-		_, err := c.Enter(t.Context(), renewal)
+		_, err := c.Acquire(t.Context(), renewal)
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.Draining)
 		is.Equal(len(drained), 0)
@@ -286,7 +286,7 @@
 
 func TestSettleWaitsForRunningRequests(t *testing.T) {
 	// Two requests run when the number of slots is lowered to one. Neither is interrupted;
-	// Settle returns when one has ended, and only then may the slot be lent to another
+	// WaitWithinLimit returns when one has ended, and only then may the slot be lent to another
 	// instance.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -294,7 +294,7 @@
 		first, second := mustEnter(t, c, lookup), mustEnter(t, c, lookup)
 		c.SetSlots(1)
 		settled := make(chan error, 1)
-		go func() { settled <- c.Settle(context.Background()) }()
+		go func() { settled <- c.WaitWithinLimit(context.Background()) }()
 		synctest.Wait()
 		is.Equal(len(settled), 0)
 		first()
@@ -311,7 +311,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			slot, err := c.Enter(ctx, renewal)
+			slot, err := c.Acquire(ctx, renewal)
 			if err != nil {
 				b.Error(err)
 				return
--- a/internal/admission/enter.go
+++ b/internal/admission/enter.go
@@ -7,8 +7,8 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Enter implements Gate.
-func (c *Controller) Enter(ctx context.Context, r Request) (*Slot, error) {
+// Acquire implements Gate.
+func (c *Controller) Acquire(ctx context.Context, r Request) (*Slot, error) {
 	w, err := c.admitOrEnqueue(r)
 	if err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	return nil, c.cancelWait(w)
 }
 
-// grantResult converts a grant to the return values of Enter.
+// grantResult converts a grant to the return values of Acquire.
 func (c *Controller) grantResult(g grant) (*Slot, error) {
 	if g.err != nil {
 		return nil, g.err
--- a/internal/admission/late_test.go
+++ b/internal/admission/late_test.go
@@ -28,8 +28,8 @@
 		began := time.Now()
 		refusedAfter := make(chan time.Duration, 30)
 		request := func() {
-			r := Request{Class: "read", Priority: 2, MaxQueue: 500, WantedBy: began.Add(objective), Deadline: began.Add(deadline)}
-			slot, err := c.Enter(context.Background(), r)
+			r := Request{Class: "read", Priority: 2, MaxQueue: 500, ObjectiveDeadline: began.Add(objective), Deadline: began.Add(deadline)}
+			slot, err := c.Acquire(context.Background(), r)
 			if e, refused := result.As(err); refused {
 				is.Equal(e.Code.Family(), result.FamilyDidNotRun)
 				refusedAfter <- time.Since(began)
@@ -66,10 +66,10 @@
 		c := newController(1)
 		release := mustEnter(t, c, Request{Class: "read", Priority: 2})
 		got := make(chan string, 2*longestWaitInterval+2)
-		enterInBackground(c, Request{Class: "late", Priority: 1, WantedBy: time.Now()}, got)
+		enterInBackground(c, Request{Class: "late", Priority: 1, ObjectiveDeadline: time.Now()}, got)
 		time.Sleep(time.Millisecond)
 		for range 2*longestWaitInterval + 1 {
-			enterInBackground(c, Request{Class: "read", Priority: 2, WantedBy: time.Now().Add(time.Second)}, got)
+			enterInBackground(c, Request{Class: "read", Priority: 2, ObjectiveDeadline: time.Now().Add(time.Second)}, got)
 		}
 		release()
 		synctest.Wait()
--- a/internal/admission/load_test.go
+++ b/internal/admission/load_test.go
@@ -72,7 +72,7 @@
 
 func (l *openLoad) request(r Request, service time.Duration) {
 	arrived := time.Now()
-	slot, err := l.controller.Enter(context.Background(), r)
+	slot, err := l.controller.Acquire(context.Background(), r)
 	waited := time.Since(arrived)
 	if err != nil {
 		e, _ := result.As(err)
--- a/internal/admission/permember.go
+++ b/internal/admission/permember.go
@@ -29,9 +29,9 @@
 	return &PerMember{cfg: cfg, slots: cfg.Slots, gates: make(map[string]*Controller)}
 }
 
-// Enter implements Gate.
-func (p *PerMember) Enter(ctx context.Context, r Request) (*Slot, error) {
-	return p.gateFor(r.Member).Enter(ctx, r)
+// Acquire implements Gate.
+func (p *PerMember) Acquire(ctx context.Context, r Request) (*Slot, error) {
+	return p.gateFor(r.Member).Acquire(ctx, r)
 }
 
 // Waiting returns the number of requests that wait for a member.
--- a/internal/admission/permember_test.go
+++ b/internal/admission/permember_test.go
@@ -28,11 +28,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
-		held, err := p.Enter(t.Context(), forMember(lookup, "replica"))
+		held, err := p.Acquire(t.Context(), forMember(lookup, "replica"))
 		is.NoErr(err)
 		waiting := make(chan *Slot)
 		go func() {
-			slot, err := p.Enter(context.Background(), forMember(lookup, "replica"))
+			slot, err := p.Acquire(context.Background(), forMember(lookup, "replica"))
 			if err == nil {
 				waiting <- slot
 			}
@@ -40,7 +40,7 @@
 		synctest.Wait()
 		is.Equal(p.Waiting("replica"), 1)
 		began := time.Now()
-		slot, err := p.Enter(t.Context(), forMember(renewal, "primary"))
+		slot, err := p.Acquire(t.Context(), forMember(renewal, "primary"))
 		is.NoErr(err)
 		is.Equal(time.Since(began), time.Duration(0))
 		slot.Release()
@@ -55,11 +55,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPerMember(1)
-		held, err := p.Enter(t.Context(), forMember(lookup, "first"))
+		held, err := p.Acquire(t.Context(), forMember(lookup, "first"))
 		is.NoErr(err)
 		waiting := make(chan *Slot, 1)
 		go func() {
-			slot, err := p.Enter(context.Background(), forMember(lookup, "first"))
+			slot, err := p.Acquire(context.Background(), forMember(lookup, "first"))
 			if err == nil {
 				waiting <- slot
 			}
@@ -69,7 +69,7 @@
 		(<-waiting).Release()
 		held.Release()
 		for range 2 {
-			slot, err := p.Enter(t.Context(), forMember(lookup, "second"))
+			slot, err := p.Acquire(t.Context(), forMember(lookup, "second"))
 			is.NoErr(err)
 			defer slot.Release()
 		}
--- a/internal/admission/slot.go
+++ b/internal/admission/slot.go
@@ -25,14 +25,14 @@
 	return s
 }
 
-// Answered records that the member has answered the request. A slot kept after its answer
+// MarkAnswered records that the member has answered the request. A slot kept after its answer
 // causes no work at the member, so another request may be sent.
-func (s *Slot) Answered() { s.controller.markAnswered(s) }
+func (s *Slot) MarkAnswered() { s.controller.markAnswered(s) }
 
-// Refused records that the request was not sent, or that the member refused it without
+// MarkNotExecuted records that the request was not sent, or that the member refused it without
 // executing it. Its duration is not a service time: when refusals by lagging replicas
 // were counted as answers, each ordinary answer looked slow for minutes.
-func (s *Slot) Refused() { s.controller.markRefused(s) }
+func (s *Slot) MarkNotExecuted() { s.controller.markRefused(s) }
 
 // Release frees the slot. Later calls have no effect.
 func (s *Slot) Release() { s.releaseOnce() }
--- a/internal/admission/waiter.go
+++ b/internal/admission/waiter.go
@@ -43,10 +43,10 @@
 // dueTime returns the end of the objective, or the deadline if the request is late or its
 // class has no objective.
 func (w *waiter) dueTime() time.Time {
-	if w.late || w.request.WantedBy.IsZero() {
+	if w.late || w.request.ObjectiveDeadline.IsZero() {
 		return w.request.Deadline
 	}
-	return w.request.WantedBy
+	return w.request.ObjectiveDeadline
 }
 
 // serviceTimeMargin is the number of average service times that must be left for a request
@@ -58,5 +58,5 @@
 // missesObjective reports whether an answer that takes serviceTimeMargin times the average
 // service time from now on would miss the objective.
 func (w *waiter) missesObjective(now time.Time) bool {
-	return !w.request.WantedBy.IsZero() && now.Add(serviceTimeMargin*w.class.serviceTime).After(w.request.WantedBy)
+	return !w.request.ObjectiveDeadline.IsZero() && now.Add(serviceTimeMargin*w.class.serviceTime).After(w.request.ObjectiveDeadline)
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -30,16 +30,16 @@
 
 // Config configures a Server.
 type Config struct {
-	// Max is the maximum number of connected callers.
-	Max int
-	// Open creates the session of a connection.
-	Open func(net.Conn) Session
-	// Refuse sends a caller the reason why its connection is rejected.
-	Refuse func(net.Conn, *result.Error)
-	// EndUnits is called when a drain times out, and cancels the units that members are
-	// running. Units that wait for anything else are cancelled through Server.Units.
-	EndUnits func()
-	Clock    clock.Clock
+	// MaxCallers is the maximum number of connected callers.
+	MaxCallers int
+	// OpenSession creates the session of a connection.
+	OpenSession func(net.Conn) Session
+	// RejectConnection sends a caller the reason why its connection is rejected.
+	RejectConnection func(net.Conn, *result.Error)
+	// CancelUnits is called when a drain times out, and cancels the units that members are
+	// running. Units that wait for anything else are cancelled through Server.UnitContext.
+	CancelUnits func()
+	Clock       clock.Clock
 	// Connected is the number of connected callers.
 	Connected prometheus.Gauge
 	Logger    hclog.Logger
@@ -58,7 +58,7 @@
 	// unitContext is the context of all units. cancelUnits cancels it when a drain times out.
 	unitContext context.Context
 	cancelUnits context.CancelFunc
-	// dismissals is the number of calls of Dismiss.
+	// dismissals is the number of calls of DisconnectIdle.
 	dismissals atomic.Uint64
 
 	mu       sync.Mutex
@@ -92,7 +92,7 @@
 func (s *Server) serve(conn net.Conn) {
 	session, refusal := s.register(conn)
 	if refusal != nil {
-		s.config.Refuse(conn, refusal)
+		s.config.RejectConnection(conn, refusal)
 		lingeringClose(conn, s.config.Clock.Now())
 		return
 	}
@@ -109,10 +109,10 @@
 	if s.draining {
 		return nil, result.New(result.Draining, "connect again")
 	}
-	if len(s.sessions) >= s.config.Max {
-		return nil, result.New(result.TooManyCallers, "at most %d", s.config.Max).WithRetryAfter(RetryAfterRejection)
+	if len(s.sessions) >= s.config.MaxCallers {
+		return nil, result.New(result.TooManyCallers, "at most %d", s.config.MaxCallers).WithRetryAfter(RetryAfterRejection)
 	}
-	session := s.config.Open(conn)
+	session := s.config.OpenSession(conn)
 	s.sessions[session] = conn
 	s.config.Connected.Inc()
 	return session, nil
@@ -142,9 +142,9 @@
 	return s.draining
 }
 
-// Dismiss makes idle callers reconnect to another instance: every session that exists now
+// DisconnectIdle makes idle callers reconnect to another instance: every session that exists now
 // ends as soon as it is idle. Callers that connect later are accepted as usual.
-func (s *Server) Dismiss() {
+func (s *Server) DisconnectIdle() {
 	s.dismissals.Add(1)
 	s.mu.Lock()
 	sessions := s.sessionsLocked()
@@ -154,9 +154,9 @@
 	}
 }
 
-// Dismissals returns the number of calls of Dismiss. An idle session must end if the
+// IdleDisconnects returns the number of calls of DisconnectIdle. An idle session must end if the
 // number has increased since the session began.
-func (s *Server) Dismissals() uint64 { return s.dismissals.Load() }
+func (s *Server) IdleDisconnects() uint64 { return s.dismissals.Load() }
 
 // sessionsLocked returns the sessions. The caller holds s.mu.
 func (s *Server) sessionsLocked() []Session {
@@ -167,9 +167,9 @@
 	return sessions
 }
 
-// Units returns the context in which sessions run their units. It is cancelled when a drain
+// UnitContext returns the context in which sessions run their units. It is cancelled when a drain
 // times out, including for sessions with an open transaction.
-func (s *Server) Units() context.Context { return s.unitContext }
+func (s *Server) UnitContext() context.Context { return s.unitContext }
 
 // Drain rejects new callers, wakes idle sessions so that they end, and lets
 // running units and open transactions finish. It returns when every session has
@@ -207,7 +207,7 @@
 // whether it ran, and a caller in a transaction would not learn that the transaction is lost.
 func (s *Server) closeSessions() {
 	s.cancelUnits()
-	s.config.EndUnits()
+	s.config.CancelUnits()
 	s.mu.Lock()
 	sessions := s.sessionsLocked()
 	s.mu.Unlock()
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -61,20 +61,20 @@
 	server   *Server
 	listener pipeListener
 	rejected []result.Code
-	// unitsCancelled is set when the server has called Config.EndUnits.
+	// unitsCancelled is set when the server has called Config.CancelUnits.
 	unitsCancelled bool
 }
 
 func newServerFixture(maxCallers int) *serverFixture {
 	f := &serverFixture{listener: make(pipeListener)}
 	f.server = New(Config{
-		Max:       maxCallers,
-		Open:      func(c net.Conn) Session { return &idleSession{conn: c, woken: make(chan struct{})} },
-		Refuse:    func(_ net.Conn, e *result.Error) { f.rejected = append(f.rejected, e.Code) },
-		EndUnits:  func() { f.unitsCancelled = true },
-		Clock:     clock.System{},
-		Connected: prometheus.NewGauge(prometheus.GaugeOpts{Name: "callers"}),
-		Logger:    hclog.NewNullLogger(),
+		MaxCallers:       maxCallers,
+		OpenSession:      func(c net.Conn) Session { return &idleSession{conn: c, woken: make(chan struct{})} },
+		RejectConnection: func(_ net.Conn, e *result.Error) { f.rejected = append(f.rejected, e.Code) },
+		CancelUnits:      func() { f.unitsCancelled = true },
+		Clock:            clock.System{},
+		Connected:        prometheus.NewGauge(prometheus.GaugeOpts{Name: "callers"}),
+		Logger:           hclog.NewNullLogger(),
 	})
 	go func() { _ = f.server.Serve(f.listener) }()
 	return f
@@ -130,10 +130,10 @@
 		is := is.New(t)
 		f := newServerFixture(9)
 		f.connect()
-		before := f.server.Dismissals()
-		f.server.Dismiss()
+		before := f.server.IdleDisconnects()
+		f.server.DisconnectIdle()
 		synctest.Wait()
-		is.True(f.server.Dismissals() > before)
+		is.True(f.server.IdleDisconnects() > before)
 		is.Equal(f.server.Callers(), 0)
 		f.connect()
 		is.Equal(f.server.Callers(), 1)
@@ -143,7 +143,7 @@
 	})
 }
 
-// busySession is a session with a running statement, which ends when Server.Units is cancelled.
+// busySession is a session with a running statement, which ends when Server.UnitContext is cancelled.
 type busySession struct {
 	server *Server
 	conn   net.Conn
@@ -151,7 +151,7 @@
 
 // Run implements Session: it replies after its statement has been cancelled.
 func (s *busySession) Run() {
-	<-s.server.Units().Done()
+	<-s.server.UnitContext().Done()
 	_, _ = s.conn.Write([]byte("answer"))
 }
 
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newServerFixture(9)
-		f.server.config.Open = func(c net.Conn) Session { return &busySession{server: f.server, conn: c} }
+		f.server.config.OpenSession = func(c net.Conn) Session { return &busySession{server: f.server, conn: c} }
 		caller := f.connect()
 		answer := make(chan string, 1)
 		go func() {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -76,7 +76,7 @@
 	stderr  bytes.Buffer
 }
 
-func startServer(t *testing.T, p adminapi.Parts) *cliRunner {
+func startServer(t *testing.T, p adminapi.Dependencies) *cliRunner {
 	t.Helper()
 	s := adminapi.New(adminapi.Config{}, p, netio.TCP{}, clock.System{}, hclog.NewNullLogger())
 	server := httptest.NewServer(s.Handler())
@@ -109,7 +109,7 @@
 func TestApplyRace(t *testing.T) {
 	is := is.New(t)
 	store := &memoryDocuments{}
-	c := startServer(t, adminapi.Parts{Documents: store, Fleet: store})
+	c := startServer(t, adminapi.Dependencies{Documents: store, Fleet: store})
 	is.Equal(c.run("", "apply", exampleFile), ExitUsage) // no version given
 	is.Equal(c.run("", "apply", "--new", "--wait", exampleFile), ExitOK)
 	is.True(strings.Contains(c.stdout.String(), "accepted as version 1"))
@@ -128,7 +128,7 @@
 func TestApplyOutcomesHaveTheirExitCodes(t *testing.T) {
 	is := is.New(t)
 	store := &memoryDocuments{forcedState: adminapi.StateNotStored}
-	c := startServer(t, adminapi.Parts{Documents: store})
+	c := startServer(t, adminapi.Dependencies{Documents: store})
 	is.Equal(c.run("", "apply", "--new", exampleFile), ExitNotStored)
 	store.forcedState = adminapi.StateOutcomeUnknown
 	is.Equal(c.run("", "apply", "--new", exampleFile), ExitOutcomeUnknown)
@@ -191,7 +191,7 @@
 
 func TestCheckDistinguishesSettingsFromDocuments(t *testing.T) {
 	is := is.New(t)
-	c := startServer(t, adminapi.Parts{Documents: &memoryDocuments{}})
+	c := startServer(t, adminapi.Dependencies{Documents: &memoryDocuments{}})
 	is.Equal(c.run("", "check", exampleFile), ExitOK)
 	is.Equal(c.run("", "check", "--remote", exampleFile), ExitOK)
 	invalidFile := writeFile(t, "faulty.ini", "[service]\nname = x\ncolour = red\n")
@@ -208,7 +208,7 @@
 
 func TestEveryCommandHelpHasExample(t *testing.T) {
 	is := is.New(t)
-	c := startServer(t, adminapi.Parts{})
+	c := startServer(t, adminapi.Dependencies{})
 	is.Equal(c.run("", "--help"), ExitOK)
 	is.True(strings.Contains(c.stdout.String(), "Example: topazrock"))
 	for _, name := range commandNames {
@@ -220,7 +220,7 @@
 
 func TestVerifierAcceptsItsPassword(t *testing.T) {
 	is := is.New(t)
-	c := startServer(t, adminapi.Parts{})
+	c := startServer(t, adminapi.Dependencies{})
 	is.Equal(c.run("correct horse\n", "verifier"), ExitOK)
 	_, err := document.ParseVerifier(strings.TrimSpace(c.stdout.String()))
 	is.NoErr(err)
@@ -230,7 +230,7 @@
 func TestDataIsPrintedAsTextAndJSON(t *testing.T) {
 	is := is.New(t)
 	store := &memoryDocuments{stored: adminapi.Document{Name: "base", Version: 3, By: "rui"}}
-	c := startServer(t, adminapi.Parts{Documents: store, Fleet: store})
+	c := startServer(t, adminapi.Dependencies{Documents: store, Fleet: store})
 	for _, args := range [][]string{{"list"}, {"get", "base"}, {"history", "base"}, {"versions", "base"}, {"status"}} {
 		is.Equal(c.run("", args...), ExitOK)
 		is.True(strings.Contains(c.stdout.String(), "3")) // version 3
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -101,7 +101,7 @@
 	writeRow(w)
 	writeRow(w, "WORKSPACE", "PRIORITY", "RATE", "BURST", "ASKED HERE", "REFUSED HERE")
 	for _, v := range workspaces {
-		writeRow(w, v.Name, v.Priority, limitOrDash(v.Rate), limitOrDash(v.Burst), fmt.Sprintf("%.1f/s", v.BegunPerSecond), v.Refused)
+		writeRow(w, v.Name, v.Priority, limitOrDash(v.Rate), limitOrDash(v.Burst), fmt.Sprintf("%.1f/s", v.RequestedPerSecond), v.Refused)
 	}
 }
 
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -198,7 +198,7 @@
 		is.Equal(settled.State, NoEffect)
 		_, err := deliver()
 		is.True(errors.Is(err, platform.ErrConflict))
-		_, err = f.instances[1].Newest(f.t.Context(), "stock")
+		_, err = f.instances[1].Highest(f.t.Context(), "stock")
 		e, _ := result.As(err)
 		is.Equal(e.Code, result.NotFound)
 		is.Equal(f.mustApply(f.instances[1], "stock", 4, 0).Version, int64(1))
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -35,7 +35,7 @@
 func (f *fixedFleet) Live() []platform.Instance { return f.live }
 func (f *fixedFleet) Subscribe(func())          {}
 
-func (f *fixedFleet) Pick(_ string, n int) []platform.Instance {
+func (f *fixedFleet) PickInstances(_ string, n int) []platform.Instance {
 	return slices.Clone(f.live[:min(7*n, len(f.live))])
 }
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,9 +7,9 @@
 type Fleet interface {
 	Self() platform.Instance
 	Live() []platform.Instance
-	// Pick selects n instances of each failure domain, or all if there are
+	// PickInstances selects n instances of each failure domain, or all if there are
 	// fewer. Different keys select different instances.
-	Pick(key string, n int) []platform.Instance
+	PickInstances(key string, n int) []platform.Instance
 	// Subscribe registers f to be called after each change of the view.
 	Subscribe(f func())
 }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -23,7 +23,7 @@
 	Fleet Fleet
 	Peers peer.Caller
 	// Registry is where the store registers its handlers.
-	Registry peer.Registry
+	Registry peer.HandlerRegistry
 	// Seeds are peer addresses to use while the membership view contains no
 	// other instance, as when an instance starts during a platform outage.
 	// Optional.
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -6,9 +6,9 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// Newest returns the highest version on the platform or on this instance. While
+// Highest returns the highest version on the platform or on this instance. While
 // the platform is unavailable, that is the current version on this instance.
-func (s *Store) Newest(ctx context.Context, name string) (Applied, error) {
+func (s *Store) Highest(ctx context.Context, name string) (Applied, error) {
 	b, err := s.readBase(ctx, name)
 	if err != nil {
 		if a, ok := s.Current(name); ok {
@@ -31,7 +31,7 @@
 
 // History returns a document's changes, newest first.
 func (s *Store) History(ctx context.Context, name string) ([]Change, error) {
-	a, err := s.Newest(ctx, name)
+	a, err := s.Highest(ctx, name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/topology.go
+++ b/internal/config/topology.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// relayPickKey is the key passed to Fleet.Pick to select relays.
+	// relayPickKey is the key passed to Fleet.PickInstances to select relays.
 	relayPickKey = "config.relay"
 	// digestPickKey, followed by the instance's ID, is the key passed to
-	// Fleet.Pick to select the peers that the instance exchanges digests with.
+	// Fleet.PickInstances to select the peers that the instance exchanges digests with.
 	digestPickKey = "config.digest/"
 	// digestPeersPerDomain is how many peers of each failure domain an instance
 	// exchanges digests with. The set is fixed and small to limit the number of
@@ -44,9 +44,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	self := t.fleet.Self()
-	relays := t.fleet.Pick(relayPickKey, t.relaysPerDomain)
+	relays := t.fleet.PickInstances(relayPickKey, t.relaysPerDomain)
 	t.tree = relaytree.New(self.FailureDomain, relays, t.fleet.Live())
-	t.digestInstances = slices.DeleteFunc(t.fleet.Pick(digestPickKey+self.ID, digestPeersPerDomain), sameID(self.ID))
+	t.digestInstances = slices.DeleteFunc(t.fleet.PickInstances(digestPickKey+self.ID, digestPeersPerDomain), sameID(self.ID))
 	if len(t.digestInstances) > 0 {
 		t.markPeersKnown()
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -167,7 +167,7 @@
 	if o.Name != platform.ManifestName || o.Removed {
 		return
 	}
-	m, err := d.config.Decoder.Manifest(o)
+	m, err := d.config.Decoder.DecodeManifest(o)
 	if err != nil {
 		d.log.Error("Cannot decode manifest; keeping the previous one.", "revision", o.Revision, "error", err)
 		return
@@ -191,7 +191,7 @@
 // reportInvalidWorkspaces logs and counts the workspaces and keys of a manifest that cannot be
 // used.
 func (d *Directory) reportInvalidWorkspaces(m Manifest) {
-	for _, f := range m.Faults {
+	for _, f := range m.InvalidWorkspaces {
 		d.config.Metrics.workspaceFaults.Inc()
 		d.log.Warn("Invalid workspace in manifest.", "version", m.Version, "workspace", f.Workspace, "reason", f.Reason)
 	}
@@ -206,7 +206,7 @@
 		d.log.Info("Member's entry was removed.", "member", o.Name)
 		return
 	}
-	u, err := d.config.Decoder.Upstream(o)
+	u, err := d.config.Decoder.DecodeUpstream(o)
 	if err != nil {
 		d.log.Warn("Cannot decode member's entry; ignoring it.", "member", o.Name, "error", err)
 		return
@@ -214,5 +214,5 @@
 	if !d.members.update(u, o.Revision) {
 		return
 	}
-	d.log.Info("Member's entry changed.", "member", u.ID, "group", u.Group, "address", u.Address, "leaving", u.Leaving, "leads", u.Leads)
+	d.log.Info("Member's entry changed.", "member", u.ID, "group", u.Group, "address", u.Address, "leaving", u.Leaving, "leads", u.ClaimsPrimary)
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -23,8 +23,8 @@
 
 var errMalformed = errors.New("malformed")
 
-// Manifest implements Decoder.
-func (jsonDecoder) Manifest(o platform.Object) (m Manifest, err error) {
+// DecodeManifest implements Decoder.
+func (jsonDecoder) DecodeManifest(o platform.Object) (m Manifest, err error) {
 	err = json.Unmarshal(o.Value, &m)
 	if m.Version == 0 {
 		err = errMalformed
@@ -32,8 +32,8 @@
 	return m, err
 }
 
-// Upstream implements Decoder.
-func (jsonDecoder) Upstream(o platform.Object) (u platform.Upstream, err error) {
+// DecodeUpstream implements Decoder.
+func (jsonDecoder) DecodeUpstream(o platform.Object) (u platform.Upstream, err error) {
 	err = json.Unmarshal(o.Value, &u)
 	if u.Address == "" {
 		err = errMalformed
@@ -134,7 +134,7 @@
 // force within three seconds.
 func TestManifestIsAppliedWithoutWatchEvents(t *testing.T) {
 	withHarness(t, func(h *harness) {
-		h.store.SetFaults(standin.Faults{DeafWatches: true})
+		h.store.SetFaults(standin.Faults{SuppressWatchEvents: true})
 		h.putManifest(9, "db", "later")
 		time.Sleep(2500 * time.Millisecond)
 		_, ok := h.directory.FindDatabase("later")
@@ -169,7 +169,7 @@
 		time.Sleep(4 * time.Second)
 		h.is.Equal(h.countMembers(), 2)
 		s, _ := h.directory.FindService("g")
-		h.is.Equal(s.Groups[0].Size, document.MinMembers)
+		h.is.Equal(s.Groups[0].MinSize, document.MinMembers)
 	})
 }
 
@@ -190,18 +190,18 @@
 	})
 }
 
-// A new member takes over the address of a member that is leaving. FindMember must return the
+// A new member takes over the address of a member that is leaving. MemberID must return the
 // new member, in whatever order the two entries arrive.
 func TestReplacementSupersedesLeavingMemberAtSameAddress(t *testing.T) {
 	withHarness(t, func(h *harness) {
 		h.putMember(7, "10.0.0.1:1", false)
 		h.putMember(1, "10.0.0.1:1", true)
 		time.Sleep(time.Second)
-		id, ok := h.directory.FindMember("g", "10.0.0.1:1")
+		id, ok := h.directory.MemberID("g", "10.0.0.1:1")
 		h.is.True(ok)
 		h.is.Equal(id, "i-7")
-		h.is.True(!h.directory.Leaving("10.0.0.1:1"))
-		_, ok = h.directory.FindMember("other", "10.0.0.1:1")
+		h.is.True(!h.directory.IsLeaving("10.0.0.1:1"))
+		_, ok = h.directory.MemberID("other", "10.0.0.1:1")
 		h.is.True(!ok)
 	})
 }
--- a/internal/directory/manifest.go
+++ b/internal/directory/manifest.go
@@ -14,12 +14,12 @@
 	Version   int64
 	Groups    []Group
 	Databases []Database
-	// TransactionIdle is how long a transaction may be idle.
-	TransactionIdle time.Duration
+	// TransactionIdleTimeout is how long a transaction may be idle.
+	TransactionIdleTimeout time.Duration
 	// Workspaces are the workspaces that callers' keys identify; nil if callers need no key.
 	Workspaces *workspace.Table
-	// Faults are the workspaces and keys that are invalid and therefore not used.
-	Faults []workspace.Fault
+	// InvalidWorkspaces are the workspaces and keys that are invalid and therefore not used.
+	InvalidWorkspaces []workspace.Fault
 }
 
 // Group is a database group defined by the operator. Its members register themselves.
@@ -40,6 +40,6 @@
 // Decoder decodes the objects written by the platform operator and by the members. An error
 // means that the object is invalid and must be ignored.
 type Decoder interface {
-	Manifest(o platform.Object) (Manifest, error)
-	Upstream(o platform.Object) (platform.Upstream, error)
+	DecodeManifest(o platform.Object) (Manifest, error)
+	DecodeUpstream(o platform.Object) (platform.Upstream, error)
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -95,12 +95,12 @@
 func (d *Directory) addReadClasses(rebuilt map[string]*document.Service) {
 	for _, b := range d.manifest.Databases {
 		if s := rebuilt[b.Group]; s != nil {
-			s.Reads = append(s.Reads, b.Class)
+			s.ReadClasses = append(s.ReadClasses, b.Class)
 		}
 	}
 	for _, s := range rebuilt {
 		if s != nil {
-			s.Index()
+			s.IndexReadClasses()
 		}
 	}
 }
@@ -132,13 +132,13 @@
 			Connections: g.MemberConnections * len(members), MemberConnections: g.MemberConnections,
 			// The majority must not shrink when entries expire: two instances that see
 			// different subsets of a group could each fence a majority of their own.
-			Size: document.MinMembers,
+			MinSize: document.MinMembers,
 		}},
 		Limits: document.Limits{
 			StatementTimeout:       requestTimeout,
 			RequestTimeout:         requestTimeout,
 			ConfirmTimeout:         confirmTimeout,
-			TransactionIdleTimeout: d.manifest.TransactionIdle,
+			TransactionIdleTimeout: d.manifest.TransactionIdleTimeout,
 			AnswerBuffer:           answerBuffer,
 			MaxQueue:               maxQueue,
 		},
@@ -170,8 +170,8 @@
 // Workspaces returns the workspaces in force, or nil if callers need no key.
 func (d *Directory) Workspaces() *workspace.Table { return d.current.Load().workspaces }
 
-// FindMember returns the ID of the member expected at an address of a group.
-func (d *Directory) FindMember(group, address string) (string, bool) {
+// MemberID returns the ID of the member expected at an address of a group.
+func (d *Directory) MemberID(group, address string) (string, bool) {
 	u, ok := d.current.Load().upstreams[address]
 	if !ok || u.Group != group {
 		return "", false
@@ -179,15 +179,15 @@
 	return u.ID, true
 }
 
-// Leaving reports whether the member at an address is leaving and must get no new work.
-func (d *Directory) Leaving(address string) bool { return d.current.Load().leaving[address] }
+// IsLeaving reports whether the member at an address is leaving and must get no new work.
+func (d *Directory) IsLeaving(address string) bool { return d.current.Load().leaving[address] }
 
 // PrimaryAddress returns the address of the group's member that reports itself as primary, or an
 // empty string if none or several do.
 func (d *Directory) PrimaryAddress(group string) string {
 	primary := ""
 	for address, u := range d.current.Load().upstreams {
-		if u.Group != group || !u.Leads {
+		if u.Group != group || !u.ClaimsPrimary {
 			continue
 		}
 		if primary != "" {
--- a/internal/document/docs_test.go
+++ b/internal/document/docs_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ops", "service-document.md"))
 	is.NoErr(err)
-	for _, mismatch := range inifile.ComparePage(string(page), Keys()) {
+	for _, mismatch := range inifile.CompareDocs(string(page), Keys()) {
 		t.Error(mismatch)
 	}
 }
--- a/internal/document/key.go
+++ b/internal/document/key.go
@@ -6,4 +6,4 @@
 type Key = inifile.KeyDoc
 
 // Keys returns every key in the order of the operators' documentation.
-func Keys() []Key { return schema.Docs() }
+func Keys() []Key { return schema.KeyDocs() }
--- a/internal/document/members.go
+++ b/internal/document/members.go
@@ -11,7 +11,7 @@
 // commas, spaces or tabs, into a []Member.
 type membersKind struct{}
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (membersKind) Parse(text string) (any, error) {
 	var list []Member
 	seen := make(map[string]bool)
@@ -32,7 +32,7 @@
 	return list, nil
 }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (membersKind) Allowed() string {
 	return fmt.Sprintf("%d to %d of failure-domain/IP:port, parted by commas", MinMembers, MaxMembers)
 }
--- a/internal/document/optional.go
+++ b/internal/document/optional.go
@@ -10,7 +10,7 @@
 // default from [limits].
 type optionalDuration struct{ inifile.Duration }
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (k optionalDuration) Parse(text string) (any, error) {
 	if d, err := time.ParseDuration(text); err == nil && d == 0 {
 		return d, nil
@@ -24,7 +24,7 @@
 // optionalName parses a name, or noName, whose value is the empty string.
 type optionalName struct{ inifile.Name }
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (k optionalName) Parse(text string) (any, error) {
 	if text == noName {
 		return "", nil
@@ -32,8 +32,8 @@
 	return k.Name.Parse(text)
 }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (k optionalName) Allowed() string { return noName + " or " + k.Name.Allowed() }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (k optionalDuration) Allowed() string { return "0s or " + k.Duration.Allowed() }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -25,25 +25,25 @@
 }
 
 func buildService(f *inifile.File) *Service {
-	s := &Service{Name: f.First(&schema, sectionService).String("name")}
-	for _, sec := range f.All(sectionGroup) {
+	s := &Service{Name: f.FirstSection(&schema, sectionService).String("name")}
+	for _, sec := range f.SectionsOfKind(sectionGroup) {
 		list, _ := sec.Value("members").([]Member)
 		s.Groups = append(s.Groups, Group{Name: sec.Name, Members: list,
 			Connections: sec.Int("connections"), Slots: sec.Int("slots")})
 	}
-	for _, sec := range f.All(sectionUser) {
+	for _, sec := range f.SectionsOfKind(sectionUser) {
 		s.Users = append(s.Users, User{Name: sec.Name, Verifier: sec.String("verifier"), Workspace: sec.String("workspace")})
 	}
-	for _, sec := range f.All(sectionWorkspace) {
+	for _, sec := range f.SectionsOfKind(sectionWorkspace) {
 		s.Workspaces = append(s.Workspaces, buildWorkspace(sec))
 	}
-	s.Limits = buildLimits(f.First(&schema, sectionLimits))
-	for _, sec := range f.All(sectionRead) {
-		s.Reads = append(s.Reads, ReadClass{Name: sec.Name, MaxAge: sec.Duration("max_age"),
+	s.Limits = buildLimits(f.FirstSection(&schema, sectionLimits))
+	for _, sec := range f.SectionsOfKind(sectionRead) {
+		s.ReadClasses = append(s.ReadClasses, ReadClass{Name: sec.Name, MaxAge: sec.Duration("max_age"),
 			Priority: sec.Int("priority"), MaxQueue: sec.Int("max_queue"), Timeout: sec.Duration("timeout")})
 	}
-	for _, sec := range f.All(sectionRequest) {
-		s.Writes = append(s.Writes, RequestClass{Name: sec.Name, AtMostOnce: sec.String("repeat") == repeatNever,
+	for _, sec := range f.SectionsOfKind(sectionRequest) {
+		s.RequestClasses = append(s.RequestClasses, RequestClass{Name: sec.Name, AtMostOnce: sec.String("repeat") == repeatNever,
 			Priority: sec.Int("priority"), MaxQueue: sec.Int("max_queue"), Timeout: sec.Duration("timeout")})
 	}
 	return s
@@ -72,13 +72,13 @@
 }
 
 func checkLimits(f *inifile.File, s *Service) {
-	sec := f.First(&schema, sectionLimits)
+	sec := f.FirstSection(&schema, sectionLimits)
 	l := s.Limits
 	if l.StatementTimeout > l.RequestTimeout && l.RequestTimeout > 0 {
-		f.Refuse(sec, "statement_timeout", "longer than request_timeout", upTo(l.RequestTimeout))
+		f.AddKeyProblem(sec, "statement_timeout", "longer than request_timeout", upTo(l.RequestTimeout))
 	}
 	if l.ConfirmTimeout > l.RequestTimeout && l.RequestTimeout > 0 {
-		f.Refuse(sec, "confirm_timeout", "longer than request_timeout", upTo(l.RequestTimeout))
+		f.AddKeyProblem(sec, "confirm_timeout", "longer than request_timeout", upTo(l.RequestTimeout))
 	}
 }
 
@@ -89,11 +89,11 @@
 // member in two groups would have its connections counted twice.
 func checkGroups(f *inifile.File) {
 	owner := make(map[string]string)
-	for _, sec := range f.All(sectionGroup) {
+	for _, sec := range f.SectionsOfKind(sectionGroup) {
 		list, _ := sec.Value("members").([]Member)
 		for _, m := range list {
 			if other, taken := owner[m.Address]; taken {
-				f.Refuse(sec, "members", fmt.Sprintf("member %s belongs to group %s", m.Address, other),
+				f.AddKeyProblem(sec, "members", fmt.Sprintf("member %s belongs to group %s", m.Address, other),
 					"each member in one group")
 			}
 			owner[m.Address] = sec.Name
@@ -102,10 +102,10 @@
 		// A home keeps one control connection to each member and needs at least
 		// one more for statements.
 		if minConnections := len(list) + 1; connections > 0 && connections < minConnections {
-			f.Refuse(sec, "connections", "too few for the members", fmt.Sprintf("%d to %d", minConnections, maxConnections))
+			f.AddKeyProblem(sec, "connections", "too few for the members", fmt.Sprintf("%d to %d", minConnections, maxConnections))
 		}
 		if slots := sec.Int("slots"); connections > 0 && slots > connections {
-			f.Refuse(sec, "slots", "more slots than connections", fmt.Sprintf("1 to %d", connections))
+			f.AddKeyProblem(sec, "slots", "more slots than connections", fmt.Sprintf("1 to %d", connections))
 		}
 	}
 }
@@ -113,18 +113,18 @@
 // checkWorkspaces rejects users that belong to an undefined workspace, and rate
 // limits under which no operation could ever start.
 func checkWorkspaces(f *inifile.File, s *Service) {
-	for _, sec := range f.All(sectionUser) {
+	for _, sec := range f.SectionsOfKind(sectionUser) {
 		name := sec.String("workspace")
 		if _, found := s.FindWorkspace(name); name != "" && !found {
-			f.Refuse(sec, "workspace", "no section [workspace "+name+"]", "the name of a workspace of this document")
+			f.AddKeyProblem(sec, "workspace", "no section [workspace "+name+"]", "the name of a workspace of this document")
 		}
 	}
-	for _, sec := range f.All(sectionWorkspace) {
+	for _, sec := range f.SectionsOfKind(sectionWorkspace) {
 		if sec.Decimal("rate") > 0 && sec.Decimal("burst") < 1 {
-			f.Refuse(sec, "burst", "less than one operation", "1 or more where a rate is given")
+			f.AddKeyProblem(sec, "burst", "less than one operation", "1 or more where a rate is given")
 		}
 		if sec.Decimal("burst") > 0 && sec.Decimal("rate") == 0 {
-			f.Refuse(sec, "rate", "a burst without a rate never fills again", "more than 0 where a burst is given")
+			f.AddKeyProblem(sec, "rate", "a burst without a rate never fills again", "more than 0 where a burst is given")
 		}
 	}
 }
@@ -132,9 +132,9 @@
 // checkClasses rejects a read class and a request class with the same name: the
 // tag in a statement identifies a class by name only.
 func checkClasses(f *inifile.File, s *Service) {
-	for _, sec := range f.All(sectionRequest) {
-		if _, taken := s.FindRead(sec.Name); taken {
-			f.RefuseSection(sec, "a read class has the same name", "one name for one class")
+	for _, sec := range f.SectionsOfKind(sectionRequest) {
+		if _, taken := s.FindReadClass(sec.Name); taken {
+			f.AddSectionProblem(sec, "a read class has the same name", "one name for one class")
 		}
 	}
 }
--- a/internal/document/parse_test.go
+++ b/internal/document/parse_test.go
@@ -40,7 +40,7 @@
 			is.Equal(g.Slots, 5)
 		}
 		for _, class := range []string{"submission", "fee-payment", "renewal"} {
-			if w, ok := s.FindWrite(class); ok {
+			if w, ok := s.FindRequestClass(class); ok {
 				is.True(w.AtMostOnce)
 			}
 		}
@@ -52,7 +52,7 @@
 	s, err := Parse("orders.ini", []byte(minimalDocument+"[read recent]\nmax_age = 5s ; seconds\n"))
 	is.NoErr(err)
 	is.Equal(s.Limits.RequestTimeout, 15*time.Second)
-	is.Equal(s.Reads, []ReadClass{{Name: "recent", MaxAge: 5 * time.Second, Priority: 5}})
+	is.Equal(s.ReadClasses, []ReadClass{{Name: "recent", MaxAge: 5 * time.Second, Priority: 5}})
 	is.Equal(s.Groups[0].Members[1], Member{Address: "10.0.0.2:5432", FailureDomain: "b"})
 	is.Equal(s.Users[0].Verifier, testVerifier)
 }
@@ -142,7 +142,7 @@
 func TestEveryKeyIsDescribed(t *testing.T) {
 	is := is.New(t)
 	for _, k := range Keys() {
-		is.True(k.Meaning != "")
+		is.True(k.Description != "")
 		is.True(k.Allowed != "")
 		is.True(k.Required || k.Default != "")
 	}
--- a/internal/document/service.go
+++ b/internal/document/service.go
@@ -15,12 +15,12 @@
 	Groups []Group
 	Users  []User
 	// Workspaces are the tenants that users can belong to.
-	Workspaces []Workspace
-	Limits     Limits
-	Reads      []ReadClass
-	Writes     []RequestClass
-	// reads maps the name of a read class to its index in Reads. It is nil
-	// until Index is called.
+	Workspaces     []Workspace
+	Limits         Limits
+	ReadClasses    []ReadClass
+	RequestClasses []RequestClass
+	// reads maps the name of a read class to its index in ReadClasses. It is nil
+	// until IndexReadClasses is called.
 	reads map[string]int
 }
 
@@ -35,11 +35,11 @@
 	// MemberConnections is the connection limit of each member. Zero means that
 	// only the total is limited.
 	MemberConnections int
-	// Size is the minimum number of members over which a majority is computed.
+	// MinSize is the minimum number of members over which a majority is computed.
 	// It is set where the list of members is built from entries that the
 	// members publish themselves and can be incomplete. Zero means the number
 	// of listed members.
-	Size int
+	MinSize int
 	// Slots is the maximum number of statements that run in the group at once,
 	// summed over all instances.
 	Slots int
@@ -64,7 +64,7 @@
 
 // Workspace is a tenant of the service.
 type Workspace struct {
-	// Workspace.Name is the name within the document; FullName returns the
+	// Workspace.Name is the name within the document; WorkspaceFullName returns the
 	// globally unique one.
 	workspace.Workspace
 	// OwnConnections reports that the workspace's statements run on connections
@@ -72,8 +72,8 @@
 	OwnConnections bool
 }
 
-// FullName returns the name of a workspace that is unique across all services.
-func (s *Service) FullName(w Workspace) string { return s.Name + "/" + w.Name }
+// WorkspaceFullName returns the name of a workspace that is unique across all services.
+func (s *Service) WorkspaceFullName(w Workspace) string { return s.Name + "/" + w.Name }
 
 // FindWorkspace returns the workspace with the given name.
 func (s *Service) FindWorkspace(name string) (Workspace, bool) {
@@ -110,12 +110,12 @@
 	// MaxAge is the maximum age of the data that the read accepts. Zero means
 	// that the data must be current.
 	MaxAge time.Duration
-	// Primary reports that reads run only at the primary, and see every write
+	// PrimaryOnly reports that reads run only at the primary, and see every write
 	// that was acknowledged before them. MaxAge is ignored in that case.
-	Primary bool
-	// Writes reports that requests of the class may also write. Each request
+	PrimaryOnly bool
+	// MayWrite reports that requests of the class may also write. Each request
 	// declares whether it is read-only.
-	Writes bool
+	MayWrite bool
 	// Priority determines the order in which classes get a slot: 1 is served
 	// first, 9 last.
 	Priority int
@@ -125,9 +125,9 @@
 	// Timeout is the deadline of a request of the class; zero means
 	// Limits.RequestTimeout.
 	Timeout time.Duration
-	// Objective is the response time that callers expect; zero if none is
+	// LatencyObjective is the response time that callers expect; zero if none is
 	// declared.
-	Objective time.Duration
+	LatencyObjective time.Duration
 }
 
 // RequestClass is a declared class of requests that may write.
@@ -151,26 +151,26 @@
 	return Group{}, false
 }
 
-// Index builds the lookup table for FindRead, which is worthwhile for services
+// IndexReadClasses builds the lookup table for FindReadClass, which is worthwhile for services
 // with hundreds of classes. It must be called before the service is shared
 // between goroutines.
-func (s *Service) Index() {
-	s.reads = make(map[string]int, len(s.Reads))
-	for i, r := range s.Reads {
+func (s *Service) IndexReadClasses() {
+	s.reads = make(map[string]int, len(s.ReadClasses))
+	for i, r := range s.ReadClasses {
 		s.reads[r.Name] = i
 	}
 }
 
-// FindRead returns the read class with the given name.
-func (s *Service) FindRead(name string) (ReadClass, bool) {
+// FindReadClass returns the read class with the given name.
+func (s *Service) FindReadClass(name string) (ReadClass, bool) {
 	if s.reads != nil {
 		i, ok := s.reads[name]
 		if !ok {
 			return ReadClass{}, false
 		}
-		return s.Reads[i], true
+		return s.ReadClasses[i], true
 	}
-	for _, r := range s.Reads {
+	for _, r := range s.ReadClasses {
 		if r.Name == name {
 			return r, true
 		}
@@ -178,9 +178,9 @@
 	return ReadClass{}, false
 }
 
-// FindWrite returns the request class with the given name.
-func (s *Service) FindWrite(name string) (RequestClass, bool) {
-	for _, w := range s.Writes {
+// FindRequestClass returns the request class with the given name.
+func (s *Service) FindRequestClass(name string) (RequestClass, bool) {
+	for _, w := range s.RequestClasses {
 		if w.Name == name {
 			return w, true
 		}
@@ -198,15 +198,15 @@
 	return User{}, false
 }
 
-// TimeoutOf returns the deadline of a request of the given class, from its
+// RequestTimeout returns the deadline of a request of the given class, from its
 // arrival to its answer. A class that is unknown or sets no timeout has
 // Limits.RequestTimeout.
-func (s *Service) TimeoutOf(class string) time.Duration {
+func (s *Service) RequestTimeout(class string) time.Duration {
 	timeout := s.Limits.RequestTimeout
-	if r, ok := s.FindRead(class); ok && r.Timeout > 0 {
+	if r, ok := s.FindReadClass(class); ok && r.Timeout > 0 {
 		timeout = r.Timeout
 	}
-	if w, ok := s.FindWrite(class); ok && w.Timeout > 0 {
+	if w, ok := s.FindRequestClass(class); ok && w.Timeout > 0 {
 		timeout = w.Timeout
 	}
 	return timeout
--- a/internal/document/verifier.go
+++ b/internal/document/verifier.go
@@ -96,7 +96,7 @@
 // verifierKind validates a SCRAM-SHA-256 verifier; its value is a string.
 type verifierKind struct{}
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (verifierKind) Parse(text string) (any, error) {
 	if _, err := ParseVerifier(text); err != nil {
 		return "", err
@@ -104,7 +104,7 @@
 	return text, nil
 }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (verifierKind) Allowed() string {
 	return fmt.Sprintf("%siterations:salt$storedkey:serverkey with %d to %d iterations",
 		verifierPrefix, defaultIterations, maxIterations)
--- a/internal/execution/unit.go
+++ b/internal/execution/unit.go
@@ -43,8 +43,8 @@
 	ParameterOIDs []uint32 `json:"parameter_oids,omitempty"`
 }
 
-// Value is a setting that the caller's session has changed, with its new value.
-type Value struct {
+// SessionValue is a setting that the caller's session has changed, with its new value.
+type SessionValue struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
@@ -53,19 +53,19 @@
 type Unit struct {
 	// ID identifies the unit on its entry instance, for cancels and partial replies.
 	ID string `json:"id"`
-	// Request is the name that the caller gave the unit, for logs; it may be empty.
-	Request string `json:"request,omitempty"`
+	// RequestName is the name that the caller gave the unit, for logs; it may be empty.
+	RequestName string `json:"request,omitempty"`
 	// ReplyTo is the peer address of the entry instance; empty if that is this instance.
 	ReplyTo string `json:"reply_to,omitempty"`
-	// Relayed is set when a home instance that could not serve the unit forwarded it.
+	// Forwarded is set when a home instance that could not serve the unit forwarded it.
 	// A unit is forwarded only once, which prevents forwarding loops.
-	Relayed bool   `json:"relayed,omitempty"`
-	Group   string `json:"group"`
+	Forwarded bool   `json:"relayed,omitempty"`
+	Group     string `json:"group"`
 	// Workspace is the workspace that the unit runs for; empty if the caller has none.
 	Workspace string `json:"workspace,omitempty"`
-	// Owner is the workspace that has its own member connections, to which the unit is
+	// ConnectionOwner is the workspace that has its own member connections, to which the unit is
 	// restricted; empty if the unit uses connections that workspaces share.
-	Owner string `json:"owner,omitempty"`
+	ConnectionOwner string `json:"owner,omitempty"`
 	// Class and Key come from the request's tag; empty if there is no tag.
 	Class string `json:"class,omitempty"`
 	Key   string `json:"key,omitempty"`
@@ -77,9 +77,9 @@
 	Roaming bool `json:"roaming,omitempty"`
 	// Timeout is the time that remained until the caller's deadline when the unit was sent.
 	Timeout time.Duration `json:"timeout"`
-	// Waited is the time since the caller's first attempt, if the unit retries one that
+	// SinceFirstAttempt is the time since the caller's first attempt, if the unit retries one that
 	// was refused.
-	Waited time.Duration `json:"waited,omitempty"`
+	SinceFirstAttempt time.Duration `json:"waited,omitempty"`
 	// Messages are the caller's encoded messages. Named statements are renamed after
 	// a hash of their content, and the messages that define or close them are left
 	// out, because sessions share these statements.
@@ -94,20 +94,20 @@
 	Unnamed *Statement `json:"unnamed,omitempty"`
 	// Values are the session's values, sorted by name. The connection that runs the
 	// unit must have exactly these set.
-	Values []Value `json:"values,omitempty"`
-	// Sets is set when the unit only changes session values. NextValues then holds the
+	Values []SessionValue `json:"values,omitempty"`
+	// OnlySetsValues is set when the unit only changes session values. NextValues then holds the
 	// session's values after the unit has succeeded.
-	Sets       bool    `json:"sets,omitempty"`
-	NextValues []Value `json:"next_values,omitempty"`
-	// Ends is a hint that the unit ends a transaction, Begins that it opens one. A
+	OnlySetsValues bool           `json:"sets,omitempty"`
+	NextValues     []SessionValue `json:"next_values,omitempty"`
+	// EndsTransaction is a hint that the unit ends a transaction, BeginsTransaction that it opens one. A
 	// wrong hint costs a round trip but does not affect correctness.
-	Ends   bool `json:"ends,omitempty"`
-	Begins bool `json:"begins,omitempty"`
+	EndsTransaction   bool `json:"ends,omitempty"`
+	BeginsTransaction bool `json:"begins,omitempty"`
 	// ReadOnly is set when the unit itself only reads. It is false if the codec
 	// cannot determine this.
 	ReadOnly bool `json:"read_only,omitempty"`
-	// ReadTransaction is set when the transaction that the unit opens only reads.
-	ReadTransaction bool `json:"read_transaction,omitempty"`
+	// ReadOnlyTransaction is set when the transaction that the unit opens only reads.
+	ReadOnlyTransaction bool `json:"read_transaction,omitempty"`
 	// Transaction is the ID of the open transaction; empty outside a transaction.
 	Transaction string `json:"transaction,omitempty"`
 }
@@ -132,16 +132,16 @@
 	Replica bool `json:"replica,omitempty"`
 }
 
-// Runs reports whether the unit executes a statement rather than only preparing
+// Executes reports whether the unit executes a statement rather than only preparing
 // or describing statements.
-func (u *Unit) Runs() bool {
+func (u *Unit) Executes() bool {
 	return u.Shape == "" || strings.IndexByte(u.Shape, StepExecute) >= 0
 }
 
-// OnlyReads reports whether the unit, and the transaction if it opens one, only reads.
-func (u *Unit) OnlyReads() bool {
-	if u.Begins {
-		return u.ReadTransaction
+// IsReadOnly reports whether the unit, and the transaction if it opens one, only reads.
+func (u *Unit) IsReadOnly() bool {
+	if u.BeginsTransaction {
+		return u.ReadOnlyTransaction
 	}
 	return u.ReadOnly
 }
@@ -153,10 +153,10 @@
 	// an error after the first chunk, the caller has received part of a reply, and the
 	// reply must be ended with an error. Errors are *result.Error.
 	Execute(ctx context.Context, u *Unit, partial func([]byte) error) (*Reply, error)
-	// Abandon rolls back and releases an open transaction whose caller ended it
+	// AbandonTransaction rolls back and releases an open transaction whose caller ended it
 	// without a commit or has disconnected. It does not wait for the member.
-	Abandon(group, transaction string)
-	// Cancel asks the member to cancel the statement that a unit is running. The
+	AbandonTransaction(group, transaction string)
+	// CancelUnit asks the member to cancel the statement that a unit is running. The
 	// unit still gets its own reply.
-	Cancel(group, unitID string)
+	CancelUnit(group, unitID string)
 }
--- a/internal/executor/admit.go
+++ b/internal/executor/admit.go
@@ -9,7 +9,7 @@
 // acquireSlot waits for an admission slot to run a unit at a member.
 func (g *Group) acquireSlot(ctx context.Context, p plan, member string) (*admission.Slot, error) {
 	deadline, _ := ctx.Deadline()
-	return g.Gate.Enter(ctx, p.admissionRequest(deadline, member, false))
+	return g.Gate.Acquire(ctx, p.admissionRequest(deadline, member, false))
 }
 
 // acquireTransactionSlot waits for a slot for the next unit of an open transaction. If a slot
@@ -19,7 +19,7 @@
 		return func() {}, nil
 	}
 	deadline, _ := ctx.Deadline()
-	slot, err := g.Gate.Enter(ctx, p.admissionRequest(deadline, tx.conn.Address(), true))
+	slot, err := g.Gate.Acquire(ctx, p.admissionRequest(deadline, tx.conn.Address(), true))
 	if err != nil {
 		return nil, err
 	}
@@ -28,7 +28,7 @@
 
 // releaseUnusedSlot releases the slot of a unit that was not sent.
 func releaseUnusedSlot(slot *admission.Slot) {
-	slot.Refused()
+	slot.MarkNotExecuted()
 	slot.Release()
 }
 
--- a/internal/executor/admit_test.go
+++ b/internal/executor/admit_test.go
@@ -15,8 +15,8 @@
 // recordingGate refuses every request and records it.
 type recordingGate struct{ requests []admission.Request }
 
-// Enter implements admission.Gate.
-func (g *recordingGate) Enter(_ context.Context, r admission.Request) (*admission.Slot, error) {
+// Acquire implements admission.Gate.
+func (g *recordingGate) Acquire(_ context.Context, r admission.Request) (*admission.Slot, error) {
 	g.requests = append(g.requests, r)
 	return nil, result.New(result.QueueFull, "recorded")
 }
@@ -35,7 +35,7 @@
 		e, ok := result.As(err)
 		is.True(ok)
 		is.Equal(e.Code, result.QueueFull)
-		is.Equal(gate.requests[0].WantedBy, arrived.Add(readObjective))
+		is.Equal(gate.requests[0].ObjectiveDeadline, arrived.Add(readObjective))
 		is.Equal(gate.requests[0].Deadline, arrived.Add(time.Second))
 	})
 }
--- a/internal/executor/bench_test.go
+++ b/internal/executor/bench_test.go
@@ -40,7 +40,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		u := &execution.Unit{ID: "u", Group: "g", Class: "aged", Timeout: time.Second, Messages: messages,
-			Token: logpos.Token{Group: "g", Mark: logpos.Mark{Term: 1, Position: 10}}}
+			Token: logpos.Token{Group: "g", TermPosition: logpos.TermPosition{Term: 1, Position: 10}}}
 		if _, err := g.Execute(context.Background(), u, partial); err != nil {
 			b.Fatal(err)
 		}
@@ -73,13 +73,13 @@
 func benchmarkGroup(c wire.Conn) *Group {
 	now := time.Now()
 	service := &document.Service{
-		Limits: document.Limits{StatementTimeout: time.Minute, RequestTimeout: time.Minute, ConfirmTimeout: time.Second, AnswerBuffer: 1 << 20, MaxQueue: 10},
-		Reads:  []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5}},
+		Limits:      document.Limits{StatementTimeout: time.Minute, RequestTimeout: time.Minute, ConfirmTimeout: time.Second, AnswerBuffer: 1 << 20, MaxQueue: 10},
+		ReadClasses: []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5}},
 	}
-	status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: 20}}
-	s := group.Snapshot{Group: "g", Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{
-		{Address: "p", Status: member.Status{Role: member.RolePrimary, Entered: 1}},
-		{Address: "r1", Status: status, SeenAt: now, FreshAsOf: now},
+	status := member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: logpos.TermPosition{Term: 1, Position: 20}}
+	s := group.Snapshot{Group: "g", Term: 1, Primary: "p", QuorumAttachedAt: now, Members: []group.MemberView{
+		{Address: "p", Status: member.Status{Role: member.RolePrimary, EnteredTerm: 1}},
+		{Address: "r1", Status: status, ReportedAt: now, FreshAsOf: now},
 	}}
 	return NewGroup(Config{
 		Group: "g", Instance: "i", Service: func() *document.Service { return service },
@@ -102,20 +102,20 @@
 // Release implements pool.Pool.
 func (singleConnPool) Release(wire.Conn) {}
 
-// Suspect implements pool.Pool.
-func (singleConnPool) Suspect(string, time.Time) {}
+// MarkSuspect implements pool.Pool.
+func (singleConnPool) MarkSuspect(string, time.Time) {}
 
 // ProbeIdle implements pool.Pool.
 func (singleConnPool) ProbeIdle(time.Time) {}
 
-// Full implements pool.Pool.
-func (singleConnPool) Full(string) bool { return false }
+// IsFull implements pool.Pool.
+func (singleConnPool) IsFull(string) bool { return false }
 
-// Idle implements pool.Pool.
-func (singleConnPool) Idle(string, string) bool { return true }
+// HasIdle implements pool.Pool.
+func (singleConnPool) HasIdle(string, string) bool { return true }
 
-// FullFor implements pool.Pool.
-func (singleConnPool) FullFor(string, string) bool { return false }
+// FullForWorkspace implements pool.Pool.
+func (singleConnPool) FullForWorkspace(string, string) bool { return false }
 
-// Ask implements group.Tracker.
-func (s *snapshotTracker) Ask() group.Ticket { return group.Ticket{} }
+// NewTicket implements group.Tracker.
+func (s *snapshotTracker) NewTicket() group.Ticket { return group.Ticket{} }
--- a/internal/executor/capability.go
+++ b/internal/executor/capability.go
@@ -12,7 +12,7 @@
 
 // canServe reports whether the capability is sufficient for a unit.
 func (c capability) canServe(u *execution.Unit) bool {
-	if u.OnlyReads() {
+	if u.IsReadOnly() {
 		return c.Reads
 	}
 	return c.Writes
@@ -24,15 +24,15 @@
 // not count either.
 func (g *Group) currentCapability() capability {
 	s, err := g.findWritablePrimary()
-	primary, _ := s.Find(s.Primary)
-	writes := err == nil && primary.Failing.IsZero() && !g.Pool.Full(s.Primary)
-	return capability{Writes: writes, Reads: writes || g.Tracker.Snapshot().MajorityAnswers() && g.canConnect()}
+	primary, _ := s.FindMember(s.Primary)
+	writes := err == nil && primary.FailingSince.IsZero() && !g.Pool.IsFull(s.Primary)
+	return capability{Writes: writes, Reads: writes || g.Tracker.Snapshot().QuorumReachable() && g.canConnect()}
 }
 
 // canConnect reports whether some responsive member of the group accepts connections.
 func (g *Group) canConnect() bool {
 	for _, m := range g.Tracker.Snapshot().Members {
-		if m.Failing.IsZero() && !g.Pool.Full(m.Address) {
+		if m.FailingSince.IsZero() && !g.Pool.IsFull(m.Address) {
 			return true
 		}
 	}
--- a/internal/executor/complete.go
+++ b/internal/executor/complete.go
@@ -18,12 +18,12 @@
 		return nil, g.keyInsertFailed(ctx, u, x)
 	}
 	if err := g.primaryRefusal(p, x); err != nil {
-		x.verification.Drop()
+		x.verification.Cancel()
 		g.rollBackAndRelease(x)
 		releaseSlot(slot)
 		return nil, err
 	}
-	if x.Final != wire.Idle {
+	if x.TxStatus != wire.Idle {
 		return g.openTransactionAtPrimary(ctx, u, p, x, slot)
 	}
 	if x.verification != nil {
@@ -55,7 +55,7 @@
 		g.Tracker.Recheck(x.conn.Address())
 		return result.New(result.NoPrimary, "member %s no longer leads", x.conn.Address()).WithRetryAfter(retryAfterFailover)
 	}
-	if x.Failure.Kind == wire.FailureRan && !p.read {
+	if x.Failure.Kind == wire.FailureAtMember && !p.read {
 		return nil
 	}
 	return g.memberRefusal(x)
@@ -70,12 +70,12 @@
 		return nil
 	}
 	switch x.Failure.Kind {
-	case wire.FailureBehind:
+	case wire.FailureLagging:
 		g.laggingReplicas.add(address, g.Clock.Now())
-		return result.New(result.NoReplicaFresh, "member %s lacks %d.%d", address, x.Required.Term, x.Required.Position).WithRetryAfter(retryAfterBusy)
+		return result.New(result.NoFreshReplica, "member %s lacks %d.%d", address, x.Required.Term, x.Required.Position).WithRetryAfter(retryAfterBusy)
 	case wire.FailureBusy:
 		return result.New(result.MemberBusy, "member %s", address).WithRetryAfter(retryAfterBusy)
-	case wire.FailureRan:
+	case wire.FailureAtMember:
 		g.failingMembers.recordFailure(address, g.Clock.Now())
 		return result.New(result.ReadFailed, "member %s: %s %s", address, x.Failure.Code, x.Failure.Message)
 	default:
@@ -86,7 +86,7 @@
 // rollBackAndRelease returns a connection to the pool when its answer is not used. It rolls back
 // the transaction that the unit may have opened.
 func (g *Group) rollBackAndRelease(x *exchange) {
-	if x.Final != wire.Idle {
+	if x.TxStatus != wire.Idle {
 		g.rollBack(x.conn)
 	}
 	g.Pool.Release(x.conn)
@@ -110,7 +110,7 @@
 func (g *Group) openTransaction(u *execution.Unit, x *exchange, replica bool, key string, slot *admission.Slot) *execution.Reply {
 	tx := &transaction{key: key, conn: x.conn, replica: replica, term: x.term, token: u.Token, lastUsed: g.Clock.Now(),
 		mayHaveWritten: !u.ReadOnly && !replica}
-	if g.Wire.SlotIsConnection {
+	if g.Wire.SlotPerConnection {
 		tx.slot = slot
 	}
 	if !u.ReadOnly {
@@ -121,7 +121,7 @@
 		Messages:          x.Messages,
 		Token:             u.Token,
 		Transaction:       tx.id,
-		TransactionStatus: byte(x.Final),
+		TransactionStatus: byte(x.TxStatus),
 		Failed:            x.Failure != nil,
 		Member:            x.conn.Address(),
 		Replica:           replica,
@@ -133,7 +133,7 @@
 func (g *Group) completeFreshRead(ctx context.Context, u *execution.Unit, p plan, x *exchange) (*execution.Reply, error) {
 	g.Pool.Release(x.conn)
 	if !u.ReadOnly {
-		x.verification.Drop()
+		x.verification.Cancel()
 		return g.newReply(u.Token, x, false), nil
 	}
 	if err := g.awaitVerification(ctx, p, x); err != nil {
@@ -145,11 +145,11 @@
 // provesLeadership reports whether the exchange shows that the member was the primary: by its
 // report, or because it accepted a transaction that may write, which no replica does.
 func provesLeadership(x *exchange) bool {
-	if x.Unit.Begins && !x.Unit.ReadTransaction {
+	if x.Unit.BeginsTransaction && !x.Unit.ReadOnlyTransaction {
 		return true
 	}
-	s := x.Report
-	return s != nil && s.Role == member.RolePrimary && s.Entered == x.verification.Term
+	s := x.MemberStatus
+	return s != nil && s.Role == member.RolePrimary && s.EnteredTerm == x.verification.Term
 }
 
 // awaitVerification waits for the proof that the member was the primary and had not been replaced
@@ -158,7 +158,7 @@
 // shown it.
 func (g *Group) awaitVerification(ctx context.Context, p plan, x *exchange) error {
 	if !provesLeadership(x) {
-		x.verification.Drop()
+		x.verification.Cancel()
 		g.Tracker.Recheck(x.conn.Address())
 		return result.New(result.NoPrimary, "member %s no longer leads", x.conn.Address()).WithRetryAfter(retryAfterFailover)
 	}
@@ -173,7 +173,7 @@
 // ensureReport requests the member's report if it was not pipelined and the answer did not
 // include the member's log position.
 func (g *Group) ensureReport(x *exchange) error {
-	if x.Report != nil || x.Log != (logpos.Mark{}) {
+	if x.MemberStatus != nil || x.LogPosition != (logpos.TermPosition{}) {
 		return nil
 	}
 	return g.requestReport(x)
@@ -181,9 +181,9 @@
 
 // requestReport requests the member's report on the connection of a finished exchange.
 func (g *Group) requestReport(x *exchange) error {
-	request := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepReport}}}
+	request := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepMemberStatus}}}
 	err := x.conn.Run(&request)
-	x.Report = request.Report
+	x.MemberStatus = request.MemberStatus
 	return err
 }
 
@@ -193,19 +193,19 @@
 // confirm waits until the group confirms the log position that the primary reported after the
 // unit. The check comes after the answer, so that an instance that was suspended between sending
 // the unit and this point cannot pass on the answer of a replaced primary.
-func (g *Group) confirm(ctx context.Context, p plan, x *exchange) (logpos.Mark, error) {
+func (g *Group) confirm(ctx context.Context, p plan, x *exchange) (logpos.TermPosition, error) {
 	ctx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	if x.Log != (logpos.Mark{}) {
+	if x.LogPosition != (logpos.TermPosition{}) {
 		// The answer to the commit itself contains its log position.
-		return x.Log, g.Tracker.ConfirmCommit(ctx, x.Log)
+		return x.LogPosition, g.Tracker.ConfirmCommit(ctx, x.LogPosition)
 	}
 	mark, err := reportedMark(x)
 	if err != nil {
-		return logpos.Mark{}, err
+		return logpos.TermPosition{}, err
 	}
 	if err := g.Tracker.Confirm(ctx, mark); err != nil {
-		return logpos.Mark{}, err
+		return logpos.TermPosition{}, err
 	}
 	return mark, nil
 }
@@ -215,15 +215,17 @@
 // The report must be of the term in which the member was primary before anything was sent.
 // Between the commit and the report, a member may be fenced, truncate the commit from its log and
 // become primary again. Positions of that later term would confirm a write that is lost.
-func reportedMark(x *exchange) (logpos.Mark, error) {
-	s := x.Report
-	if s == nil || s.Role != member.RolePrimary || s.Entered != x.term || s.Last.Term != x.term {
-		return logpos.Mark{}, result.New(result.PrimaryReplaced, "the member no longer leads")
+func reportedMark(x *exchange) (logpos.TermPosition, error) {
+	s := x.MemberStatus
+	if s == nil || s.Role != member.RolePrimary || s.EnteredTerm != x.term || s.LastRecord.Term != x.term {
+		return logpos.TermPosition{}, result.New(result.PrimaryReplaced, "the member no longer leads")
 	}
-	return logpos.Mark{Term: s.Entered, Position: s.Last.Position}, nil
+	return logpos.TermPosition{Term: s.EnteredTerm, Position: s.LastRecord.Position}, nil
 }
 
-func (g *Group) newToken(m logpos.Mark) logpos.Token { return logpos.Token{Group: g.Group, Mark: m} }
+func (g *Group) newToken(m logpos.TermPosition) logpos.Token {
+	return logpos.Token{Group: g.Group, TermPosition: m}
+}
 
 // newReply returns the reply to a unit after which no transaction is open.
 func (g *Group) newReply(t logpos.Token, x *exchange, replica bool) *execution.Reply {
--- a/internal/executor/completeintransaction.go
+++ b/internal/executor/completeintransaction.go
@@ -14,7 +14,7 @@
 	if x.KeyFailure != nil {
 		return nil, g.keyInsertFailedInTransaction(ctx, u, x, tx)
 	}
-	if x.Final != wire.Idle {
+	if x.TxStatus != wire.Idle {
 		return g.replyInTransaction(ctx, u, p, x, tx)
 	}
 	if tx.replica {
@@ -38,7 +38,7 @@
 
 // replyInTransaction replies to a unit after which its transaction is still open.
 func (g *Group) replyInTransaction(ctx context.Context, u *execution.Unit, p plan, x *exchange, tx *transaction) (*execution.Reply, error) {
-	if x.Failure != nil && x.Failure.Kind == wire.FailureReadOnly && g.Wire.TellsEnd {
+	if x.Failure != nil && x.Failure.Kind == wire.FailureReadOnly && g.Wire.ReportsCommit {
 		// The member is no longer the primary and has discarded the transaction.
 		g.Tracker.Recheck(tx.conn.Address())
 		g.endTransaction(tx, true)
@@ -53,7 +53,7 @@
 		Messages:          x.Messages,
 		Token:             tx.token,
 		Transaction:       tx.id,
-		TransactionStatus: byte(x.Final),
+		TransactionStatus: byte(x.TxStatus),
 		Failed:            x.Failure != nil,
 		Member:            tx.conn.Address(),
 		Replica:           tx.replica,
@@ -80,8 +80,8 @@
 // resolveCommitOutcome resolves the unknown outcome of a unit that ended a transaction, using the
 // request key whose row the transaction wrote.
 func (g *Group) resolveCommitOutcome(ctx context.Context, u *execution.Unit, tx *transaction, err error) error {
-	if tx.key == "" || !u.Ends {
+	if tx.key == "" || !u.EndsTransaction {
 		return err
 	}
-	return g.resolveOutcome(ctx, requestKey{tx.key, u.Owner}, err)
+	return g.resolveOutcome(ctx, requestKey{tx.key, u.ConnectionOwner}, err)
 }
--- a/internal/executor/confirm_test.go
+++ b/internal/executor/confirm_test.go
@@ -18,11 +18,11 @@
 // confirmingTracker is a tracker that confirms every mark.
 type confirmingTracker struct {
 	group.Tracker
-	confirmed []logpos.Mark
+	confirmed []logpos.TermPosition
 }
 
 // Confirm implements group.Tracker.
-func (t *confirmingTracker) Confirm(_ context.Context, m logpos.Mark) error {
+func (t *confirmingTracker) Confirm(_ context.Context, m logpos.TermPosition) error {
 	t.confirmed = append(t.confirmed, m)
 	return nil
 }
@@ -35,17 +35,17 @@
 	tracker := &confirmingTracker{}
 	g := &Group{Config: Config{Tracker: tracker, Clock: clock.System{}}}
 	confirmPlan := plan{limits: document.Limits{ConfirmTimeout: time.Second}}
-	report := &member.Status{Role: member.RolePrimary, Entered: 3, Last: logpos.Mark{Term: 3, Position: 90}}
+	report := &member.Status{Role: member.RolePrimary, EnteredTerm: 3, LastRecord: logpos.TermPosition{Term: 3, Position: 90}}
 
-	_, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	_, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 1, Exchange: wire.Exchange{Outcome: wire.Outcome{MemberStatus: report}}})
 	e, ok := result.As(err)
 	is.True(ok)
 	is.Equal(e.Code, result.PrimaryReplaced)
 	is.Equal(len(tracker.confirmed), 0)
 
-	mark, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{Report: report}}})
+	mark, err := g.confirm(t.Context(), confirmPlan, &exchange{term: 3, Exchange: wire.Exchange{Outcome: wire.Outcome{MemberStatus: report}}})
 	is.NoErr(err)
-	is.Equal(tracker.confirmed, []logpos.Mark{mark})
+	is.Equal(tracker.confirmed, []logpos.TermPosition{mark})
 }
 
 // failureCounter is a tracker that counts reported failures.
@@ -82,7 +82,7 @@
 // take.
 func TestWriteThatCannotBeConfirmedIsNotSent(t *testing.T) {
 	now := time.Now()
-	healthy := group.Snapshot{Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{{Address: "p"}}}
+	healthy := group.Snapshot{Term: 1, Primary: "p", QuorumAttachedAt: now, Members: []group.MemberView{{Address: "p"}}}
 	for name, c := range map[string]struct {
 		change func(*group.Snapshot)
 		code   result.Code
@@ -93,7 +93,7 @@
 		"no primary known":   {func(s *group.Snapshot) { s.Primary = "" }, result.NoPrimary},
 		"primary lost":       {func(s *group.Snapshot) { s.Members = []group.MemberView{{Address: "p", Failures: 3}} }, result.NoPrimary},
 		"long stall":         {func(s *group.Snapshot) { s.StalledSince = now.Add(-time.Minute) }, result.NoConfirmingReplica},
-		"no replica reports": {func(s *group.Snapshot) { s.ConfirmedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
+		"no replica reports": {func(s *group.Snapshot) { s.QuorumAttachedAt = now.Add(-time.Minute) }, result.NoConfirmingReplica},
 	} {
 		s := healthy
 		c.change(&s)
--- a/internal/executor/endtransaction.go
+++ b/internal/executor/endtransaction.go
@@ -10,9 +10,9 @@
 	}
 	tx.ended = true
 	g.transactions.remove(tx.id)
-	tx.verification.Drop()
+	tx.verification.Cancel()
 	if discardConn {
-		tx.conn.Spoil()
+		tx.conn.MarkUnusable()
 	}
 	g.Pool.Release(tx.conn)
 	if tx.slot != nil {
@@ -20,9 +20,9 @@
 	}
 }
 
-// Abandon implements execution.Executor. The connection is kept, because opening a new one costs
+// AbandonTransaction implements execution.Executor. The connection is kept, because opening a new one costs
 // the member more than the rollback.
-func (g *Group) Abandon(_, id string) {
+func (g *Group) AbandonTransaction(_, id string) {
 	tx := g.transactions.find(id)
 	if tx == nil {
 		return
@@ -41,13 +41,13 @@
 // rollBack rolls back the transaction that is open on a connection. If that fails, the connection
 // is closed, which makes the member roll back.
 func (g *Group) rollBack(c wire.Conn) {
-	if !c.Clean() || c.SetDeadline(g.Clock.Now().Add(rollbackTimeout)) != nil {
-		c.Spoil()
+	if !c.Reusable() || c.SetDeadline(g.Clock.Now().Add(rollbackTimeout)) != nil {
+		c.MarkUnusable()
 		return
 	}
 	x := wire.Exchange{Unit: emptyUnit, Steps: []wire.Step{{Kind: wire.StepRollback}}}
-	if err := c.Run(&x); err != nil || x.Final != wire.Idle {
+	if err := c.Run(&x); err != nil || x.TxStatus != wire.Idle {
 		g.Logger.Debug("Rollback failed; closing the connection.", "group", g.Group, "member", c.Address(), "error", err)
-		c.Spoil()
+		c.MarkUnusable()
 	}
 }
--- a/internal/executor/exchange.go
+++ b/internal/executor/exchange.go
@@ -32,7 +32,7 @@
 func newExchange(c wire.Conn, u *execution.Unit, p plan, partial func([]byte) error) *exchange {
 	return &exchange{
 		conn:     c,
-		Exchange: wire.Exchange{Unit: u, AnswerBuffer: p.limits.AnswerBuffer, Partial: partial},
+		Exchange: wire.Exchange{Unit: u, ResponseBuffer: p.limits.AnswerBuffer, Partial: partial},
 	}
 }
 
@@ -42,7 +42,7 @@
 		return false
 	}
 	switch x.Failure.Kind {
-	case wire.FailureBehind, wire.FailureBusy, wire.FailureReadOnly:
+	case wire.FailureLagging, wire.FailureBusy, wire.FailureReadOnly:
 		return true
 	default:
 		return false
@@ -55,14 +55,14 @@
 		return err
 	}
 	x.Steps = steps
-	x.ticket = g.Tracker.Ask()
+	x.ticket = g.Tracker.NewTicket()
 	if !g.runningUnits.addUnit(x.Unit.ID, x.conn, g.Clock.Now()) {
 		return result.New(result.Draining, "units are ended").WithRetryAfter(retryAfterBusy)
 	}
 	err := x.conn.Run(&x.Exchange)
 	g.runningUnits.removeUnit(x.Unit.ID, x.conn, g.Clock.Now(), err == nil)
-	if err == nil && x.Log != (logpos.Mark{}) {
-		g.Tracker.Observed(x.conn.Address(), x.ticket, group.Observation{Log: x.Log, Committed: x.Committed})
+	if err == nil && x.LogPosition != (logpos.TermPosition{}) {
+		g.Tracker.RecordAnswer(x.conn.Address(), x.ticket, group.StatementObservation{LogEnd: x.LogPosition, Committed: x.Committed})
 	}
 	return err
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	if isTimeout(err) {
-		g.Pool.Suspect(c.Address(), c.Opened())
+		g.Pool.MarkSuspect(c.Address(), c.Opened())
 		g.Pool.ProbeIdle(g.Clock.Now().Add(-recentUseWindow))
 	}
 	g.Tracker.ReportFailure(c.Address())
--- a/internal/executor/execute.go
+++ b/internal/executor/execute.go
@@ -14,11 +14,11 @@
 	}
 	arrived := g.Clock.Now()
 	if p.objective > 0 {
-		p.objectiveDeadline = arrived.Add(p.objective - u.Waited)
+		p.objectiveDeadline = arrived.Add(p.objective - u.SinceFirstAttempt)
 	}
 	ctx, cancel := context.WithDeadline(ctx, arrived.Add(min(u.Timeout, p.timeout)))
 	defer cancel()
-	g.Budget.Request()
+	g.Budget.RecordRequest()
 	reply, err := g.dispatch(ctx, u, p, partial)
 	if err != nil {
 		return nil, g.Metrics.countRefusal(g.Group, err)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Cancel implements execution.Executor.
-func (g *Group) Cancel(_, unitID string) {
+// CancelUnit implements execution.Executor.
+func (g *Group) CancelUnit(_, unitID string) {
 	c := g.runningUnits.claimCancel(unitID)
 	if c == nil {
 		return
--- a/internal/executor/failingmembers_test.go
+++ b/internal/executor/failingmembers_test.go
@@ -21,7 +21,7 @@
 		is := is.New(t)
 		const failurePeriod = 8 * time.Second
 		start := time.Now()
-		broken := &fakeMember{failure: &wire.Failure{Kind: wire.FailureRan, Code: "X"}, failsUntil: start.Add(failurePeriod)}
+		broken := &fakeMember{failure: &wire.Failure{Kind: wire.FailureAtMember, Code: "X"}, failsUntil: start.Add(failurePeriod)}
 		g, cluster := newFakeGroup(&fakeMember{delay: 5 * time.Millisecond}, broken, &fakeMember{delay: 5 * time.Millisecond})
 		refused, reads, sentToFailing := 0, 0, 0
 		for time.Since(start) < failurePeriod+maxFailureBackoff+2*time.Second {
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -40,7 +40,7 @@
 }
 
 // Register adds the router's methods to the peer server.
-func (r *Router) Register(s peer.Registry) {
+func (r *Router) Register(s peer.HandlerRegistry) {
 	s.Handle(methodExecute, r.serveExecute)
 	s.Handle(methodPartial, r.servePartial)
 	s.Handle(methodAbandon, r.serveAbandon)
@@ -53,7 +53,7 @@
 // draining.
 func (r *Router) forward(ctx context.Context, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	unreachable := result.New(result.UpstreamUnreachable, "no home of group %s answers", u.Group).WithRetryAfter(retryAfterFailover)
-	for _, home := range r.avoidedHomes.orderHomes(r.clock.Now(), orderForOwner(r.homes.Homes(u.Group), u.Owner)) {
+	for _, home := range r.avoidedHomes.orderHomes(r.clock.Now(), orderForOwner(r.homes.Homes(u.Group), u.ConnectionOwner)) {
 		if home.ID == r.selfID {
 			continue
 		}
@@ -205,7 +205,7 @@
 	if err := json.Unmarshal(params, &ref); err != nil {
 		return nil, err
 	}
-	r.Abandon(ref.Group, ref.ID)
+	r.AbandonTransaction(ref.Group, ref.ID)
 	return nil, nil
 }
 
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	if g := r.LocalGroup(ref.Group); g != nil {
-		g.Cancel(ref.Group, ref.ID)
+		g.CancelUnit(ref.Group, ref.ID)
 	}
 	return nil, nil
 }
--- a/internal/executor/fresh_test.go
+++ b/internal/executor/fresh_test.go
@@ -26,13 +26,13 @@
 		report *member.Status
 		fresh  bool
 	}{
-		"primary":                               {report: &member.Status{Role: member.RolePrimary, Entered: 1}, fresh: true},
-		"now a replica":                         {report: &member.Status{Role: member.RoleReplica, Entered: 1}},
-		"fenced":                                {report: &member.Status{Role: member.RoleFenced, Entered: 2}},
-		"primary of a later term":               {report: &member.Status{Role: member.RolePrimary, Entered: 2}},
+		"primary":                               {report: &member.Status{Role: member.RolePrimary, EnteredTerm: 1}, fresh: true},
+		"now a replica":                         {report: &member.Status{Role: member.RoleReplica, EnteredTerm: 1}},
+		"fenced":                                {report: &member.Status{Role: member.RoleFenced, EnteredTerm: 2}},
+		"primary of a later term":               {report: &member.Status{Role: member.RolePrimary, EnteredTerm: 2}},
 		"no report":                             {},
-		"accepted a transaction that may write": {unit: execution.Unit{Begins: true}, fresh: true},
-		"accepted a read transaction":           {unit: execution.Unit{Begins: true, ReadTransaction: true}},
+		"accepted a transaction that may write": {unit: execution.Unit{BeginsTransaction: true}, fresh: true},
+		"accepted a read transaction":           {unit: execution.Unit{BeginsTransaction: true, ReadOnlyTransaction: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -41,7 +41,7 @@
 			x := &exchange{
 				conn:         fakeConn{cluster: cluster, address: "p"},
 				verification: &group.Verification{Term: 1}, // proved at once
-				Exchange:     wire.Exchange{Unit: &c.unit, Outcome: wire.Outcome{Report: c.report}},
+				Exchange:     wire.Exchange{Unit: &c.unit, Outcome: wire.Outcome{MemberStatus: c.report}},
 			}
 			err := g.awaitVerification(t.Context(), plan{limits: document.Limits{ConfirmTimeout: time.Second}}, x)
 			is.Equal(err == nil, c.fresh)
--- a/internal/executor/hedge.go
+++ b/internal/executor/hedge.go
@@ -27,7 +27,7 @@
 // it. The read must have an objective and must not open a transaction, and its answer must be
 // buffered as a whole.
 func (g *Group) canHedge(u *execution.Unit, p plan) bool {
-	return g.Wire.HoldsAnswers && u.ReadOnly && !u.Begins && p.objective > 0
+	return g.Wire.BuffersResponses && u.ReadOnly && !u.BeginsTransaction && p.objective > 0
 }
 
 // readWithHedge runs a read at a replica, and at a second one if the first has not answered after
@@ -56,11 +56,11 @@
 	case <-timer.C:
 	}
 	exclude[m.Address] = true
-	second, ok := g.pickReadMember(u.Owner, req, exclude)
+	second, ok := g.pickReadMember(u.ConnectionOwner, req, exclude)
 	if !ok || !g.takeHedgeAttempt(ctx) {
 		return <-results
 	}
-	g.Logger.Info("Hedging read at a second member.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", m.Address, "second", second.Address, "after", (p.objective / hedgeDivisor).String())
+	g.Logger.Info("Hedging read at a second member.", "request", u.RequestName, "unit", u.ID, "group", g.Group, "member", m.Address, "second", second.Address, "after", (p.objective / hedgeDivisor).String())
 	launch(second, 2)
 	first := <-results
 	if first.err == nil {
@@ -77,6 +77,6 @@
 	if !ok {
 		deadline = g.Clock.Now().Add(time.Second)
 	}
-	_, refusal := g.Budget.Next(retry.Attempt{Number: 1, Reason: retry.Slow, Deadline: deadline})
+	_, refusal := g.Budget.ReserveRetry(retry.Attempt{Number: 1, Reason: retry.Slow, Deadline: deadline})
 	return refusal == nil
 }
--- a/internal/executor/hedge_test.go
+++ b/internal/executor/hedge_test.go
@@ -42,7 +42,7 @@
 	// statements counts the statements that reached the member; required is the log position
 	// that the last one required.
 	statements int
-	required   logpos.Mark
+	required   logpos.TermPosition
 }
 
 // fakeCluster holds members by address and is the pool and tracker of a group.
@@ -78,11 +78,11 @@
 // SetDeadline implements wire.Conn.
 func (c fakeConn) SetDeadline(time.Time) error { return nil }
 
-// Clean implements wire.Conn.
-func (c fakeConn) Clean() bool { return true }
+// Reusable implements wire.Conn.
+func (c fakeConn) Reusable() bool { return true }
 
-// Spoil implements wire.Conn.
-func (c fakeConn) Spoil() {}
+// MarkUnusable implements wire.Conn.
+func (c fakeConn) MarkUnusable() {}
 
 // Cancel implements wire.Conn.
 func (c fakeConn) Cancel(context.Context, netio.Dialer) error { return nil }
@@ -95,12 +95,12 @@
 	m := *c.cluster.members[c.address]
 	c.cluster.mu.Unlock()
 	_ = clock.Sleep(context.Background(), clock.System{}, m.delay)
-	x.Final, x.Failure = wire.Idle, m.failure
+	x.TxStatus, x.Failure = wire.Idle, m.failure
 	if !m.failsUntil.IsZero() && !time.Now().Before(m.failsUntil) {
 		x.Failure = nil
 	}
 	if m.opensTransaction && x.Unit != emptyUnit {
-		x.Final = wire.InTransaction
+		x.TxStatus = wire.InTransaction
 	}
 	x.Messages = []byte(c.address)
 	return m.err
@@ -121,26 +121,26 @@
 // Release implements pool.Pool.
 func (*fakeCluster) Release(wire.Conn) {}
 
-// Suspect implements pool.Pool.
-func (*fakeCluster) Suspect(string, time.Time) {}
+// MarkSuspect implements pool.Pool.
+func (*fakeCluster) MarkSuspect(string, time.Time) {}
 
 // ProbeIdle implements pool.Pool.
 func (*fakeCluster) ProbeIdle(time.Time) {}
 
-// Full implements pool.Pool.
-func (c *fakeCluster) Full(address string) bool { return c.full[address] }
+// IsFull implements pool.Pool.
+func (c *fakeCluster) IsFull(address string) bool { return c.full[address] }
 
-// Idle implements pool.Pool.
-func (c *fakeCluster) Idle(string, string) bool { return true }
+// HasIdle implements pool.Pool.
+func (c *fakeCluster) HasIdle(string, string) bool { return true }
 
-// FullFor implements pool.Pool.
-func (c *fakeCluster) FullFor(address, _ string) bool { return c.full[address] }
+// FullForWorkspace implements pool.Pool.
+func (c *fakeCluster) FullForWorkspace(address, _ string) bool { return c.full[address] }
 
 // Snapshot implements group.Tracker.
 func (c *fakeCluster) Snapshot() *group.Snapshot { return &c.snapshot }
 
-// Ask implements group.Tracker.
-func (*fakeCluster) Ask() group.Ticket { return group.Ticket{} }
+// NewTicket implements group.Tracker.
+func (*fakeCluster) NewTicket() group.Ticket { return group.Ticket{} }
 
 // Recheck implements group.Tracker.
 func (*fakeCluster) Recheck(string) {}
@@ -152,17 +152,19 @@
 	c.reportedFailed = append(c.reportedFailed, address)
 }
 
-// Proven implements group.Tracker.
-func (c *fakeCluster) Proven(time.Time) (logpos.Mark, bool) {
-	return logpos.Mark{Term: 1, Position: 10}, !c.noProvenMark
+// ProvenPosition implements group.Tracker.
+func (c *fakeCluster) ProvenPosition(time.Time) (logpos.TermPosition, bool) {
+	return logpos.TermPosition{Term: 1, Position: 10}, !c.noProvenMark
 }
 
-// Floor implements group.Tracker.
-func (c *fakeCluster) Floor(ctx context.Context) (logpos.Mark, error) { return c.Barrier(ctx) }
+// FetchFloor implements group.Tracker.
+func (c *fakeCluster) FetchFloor(ctx context.Context) (logpos.TermPosition, error) {
+	return c.Barrier(ctx)
+}
 
 // Barrier implements group.Tracker.
-func (*fakeCluster) Barrier(context.Context) (logpos.Mark, error) {
-	return logpos.Mark{Term: 1, Position: 15}, nil
+func (*fakeCluster) Barrier(context.Context) (logpos.TermPosition, error) {
+	return logpos.TermPosition{Term: 1, Position: 15}, nil
 }
 
 // statementsAt returns how many statements reached a member.
@@ -176,7 +178,7 @@
 func fullRetryBudget() *retry.Budget {
 	b := retry.New(retry.Config{Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2))})
 	for range int(retry.DefaultBurst / retry.DefaultRatio) {
-		b.Request()
+		b.RecordRequest()
 	}
 	return b
 }
@@ -185,17 +187,17 @@
 func newFakeGroup(p, r1, r2 *fakeMember) (*Group, *fakeCluster) {
 	now := time.Now()
 	view := func(address string, role member.Role) group.MemberView {
-		return group.MemberView{Address: address, SeenAt: now, FreshAsOf: now,
-			Status: member.Status{Role: role, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: 20}}}
+		return group.MemberView{Address: address, ReportedAt: now, FreshAsOf: now,
+			Status: member.Status{Role: role, EnteredTerm: 1, AttachedTerm: 1, LastRecord: logpos.TermPosition{Term: 1, Position: 20}}}
 	}
 	cluster := &fakeCluster{
 		members: map[string]*fakeMember{"p": p, "r1": r1, "r2": r2},
-		snapshot: group.Snapshot{Group: "g", Term: 1, Primary: "p", ConfirmedAt: now, Members: []group.MemberView{
+		snapshot: group.Snapshot{Group: "g", Term: 1, Primary: "p", QuorumAttachedAt: now, Members: []group.MemberView{
 			view("p", member.RolePrimary), view("r1", member.RoleReplica), view("r2", member.RoleReplica)}},
 	}
 	service := &document.Service{
-		Limits: document.Limits{StatementTimeout: time.Minute, RequestTimeout: time.Minute, ConfirmTimeout: time.Second, AnswerBuffer: 1 << 20, MaxQueue: 10},
-		Reads:  []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5, Objective: readObjective}},
+		Limits:      document.Limits{StatementTimeout: time.Minute, RequestTimeout: time.Minute, ConfirmTimeout: time.Second, AnswerBuffer: 1 << 20, MaxQueue: 10},
+		ReadClasses: []document.ReadClass{{Name: "aged", MaxAge: time.Hour, Priority: 5, LatencyObjective: readObjective}},
 	}
 	return NewGroup(Config{
 		Group: "g", Instance: "i", Service: func() *document.Service { return service },
@@ -204,7 +206,7 @@
 		Budget:  fullRetryBudget(),
 		Random:  rand.New(rand.NewPCG(1, 3)),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
-		Wire:    wire.Features{ChecksPosition: true, TellsLog: true, SlotIsConnection: true, HoldsAnswers: true, TellsEnd: true},
+		Wire:    wire.Features{ChecksPosition: true, ReportsLogPosition: true, SlotPerConnection: true, BuffersResponses: true, ReportsCommit: true},
 	}), cluster
 }
 
@@ -247,8 +249,8 @@
 func TestFailedReadIsRetriedAtAnotherReplica(t *testing.T) {
 	for name, broken := range map[string]*fakeMember{
 		"connection broken": {err: net.ErrClosed},
-		"statement failed":  {failure: &wire.Failure{Kind: wire.FailureRan, Code: "FAILED"}},
-		"lagging":           {failure: &wire.Failure{Kind: wire.FailureBehind}},
+		"statement failed":  {failure: &wire.Failure{Kind: wire.FailureAtMember, Code: "FAILED"}},
+		"lagging":           {failure: &wire.Failure{Kind: wire.FailureLagging}},
 		"busy":              {failure: &wire.Failure{Kind: wire.FailureBusy}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -312,6 +314,6 @@
 		cluster.noProvenMark = true
 		member, _, err := readOnce(t, g)
 		is.NoErr(err)
-		is.Equal(cluster.members[member].required, logpos.Mark{Term: 1, Position: 15})
+		is.Equal(cluster.members[member].required, logpos.TermPosition{Term: 1, Position: 15})
 	})
 }
--- a/internal/executor/intransaction.go
+++ b/internal/executor/intransaction.go
@@ -48,8 +48,8 @@
 		steps = append(steps, wire.Step{Kind: wire.StepStoreKey, Key: u.Key, Outcome: wire.KeyRan})
 	}
 	steps = append(steps, wire.Step{Kind: wire.StepUnit})
-	if u.Ends && !tx.replica && !g.Wire.TellsLog {
-		steps = append(steps, wire.Step{Kind: wire.StepReport})
+	if u.EndsTransaction && !tx.replica && !g.Wire.ReportsLogPosition {
+		steps = append(steps, wire.Step{Kind: wire.StepMemberStatus})
 	}
 	return steps
 }
@@ -58,7 +58,7 @@
 // which units commit and this one was not to commit a write, the transaction is known to be lost:
 // the member rolls it back when the connection closes. Otherwise the outcome is unknown.
 func (g *Group) transactionConnError(ctx context.Context, u *execution.Unit, tx *transaction, err error) error {
-	if g.Wire.TellsEnd && (!u.Ends || !tx.mayHaveWritten) {
+	if g.Wire.ReportsCommit && (!u.EndsTransaction || !tx.mayHaveWritten) {
 		return result.New(result.TransactionLost, "its connection broke before the commit").WithCause(err)
 	}
 	return unknownOutcomeError(ctx, err)
--- a/internal/executor/key.go
+++ b/internal/executor/key.go
@@ -12,15 +12,15 @@
 // keyInsertFailed returns the error of a keyed unit whose key row could not be inserted. The
 // unit's own statements were sent in the aborted transaction, so they did not run.
 func (g *Group) keyInsertFailed(ctx context.Context, u *execution.Unit, x *exchange) error {
-	if x.Final != wire.Idle {
+	if x.TxStatus != wire.Idle {
 		// The unit opened the transaction: closing the connection rolls it back.
-		x.conn.Spoil()
+		x.conn.MarkUnusable()
 	}
 	g.Pool.Release(x.conn)
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
 		return keyNotStoredError(x.KeyFailure)
 	}
-	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
+	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.ConnectionOwner})
 }
 
 // keyInsertFailedInTransaction is keyInsertFailed inside a caller's transaction, which is rolled
@@ -30,7 +30,7 @@
 	if x.KeyFailure.Kind != wire.FailureKeyExists {
 		return keyNotStoredError(x.KeyFailure)
 	}
-	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.Owner})
+	return g.lookUpKeyOutcome(ctx, requestKey{u.Key, u.ConnectionOwner})
 }
 
 func keyNotStoredError(e *wire.Failure) error {
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	defer g.Pool.Release(x.conn)
-	x.Steps = []wire.Step{step, {Kind: wire.StepReport}}
+	x.Steps = []wire.Step{step, {Kind: wire.StepMemberStatus}}
 	return x, x.conn.Run(&x.Exchange)
 }
 
@@ -144,6 +144,6 @@
 	return x, nil
 }
 
-func (g *Group) confirmKeyExchange(ctx context.Context, x *exchange) (logpos.Mark, error) {
+func (g *Group) confirmKeyExchange(ctx context.Context, x *exchange) (logpos.TermPosition, error) {
 	return g.confirm(ctx, plan{limits: g.Service().Limits}, x)
 }
--- a/internal/executor/owners_test.go
+++ b/internal/executor/owners_test.go
@@ -45,7 +45,7 @@
 	w := &ownersWorkload{homes: homesInThreeDomains(), pools: make(map[string]*pool.Limited), random: rand.New(rand.NewPCG(5, 6))}
 	w.snapshot = group.Snapshot{Group: "g", Term: 1, Primary: "m0"}
 	for n := range 3 {
-		status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1}
+		status := member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1}
 		if n == 0 {
 			status.Role = member.RolePrimary
 		}
@@ -103,16 +103,16 @@
 		w.requests++
 		owner, domain := w.drawOwner(), fmt.Sprint("z", w.random.IntN(3))
 		homes := w.nearestFirst(domain)
-		read := routing.Read{FailureDomain: domain, Checked: true, Load: func(string) int { return 0 }}
+		read := routing.Read{FailureDomain: domain, MemberChecksPosition: true, Load: func(string) int { return 0 }}
 		p := w.pools[homes[0].ID]
 		if byOwner {
 			p = w.pools[orderForOwner(homes, owner)[0].ID]
 			read.Owner = owner
-			read.Connected = func(address string) bool { return p.Idle(address, owner) }
+			read.HasIdleConnection = func(address string) bool { return p.HasIdle(address, owner) }
 		}
 		address := w.snapshot.Primary
 		if w.random.Float64() < 0.87 {
-			m, _ := routing.Replica(&w.snapshot, read, w.random)
+			m, _ := routing.ChooseMember(&w.snapshot, read, w.random)
 			address = m.Address
 		}
 		running.Go(func() {
--- a/internal/executor/placement.go
+++ b/internal/executor/placement.go
@@ -13,22 +13,22 @@
 func (g *Group) pickReadMember(owner string, req readRequirement, exclude map[string]bool) (group.MemberView, bool) {
 	now := g.Clock.Now()
 	r := routing.Read{
-		Required:       req.position,
-		Checked:        g.Wire.ChecksPosition,
-		FailureDomain:  g.FailureDomain,
-		Exclude:        exclude,
-		Load:           func(address string) int { return g.memberLoad(address, owner) },
-		SpillToPrimary: g.primarySpill(),
-		Owner:          owner,
-		Connected:      func(address string) bool { return g.Pool.Idle(address, owner) },
-		Behind:         func(address string) bool { return g.laggingReplicas.isLagging(address, now) },
+		Required:             req.position,
+		MemberChecksPosition: g.Wire.ChecksPosition,
+		FailureDomain:        g.FailureDomain,
+		Exclude:              exclude,
+		Load:                 func(address string) int { return g.memberLoad(address, owner) },
+		SpillToPrimary:       g.primarySpill(),
+		Owner:                owner,
+		HasIdleConnection:    func(address string) bool { return g.Pool.HasIdle(address, owner) },
+		Lagging:              func(address string) bool { return g.laggingReplicas.isLagging(address, now) },
 	}
 	if req.maxAge > 0 {
 		r.NotBefore = now.Add(-req.maxAge)
 	}
 	g.randomMu.Lock()
 	defer g.randomMu.Unlock()
-	return routing.Replica(g.Tracker.Snapshot(), r, g.Random)
+	return routing.ChooseMember(g.Tracker.Snapshot(), r, g.Random)
 }
 
 // spillThreshold is how many more statements of this instance than the primary a replica must have
@@ -54,7 +54,7 @@
 // It adds unavailableLoad if the owner cannot get a connection or if reads fail at the member.
 func (g *Group) memberLoad(address, owner string) int {
 	load := g.runningUnits.loadOf(address)
-	if g.Pool.FullFor(address, owner) || g.failingMembers.isAvoided(address, g.Clock.Now()) {
+	if g.Pool.FullForWorkspace(address, owner) || g.failingMembers.isAvoided(address, g.Clock.Now()) {
 		load += unavailableLoad
 	}
 	if q, ok := g.Gate.(memberQueues); ok {
@@ -83,8 +83,8 @@
 // if no primary is known, it returns the current time.
 func (g *Group) primaryMissingSince() time.Time {
 	s := g.Tracker.Snapshot()
-	if m, known := s.Find(s.Primary); known && !m.Failing.IsZero() {
-		return m.Failing
+	if m, known := s.FindMember(s.Primary); known && !m.FailingSince.IsZero() {
+		return m.FailingSince
 	}
 	return g.Clock.Now()
 }
@@ -93,7 +93,7 @@
 // can be confirmed.
 func (g *Group) findWritablePrimary() (*group.Snapshot, error) {
 	s := g.Tracker.Snapshot()
-	m, known := s.Find(s.Primary)
+	m, known := s.FindMember(s.Primary)
 	if !known || m.Failures >= lostPrimaryProbes {
 		return s, result.New(result.NoPrimary, "group %s", g.Group).WithRetryAfter(retryAfterFailover)
 	}
@@ -109,7 +109,7 @@
 func (g *Group) canConfirmWrites(s *group.Snapshot) bool {
 	now := g.Clock.Now()
 	stalled := !s.StalledSince.IsZero() && now.Sub(s.StalledSince) > g.Service().Limits.ConfirmTimeout
-	return now.Sub(s.ConfirmedAt) <= g.maxConfirmationAge() && !stalled
+	return now.Sub(s.QuorumAttachedAt) <= g.maxConfirmationAge() && !stalled
 }
 
 // maxConfirmationAge is the maximum age of the newest report of an attached replica for a write
--- a/internal/executor/placement_test.go
+++ b/internal/executor/placement_test.go
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lagging := func() *fakeMember {
-			return &fakeMember{failure: &wire.Failure{Kind: wire.FailureBehind}, failsUntil: time.Now().Add(40 * time.Millisecond)}
+			return &fakeMember{failure: &wire.Failure{Kind: wire.FailureLagging}, failsUntil: time.Now().Add(40 * time.Millisecond)}
 		}
 		g, cluster := newFakeGroup(&fakeMember{}, lagging(), lagging())
 		cluster.snapshot.Primary = ""
@@ -56,8 +56,8 @@
 		is := is.New(t)
 		g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{opensTransaction: true, delay: 5 * time.Millisecond}, &fakeMember{})
 		cluster.snapshot.Primary, cluster.snapshot.Members = "", cluster.snapshot.Members[1:2]
-		g.Wire.SlotIsConnection = true
-		begin := &execution.Unit{ID: "t", Group: "g", Class: "aged", Timeout: time.Minute, ReadOnly: true, Begins: true, ReadTransaction: true}
+		g.Wire.SlotPerConnection = true
+		begin := &execution.Unit{ID: "t", Group: "g", Class: "aged", Timeout: time.Minute, ReadOnly: true, BeginsTransaction: true, ReadOnlyTransaction: true}
 		var open []string
 		for range 4 {
 			reply, err := g.Execute(t.Context(), begin, nil)
@@ -66,7 +66,7 @@
 		}
 		_ = clock.Sleep(t.Context(), clock.System{}, 5*time.Second)
 		for _, id := range open {
-			g.Abandon("g", id)
+			g.AbandonTransaction("g", id)
 		}
 		_ = clock.Sleep(t.Context(), clock.System{}, time.Second)
 		cluster.mu.Lock()
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 	is.Equal(g.currentCapability(), capability{Writes: true, Reads: true})
-	cluster.snapshot.Members[0].Failing, cluster.snapshot.Members[0].Failures = time.Now(), 1
+	cluster.snapshot.Members[0].FailingSince, cluster.snapshot.Members[0].Failures = time.Now(), 1
 	_, err := g.findWritablePrimary()
 	is.NoErr(err)
 	is.Equal(g.currentCapability(), capability{Reads: true})
--- a/internal/executor/plan.go
+++ b/internal/executor/plan.go
@@ -53,20 +53,20 @@
 		return p, nil
 	}
 	p.class = u.Class
-	if r, ok := s.FindRead(u.Class); ok {
-		p.read = !r.Writes || u.OnlyReads()
+	if r, ok := s.FindReadClass(u.Class); ok {
+		p.read = !r.MayWrite || u.IsReadOnly()
 		p.maxAge = r.MaxAge
-		p.fresh = r.Primary
-		p.objective = r.Objective
+		p.fresh = r.PrimaryOnly
+		p.objective = r.LatencyObjective
 		p.overrideLimits(r.Priority, r.MaxQueue, r.Timeout)
 		return p, nil
 	}
-	w, ok := s.FindWrite(u.Class)
+	w, ok := s.FindRequestClass(u.Class)
 	if !ok {
 		return plan{}, result.New(result.UnknownClass, "%q", u.Class)
 	}
 	// Preparing or describing a statement does not run it and must not consume its key.
-	p.atMostOnce = w.AtMostOnce && u.Runs()
+	p.atMostOnce = w.AtMostOnce && u.Executes()
 	p.overrideLimits(w.Priority, w.MaxQueue, w.Timeout)
 	return p, p.checkKey(u)
 }
@@ -109,12 +109,12 @@
 
 func (p *plan) admissionRequest(deadline time.Time, member string, inTransaction bool) admission.Request {
 	r := admission.Request{
-		Class:    p.class,
-		Priority: p.priority,
-		MaxQueue: p.maxQueue,
-		Deadline: deadline,
-		WantedBy: p.objectiveDeadline,
-		Member:   member,
+		Class:             p.class,
+		Priority:          p.priority,
+		MaxQueue:          p.maxQueue,
+		Deadline:          deadline,
+		ObjectiveDeadline: p.objectiveDeadline,
+		Member:            member,
 	}
 	if inTransaction {
 		// A transaction holds locks that others wait for, so its statements take priority over
--- a/internal/executor/primary.go
+++ b/internal/executor/primary.go
@@ -19,11 +19,11 @@
 			return g.executeRead(ctx, u, p, partial)
 		}
 		if g.mayResend(ctx, p, err, attempt) || p.read && g.mayRetryRead(ctx, err, attempt) {
-			g.Logger.Info("Retrying statement at the primary.", "request", u.Request, "unit", u.ID, "group", g.Group, "attempt", attempt, "error", err)
+			g.Logger.Info("Retrying statement at the primary.", "request", u.RequestName, "unit", u.ID, "group", g.Group, "attempt", attempt, "error", err)
 			continue
 		}
 		if p.keyed(u) {
-			err = g.resolveOutcome(ctx, requestKey{u.Key, u.Owner}, err)
+			err = g.resolveOutcome(ctx, requestKey{u.Key, u.ConnectionOwner}, err)
 		}
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 		releaseUnusedSlot(slot)
 		return nil, err
 	}
-	c, err := g.Pool.Acquire(ctx, s.Primary, u.Owner)
+	c, err := g.Pool.Acquire(ctx, s.Primary, u.ConnectionOwner)
 	if err != nil {
 		releaseUnusedSlot(slot)
 		g.reportUnreachable(s.Primary, err)
@@ -61,15 +61,15 @@
 	}
 	err = g.runExchange(ctx, p, x, g.primarySteps(u, p)...)
 	if err == nil && x.refused() {
-		slot.Refused()
+		slot.MarkNotExecuted()
 	}
-	slot.Answered()
-	if err != nil || x.Final == wire.Idle || !g.Wire.SlotIsConnection {
+	slot.MarkAnswered()
+	if err != nil || x.TxStatus == wire.Idle || !g.Wire.SlotPerConnection {
 		slot.Release()
 		slot = nil
 	}
 	if err != nil {
-		x.verification.Drop()
+		x.verification.Cancel()
 		g.Pool.Release(c)
 		g.reportBrokenConn(c, err)
 		return nil, unknownOutcomeError(ctx, err)
@@ -81,7 +81,7 @@
 // that the unit opens. A fresh read requires a proof that the primary had not been replaced when
 // the read began; a bounded-staleness read requires a log position.
 func (g *Group) setReadRequirement(ctx context.Context, u *execution.Unit, p plan, x *exchange) error {
-	if !g.Wire.ChecksPosition || !u.ReadOnly && !u.Begins {
+	if !g.Wire.ChecksPosition || !u.ReadOnly && !u.BeginsTransaction {
 		return nil
 	}
 	if p.fresh {
@@ -96,17 +96,17 @@
 
 // primarySteps returns the steps to send to the primary for a unit outside a transaction.
 func (g *Group) primarySteps(u *execution.Unit, p plan) []wire.Step {
-	unit, report := wire.Step{Kind: wire.StepUnit}, wire.Step{Kind: wire.StepReport}
+	unit, report := wire.Step{Kind: wire.StepUnit}, wire.Step{Kind: wire.StepMemberStatus}
 	storeKey := wire.Step{Kind: wire.StepStoreKey, Key: u.Key, Outcome: wire.KeyRan}
 	switch {
-	case p.keyed(u) && u.Begins:
+	case p.keyed(u) && u.BeginsTransaction:
 		return []wire.Step{unit, storeKey}
 	case p.keyed(u):
 		return []wire.Step{{Kind: wire.StepBegin}, storeKey, unit, {Kind: wire.StepCommit}, report}
-	case g.Wire.ChecksPosition && p.fresh && u.OnlyReads():
+	case g.Wire.ChecksPosition && p.fresh && u.IsReadOnly():
 		// Only the report shows whether the member was the primary; a replica also reads.
 		return []wire.Step{report, unit}
-	case u.Begins, g.Wire.TellsLog:
+	case u.BeginsTransaction, g.Wire.ReportsLogPosition:
 		return []wire.Step{unit}
 	default:
 		return []wire.Step{unit, report}
--- a/internal/executor/read.go
+++ b/internal/executor/read.go
@@ -24,7 +24,7 @@
 	exclude := make(map[string]bool)
 	waitUntil := g.Clock.Now().Add(replicaApplyWait)
 	for attempt := 1; ; attempt++ {
-		m, ok := g.pickReadMember(u.Owner, req, exclude)
+		m, ok := g.pickReadMember(u.ConnectionOwner, req, exclude)
 		if !ok && g.waitForReplicaApply(ctx, exclude, waitUntil) {
 			clear(exclude)
 			attempt = 0
@@ -37,7 +37,7 @@
 		if outcome.err == nil || outcome.streamed || !g.mayRetryRead(ctx, outcome.err, attempt) {
 			return outcome.reply, outcome.err
 		}
-		g.Logger.Info("Retrying read at another member.", "request", u.Request, "unit", u.ID, "group", g.Group, "member", outcome.member, "attempt", attempt, "error", outcome.err)
+		g.Logger.Info("Retrying read at another member.", "request", u.RequestName, "unit", u.ID, "group", g.Group, "member", outcome.member, "attempt", attempt, "error", outcome.err)
 		exclude[outcome.member] = true
 	}
 }
@@ -56,7 +56,7 @@
 // created, through another instance, the objects that its statements name, and replicas may not
 // have them yet.
 func onlyPrepares(u *execution.Unit) bool {
-	return !u.Runs() && !(u.Roaming && u.Token.IsZero())
+	return !u.Executes() && !(u.Roaming && u.Token.IsZero())
 }
 
 // prepareAtReplica runs a unit that only prepares or describes statements at a replica that
@@ -70,7 +70,7 @@
 		return nil, false, nil
 	}
 	req := readRequirement{position: position, token: u.Token}
-	m, ok := g.pickReadMember(u.Owner, req, nil)
+	m, ok := g.pickReadMember(u.ConnectionOwner, req, nil)
 	if !ok {
 		return nil, false, nil
 	}
@@ -91,15 +91,15 @@
 			slot.Release()
 		}
 	}()
-	c, err := g.Pool.Acquire(ctx, m.Address, u.Owner)
+	c, err := g.Pool.Acquire(ctx, m.Address, u.ConnectionOwner)
 	if err != nil {
-		slot.Refused()
+		slot.MarkNotExecuted()
 		g.reportUnreachable(m.Address, err)
 		return nil, false, err
 	}
 	// The requirement may be outdated after the wait for a slot and a connection.
 	if req, err = g.refreshRequirement(ctx, u, p, req); err != nil {
-		slot.Refused()
+		slot.MarkNotExecuted()
 		g.Pool.Release(c)
 		return nil, false, err
 	}
@@ -111,16 +111,16 @@
 		return nil, x.Streamed, unknownOutcomeError(ctx, err)
 	}
 	if x.refused() {
-		slot.Refused()
+		slot.MarkNotExecuted()
 	}
 	if err := g.memberRefusal(x); err != nil {
 		g.rollBackAndRelease(x)
 		return nil, false, err
 	}
-	if x.Final != wire.Idle {
+	if x.TxStatus != wire.Idle {
 		u.Token = req.token
-		keepSlot = g.Wire.SlotIsConnection
-		slot.Answered()
+		keepSlot = g.Wire.SlotPerConnection
+		slot.MarkAnswered()
 		return g.openTransaction(u, x, true, "", slot), false, nil
 	}
 	g.Pool.Release(c)
--- a/internal/executor/readrequirement.go
+++ b/internal/executor/readrequirement.go
@@ -21,7 +21,7 @@
 	position logpos.Position
 	maxAge   time.Duration
 	// mark is position with its term, for members that check it themselves.
-	mark logpos.Mark
+	mark logpos.TermPosition
 	// token is the session's token after the read.
 	token logpos.Token
 }
@@ -62,14 +62,14 @@
 			mark = older
 		}
 	}
-	if mark.Less(u.Token.Mark) {
-		mark = u.Token.Mark
+	if mark.Less(u.Token.TermPosition) {
+		mark = u.Token.TermPosition
 	}
 	return readRequirement{position: mark.Position, mark: mark, token: u.Token}, nil
 }
 
-func (g *Group) provenMark(p plan) (logpos.Mark, bool) {
-	return g.Tracker.Proven(g.Clock.Now().Add(readMargin - p.maxAge))
+func (g *Group) provenMark(p plan) (logpos.TermPosition, bool) {
+	return g.Tracker.ProvenPosition(g.Clock.Now().Add(readMargin - p.maxAge))
 }
 
 // refreshRequirement computes the requirement again just before the read is sent, because the
@@ -104,17 +104,17 @@
 
 // fetchFloor has the tracker determine a position that covers all writes acknowledged before the
 // call.
-func (g *Group) fetchFloor(ctx context.Context, p plan) (logpos.Mark, error) {
-	if !g.Tracker.Snapshot().MajorityAnswers() {
+func (g *Group) fetchFloor(ctx context.Context, p plan) (logpos.TermPosition, error) {
+	if !g.Tracker.Snapshot().QuorumReachable() {
 		if err := g.awaitBarrierAvailable(ctx, p); err != nil {
-			return logpos.Mark{}, err
+			return logpos.TermPosition{}, err
 		}
 	}
 	confirmCtx, cancel := context.WithDeadline(ctx, g.confirmDeadline(ctx, p))
 	defer cancel()
-	mark, err := g.Tracker.Floor(confirmCtx)
+	mark, err := g.Tracker.FetchFloor(confirmCtx)
 	if err != nil {
-		return logpos.Mark{}, g.barrierError(err)
+		return logpos.TermPosition{}, g.barrierError(err)
 	}
 	return mark, nil
 }
@@ -132,7 +132,7 @@
 
 // barrierError returns the error of a read that was not sent because the barrier failed.
 func (g *Group) barrierError(err error) error {
-	return result.New(result.NoReplicaFresh, "no barrier").WithCause(err).WithRetryAfter(retryAfterFailover)
+	return result.New(result.NoFreshReplica, "no barrier").WithCause(err).WithRetryAfter(retryAfterFailover)
 }
 
 // snapshotForToken waits up to tokenWait for a snapshot that has reached the token's term.
@@ -157,8 +157,8 @@
 func highestReportedPosition(s *group.Snapshot) logpos.Position {
 	end := s.TermStart
 	for _, m := range s.Members {
-		if m.Status.Attached == s.Term {
-			end = max(end, m.Status.Last.Position)
+		if m.Status.AttachedTerm == s.Term {
+			end = max(end, m.Status.LastRecord.Position)
 		}
 	}
 	return end
--- a/internal/executor/refused_test.go
+++ b/internal/executor/refused_test.go
@@ -32,7 +32,7 @@
 // Guards against reads that keep queueing after replicas lagged or were full for a while: such
 // replicas refuse immediately, so refusals must not count as statement durations.
 func TestMemberIsFullyUsedAfterRefusals(t *testing.T) {
-	for _, kind := range []wire.FailureKind{wire.FailureBehind, wire.FailureBusy} {
+	for _, kind := range []wire.FailureKind{wire.FailureLagging, wire.FailureBusy} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			p, r1, r2 := &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}, &fakeMember{delay: statementTime}
--- a/internal/executor/relay.go
+++ b/internal/executor/relay.go
@@ -32,7 +32,7 @@
 func (r *Router) executeAtHome(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error) (*execution.Reply, error) {
 	start := r.clock.Now()
 	reply, err := g.Execute(ctx, u, partial)
-	if err == nil || u.Relayed || g.homeFinder == nil || !relayable(err) {
+	if err == nil || u.Forwarded || g.homeFinder == nil || !relayable(err) {
 		return reply, err
 	}
 	return r.relay(ctx, g, u, partial, start, err)
@@ -45,7 +45,7 @@
 		return false
 	}
 	switch e.Code {
-	case result.NoPrimary, result.NoConfirmingReplica, result.NoReplicaFresh, result.TooManyConnections:
+	case result.NoPrimary, result.NoConfirmingReplica, result.NoFreshReplica, result.TooManyConnections:
 		return true
 	default:
 		return false
@@ -61,11 +61,11 @@
 func (r *Router) relay(ctx context.Context, g *Group, u *execution.Unit, partial func([]byte) error, start time.Time, refusal error) (*execution.Reply, error) {
 	for attempt := 1; attempt <= maxReadRelays; attempt++ {
 		relayedUnit := *u
-		relayedUnit.Relayed = true
+		relayedUnit.Forwarded = true
 		relayedUnit.ID = u.ID + relaySeparator + strconv.Itoa(attempt)
 		elapsed := r.clock.Now().Sub(start)
 		relayedUnit.Timeout = u.Timeout - elapsed
-		relayedUnit.Waited = u.Waited + elapsed
+		relayedUnit.SinceFirstAttempt = u.SinceFirstAttempt + elapsed
 		if relayedUnit.Timeout < minRelayTime {
 			return nil, refusal
 		}
@@ -85,7 +85,7 @@
 			return reply, nil
 		}
 		g.homeFinder.forgetHome(home)
-		g.Logger.Info("Unit was passed on and not served.", "request", u.Request, "unit", u.ID, "group", u.Group, "home", home.ID, "error", err)
+		g.Logger.Info("Unit was passed on and not served.", "request", u.RequestName, "unit", u.ID, "group", u.Group, "home", home.ID, "error", err)
 		refusal = relayError(refusal, err)
 		if !mayRelayAgain(u, answerStarted.Load(), err) {
 			return nil, refusal
@@ -100,7 +100,7 @@
 	if answerStarted {
 		return false
 	}
-	return u.OnlyReads() || errors.Is(err, peer.ErrNotSent)
+	return u.IsReadOnly() || errors.Is(err, peer.ErrNotSent)
 }
 
 // relaySeparator separates a unit's ID from the number of the relay.
--- a/internal/executor/relay_test.go
+++ b/internal/executor/relay_test.go
@@ -37,7 +37,7 @@
 	unitIDs []string
 	// cancelled receives the cancel requests that reach homes.
 	cancelled chan string
-	// sawUnmarkedUnit is set when a unit arrives without Relayed, which prevents another relay.
+	// sawUnmarkedUnit is set when a unit arrives without Forwarded, which prevents another relay.
 	sawUnmarkedUnit bool
 	// onUnit is called when a unit has arrived at a home; may be nil.
 	onUnit func()
@@ -69,7 +69,7 @@
 	}
 	h, u := f.homes[address], params.(*execution.Unit)
 	h.units++
-	f.sawUnmarkedUnit = f.sawUnmarkedUnit || !u.Relayed
+	f.sawUnmarkedUnit = f.sawUnmarkedUnit || !u.Forwarded
 	f.unitIDs = append(f.unitIDs, u.ID)
 	if f.onUnit != nil {
 		f.onUnit()
@@ -101,10 +101,10 @@
 	g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 	cluster.snapshot.Primary = ""
 	for i := range cluster.snapshot.Members {
-		cluster.snapshot.Members[i].Failing = time.Now()
+		cluster.snapshot.Members[i].FailingSince = time.Now()
 	}
 	f.router = NewRouter("self", "self:1", f, f, clock.System{}, NewMetrics(prometheus.NewRegistry()))
-	f.router.Add(g)
+	f.router.AddGroup(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -229,19 +229,19 @@
 		is := is.New(t)
 		peers := &fakeRelayPeers{order: []string{"h1"}, homes: map[string]*fakeRelayHome{"h1": {answer: "rows"}}, cancelled: make(chan string, 2)}
 		peers.onUnit = func() {
-			peers.router.Cancel("g", "u")
+			peers.router.CancelUnit("g", "u")
 			is.Equal(<-peers.cancelled, "h1 u"+relaySeparator+"1")
 		}
 		_, _, err := peers.relayUnit(newRelayRead())
 		is.NoErr(err)
-		peers.router.Cancel("g", "u")
+		peers.router.CancelUnit("g", "u")
 		synctest.Wait()
 		is.Equal(len(peers.cancelled), 0)
 	})
 }
 
 // Two instances each believe that the other one can serve a unit. A relayed unit is marked by
-// Relayed, and an instance that cannot serve such a unit must refuse it; otherwise the unit would
+// Forwarded, and an instance that cannot serve such a unit must refuse it; otherwise the unit would
 // be passed back and forth until its timeout.
 func TestRelayedUnitIsNotRelayedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -251,7 +251,7 @@
 		is.NoErr(err)
 		is.True(!peers.sawUnmarkedUnit)
 		again := newRelayRead()
-		again.Relayed = true
+		again.Forwarded = true
 		_, _, err = peers.relayUnit(again)
 		e, ok := result.As(err)
 		is.True(ok)
--- a/internal/executor/retries.go
+++ b/internal/executor/retries.go
@@ -20,7 +20,7 @@
 	if !ok {
 		return false
 	}
-	if e.Code == result.NoReplicaFresh {
+	if e.Code == result.NoFreshReplica {
 		// The member answered immediately without doing any work, so asking another one adds no
 		// load that needs a budget.
 		return true
@@ -33,12 +33,12 @@
 // retryReasons maps the codes after which a read may go to another member to retry reasons.
 var retryReasons = map[result.Code]retry.Reason{
 	result.ConnectionLost:      retry.ConnectionLost,
-	result.StatementTimeout:    retry.Silent,
+	result.StatementTimeout:    retry.ReadTimeout,
 	result.UpstreamUnreachable: retry.Unreachable,
-	result.TooManyConnections:  retry.Full,
-	result.NoReplicaFresh:      retry.NotFresh,
+	result.TooManyConnections:  retry.ConnectionLimit,
+	result.NoFreshReplica:      retry.NotFresh,
 	result.MemberBusy:          retry.Busy,
-	result.ReadFailed:          retry.Failed,
+	result.ReadFailed:          retry.ReadFailed,
 }
 
 // mayReadElsewhere reports whether a read that failed for lack of a primary, or at the primary, may
@@ -47,11 +47,11 @@
 // primary thus continue while it is replaced, which takes seconds, and in a failure domain that
 // cannot replace it.
 func (g *Group) mayReadElsewhere(u *execution.Unit, p plan, err error) bool {
-	if !g.Wire.ChecksPosition || !p.read || !u.ReadOnly || u.Begins && !u.ReadTransaction {
+	if !g.Wire.ChecksPosition || !p.read || !u.ReadOnly || u.BeginsTransaction && !u.ReadOnlyTransaction {
 		return false
 	}
 	e, ok := result.As(err)
-	return ok && primaryFailureCodes[e.Code] && g.Tracker.Snapshot().MajorityAnswers()
+	return ok && primaryFailureCodes[e.Code] && g.Tracker.Snapshot().QuorumReachable()
 }
 
 // primaryFailureCodes are the codes of a read for which there was no primary or the primary did
@@ -76,7 +76,7 @@
 	if !g.Wire.ChecksPosition || len(tried) == 0 || !g.Clock.Now().Before(until) {
 		return false
 	}
-	if _, err := g.findWritablePrimary(); err == nil || !g.Tracker.Snapshot().MajorityAnswers() {
+	if _, err := g.findWritablePrimary(); err == nil || !g.Tracker.Snapshot().QuorumReachable() {
 		return false
 	}
 	return g.sleepPollInterval(ctx) == nil
--- a/internal/executor/router.go
+++ b/internal/executor/router.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Add makes this instance run the units of a group itself.
-func (r *Router) Add(g *Group) {
+// AddGroup makes this instance run the units of a group itself.
+func (r *Router) AddGroup(g *Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.peerClient != nil && g.homeFinder == nil {
@@ -77,9 +77,9 @@
 	r.groups[g.Group] = g
 }
 
-// Retire stops this instance from running new units of a group. Open transactions continue until
-// they end; Remove is called afterwards.
-func (r *Router) Retire(group string) {
+// RetireGroup stops this instance from running new units of a group. Open transactions continue until
+// they end; RemoveGroup is called afterwards.
+func (r *Router) RetireGroup(group string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if g := r.groups[group]; g != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Remove drops a retired group.
-func (r *Router) Remove(g *Group) {
+// RemoveGroup drops a retired group.
+func (r *Router) RemoveGroup(g *Group) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.retiring[g.Group] == g {
@@ -126,7 +126,7 @@
 }
 
 // acquireGroup returns the group if this instance runs its units itself, and counts one more
-// active unit in it. Counting under the lock ensures that Retire does not miss a unit that has
+// active unit in it. Counting under the lock ensures that RetireGroup does not miss a unit that has
 // looked up its group but not begun: its connections would be closed while it runs.
 func (r *Router) acquireGroup(group string) *Group {
 	r.mu.RLock()
@@ -169,26 +169,26 @@
 	return owner, ok
 }
 
-// Abandon implements execution.Executor.
-func (r *Router) Abandon(group, transaction string) {
+// AbandonTransaction implements execution.Executor.
+func (r *Router) AbandonTransaction(group, transaction string) {
 	owner, ok := transactionOwner(transaction)
 	if ok && owner != r.selfID {
 		r.notifyInstance(owner, methodAbandon, objectRef{Group: group, ID: transaction})
 		return
 	}
 	if g := r.transactionGroup(group, transaction); g != nil {
-		g.Abandon(group, transaction)
+		g.AbandonTransaction(group, transaction)
 	}
 }
 
-// Cancel implements execution.Executor.
-func (r *Router) Cancel(group, unitID string) {
+// CancelUnit implements execution.Executor.
+func (r *Router) CancelUnit(group, unitID string) {
 	if remote, ok := r.findRemoteUnit(unitID); ok {
 		r.notifyInstance(remote.instance, methodCancel, objectRef{Group: group, ID: remote.unitID})
 		return
 	}
 	if g := r.LocalGroup(group); g != nil {
-		g.Cancel(group, unitID)
+		g.CancelUnit(group, unitID)
 		return
 	}
 	for _, home := range r.homes.Homes(group) {
@@ -213,9 +213,9 @@
 	}
 }
 
-// EndUnits interrupts the units that are running at members and prevents further units from being
+// InterruptUnits interrupts the units that are running at members and prevents further units from being
 // sent. Interrupted units get an outcome-unknown result, the others a did-not-run result.
-func (r *Router) EndUnits() {
+func (r *Router) InterruptUnits() {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	for _, groups := range []map[string]*Group{r.groups, r.retiring} {
--- a/internal/executor/run.go
+++ b/internal/executor/run.go
@@ -45,7 +45,7 @@
 	for _, tx := range g.transactions.idleSince(g.Clock.Now().Add(-limit)) {
 		g.Logger.Info("Rolling back idle transaction.", "group", g.Group, "transaction", tx.id)
 		g.Metrics.countReapedTransaction(g.Group)
-		g.Abandon(g.Group, tx.id)
+		g.AbandonTransaction(g.Group, tx.id)
 	}
 }
 
--- a/internal/executor/runningunits.go
+++ b/internal/executor/runningunits.go
@@ -69,7 +69,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if u := r.units[unitID]; u != nil && u.cancelled {
-		c.Spoil()
+		c.MarkUnusable()
 	}
 	delete(r.units, unitID)
 	r.load[c.Address()]--
--- a/internal/executor/runningunits_test.go
+++ b/internal/executor/runningunits_test.go
@@ -24,13 +24,13 @@
 	r.addUnit("u1", cancelled, time.Time{})
 	is.Equal(r.claimCancel("u1"), cancelled)
 	r.removeUnit("u1", cancelled, time.Time{}, true)
-	is.True(!cancelled.Clean())
+	is.True(!cancelled.Reusable())
 
 	finished := upstream.NewConn("a", time.Time{}, nil, nil)
 	r.addUnit("u2", finished, time.Time{})
 	r.removeUnit("u2", finished, time.Time{}, true)
 	is.True(r.claimCancel("u2") == nil)
-	is.True(finished.Clean())
+	is.True(finished.Reusable())
 	is.Equal(r.loadOf("a"), 0)
 }
 
@@ -42,8 +42,8 @@
 			is := is.New(t)
 			g, cluster := newFakeGroup(&fakeMember{}, &fakeMember{}, &fakeMember{})
 			r := NewRouter("i", "i:1", nil, nil, clock.System{}, NewMetrics(prometheus.NewRegistry()))
-			r.Add(g)
-			cluster.onAcquire = r.EndUnits
+			r.AddGroup(g)
+			cluster.onAcquire = r.InterruptUnits
 			u := &execution.Unit{ID: "u", Group: "g", Class: class, Timeout: time.Second, ReadOnly: class != ""}
 			_, err := g.Execute(t.Context(), u, func([]byte) error { return nil })
 			e, ok := result.As(err)
--- a/internal/executor/unanswered.go
+++ b/internal/executor/unanswered.go
@@ -25,8 +25,8 @@
 }
 
 func isLostMember(s *group.Snapshot, m group.MemberView, now time.Time) bool {
-	if m.Failing.IsZero() || s.Primary == "" {
+	if m.FailingSince.IsZero() || s.Primary == "" {
 		return false
 	}
-	return m.Address != s.Primary || now.Sub(m.Failing) > failoverWait
+	return m.Address != s.Primary || now.Sub(m.FailingSince) > failoverWait
 }
--- a/internal/failover/attacher.go
+++ b/internal/failover/attacher.go
@@ -46,7 +46,7 @@
 // dueAttachments returns the members that have been detached for long enough. The
 // wait is staggered by rank, so that usually a single instance does the work.
 func (a *attacher) dueAttachments(now time.Time, s *group.Snapshot) []attachment {
-	primary, known := s.Find(s.Primary)
+	primary, known := s.FindMember(s.Primary)
 	healthy := known && answering(primary)
 	wait := a.claimer.Settings.ReattachDelay + time.Duration(rank(a.claimer.Group, a.claimer.Self.ID, "", a.claimer.Instances()))*a.claimer.Settings.Stagger
 	var attachments []attachment
@@ -63,7 +63,7 @@
 		}
 		if now.Sub(since) >= wait<<min(a.tries[m.Address], maxAttachDoublings) {
 			a.detachedSince[m.Address] = now
-			timeout := callTimeout(a.claimer.Settings.Call, a.tries[m.Address])
+			timeout := callTimeout(a.claimer.Settings.CallTimeout, a.tries[m.Address])
 			a.tries[m.Address]++
 			attachments = append(attachments, attachment{address: m.Address, term: s.Term, primary: s.Primary, timeout: timeout})
 		}
@@ -78,7 +78,7 @@
 
 // isDetached reports whether a member has not entered the term or is fenced in it.
 func isDetached(m group.MemberView, term logpos.Term) bool {
-	return m.Status.Entered < term || m.Status.Role == member.RoleFenced
+	return m.Status.EnteredTerm < term || m.Status.Role == member.RoleFenced
 }
 
 func (a *attacher) attachAll(ctx context.Context, attachments []attachment) {
@@ -108,10 +108,10 @@
 	if _, err := control.EnterTerm(ctx, target.term); err != nil {
 		return err
 	}
-	ticket := a.claimer.View.Ask()
+	ticket := a.claimer.View.NewTicket()
 	s, err := control.Follow(ctx, target.term, target.primary)
 	if err == nil {
-		a.claimer.View.Observe(target.address, ticket, s)
+		a.claimer.View.RecordReport(target.address, ticket, s)
 	}
 	return err
 }
--- a/internal/failover/attempt.go
+++ b/internal/failover/attempt.go
@@ -56,7 +56,7 @@
 
 // run carries out the failover and fills in the phases of gap. It returns an error if
 // the attempt ended before the chosen member confirmed its promotion.
-func (a *attempt) run(ctx context.Context, gap *Gap) error {
+func (a *attempt) run(ctx context.Context, gap *Timings) error {
 	ctx, abort := context.WithCancelCause(ctx)
 	a.abort = abort
 	var wg sync.WaitGroup
@@ -87,8 +87,8 @@
 		a.recordPrimary(attemptCtx)
 	})
 	a.awaitAttachedReplica(attemptCtx)
-	gap.Learn, _ = a.elapsedSince(start)
-	a.claimer.callHook(StepLearned)
+	gap.Attach, _ = a.elapsedSince(start)
+	a.claimer.callHook(StepAttached)
 	waitFor(attemptCtx, recorded)
 	return nil
 }
@@ -97,7 +97,7 @@
 // claim was sent: other instances start their takeover timeout when they read the
 // claim, which cannot be earlier.
 func (a *attempt) remaining() time.Duration {
-	return a.claim.sentAt.Add(a.claimer.Settings.Attempt).Sub(a.claimer.Clock.Now())
+	return a.claim.sentAt.Add(a.claimer.Settings.AttemptTimeout).Sub(a.claimer.Clock.Now())
 }
 
 // elapsedSince returns the time since start, and the current time.
@@ -119,7 +119,7 @@
 	a.claimer.callHook(StepFenced)
 	winner := selectCandidate(candidates)
 	a.target = winner.memberAttempt.address
-	a.claimer.log.Info("Member is promoted.", "term", a.term, "member", a.target, "log_end", winner.status.Last, "fenced", len(candidates))
+	a.claimer.log.Info("Member is promoted.", "term", a.term, "member", a.target, "log_end", winner.status.LastRecord, "fenced", len(candidates))
 	close(a.targetChosen)
 	a.claimer.callHook(StepChosen)
 	return nil
@@ -156,7 +156,7 @@
 
 // isQuorum reports whether the fenced members are a quorum of the group.
 func (a *attempt) isQuorum(fenced []fencedMember) bool {
-	return a.snapshot.Enough(func(m group.MemberView) bool {
+	return a.snapshot.IsQuorum(func(m group.MemberView) bool {
 		return slices.ContainsFunc(fenced, func(f fencedMember) bool { return f.memberAttempt.address == m.Address })
 	})
 }
@@ -183,8 +183,8 @@
 	for ctx.Err() == nil {
 		changed := a.claimer.View.Changes()
 		s := a.claimer.View.Snapshot()
-		m, _ := s.Find(a.target)
-		if s.Term == a.term && s.Primary == a.target && !s.ConfirmedAt.IsZero() || m.Failures > 0 {
+		m, _ := s.FindMember(a.target)
+		if s.Term == a.term && s.Primary == a.target && !s.QuorumAttachedAt.IsZero() || m.Failures > 0 {
 			return
 		}
 		// The view signals no change when a replica attaches, so poll for it.
--- a/internal/failover/claim.go
+++ b/internal/failover/claim.go
@@ -53,8 +53,8 @@
 // assign terms themselves, they enter the claimed term before any of them becomes
 // primary in it, so only a primary's own report ends the claim.
 func (m *primaryMonitor) claimPending(r Record, s *group.Snapshot) bool {
-	if m.claimer.MembersNumberTerms {
-		return r.Term > s.Led
+	if m.claimer.MembersAssignTerms {
+		return r.Term > s.LedTerm
 	}
 	return r.Term > s.Term
 }
@@ -63,8 +63,8 @@
 // promotion always results in the successor of the highest term they know, whatever
 // was claimed: a failed claim leaves no gap, and its term is claimed again.
 func (m *primaryMonitor) nextTerm(current Record, s *group.Snapshot) logpos.Term {
-	if m.claimer.MembersNumberTerms {
-		return s.Led + 1
+	if m.claimer.MembersAssignTerms {
+		return s.LedTerm + 1
 	}
 	return max(current.Term, s.Term) + 1
 }
--- a/internal/failover/claim_model_test.go
+++ b/internal/failover/claim_model_test.go
@@ -122,7 +122,7 @@
 func lostPrimary(term logpos.Term) *group.Snapshot {
 	seen := time.Unix(999, 0)
 	return &group.Snapshot{Group: "g", Term: term, Primary: "p", Members: []group.MemberView{
-		{Address: "p", Failing: seen, Failures: 9}, {Address: "q", SeenAt: seen}, {Address: "r", SeenAt: seen},
+		{Address: "p", FailingSince: seen, Failures: 9}, {Address: "q", ReportedAt: seen}, {Address: "r", ReportedAt: seen},
 	}}
 }
 
--- a/internal/failover/claim_test.go
+++ b/internal/failover/claim_test.go
@@ -15,7 +15,7 @@
 // steps lists the points of a failover at which a claimer can die or freeze.
 var steps = []failover.Step{
 	failover.StepSuspected, failover.StepWitnessed, failover.StepClaimed, failover.StepFenced,
-	failover.StepChosen, failover.StepPromoted, failover.StepRecorded, failover.StepLearned,
+	failover.StepChosen, failover.StepPromoted, failover.StepRecorded, failover.StepAttached,
 }
 
 // onFirstStep calls f once, with the first instance that reaches the step.
@@ -109,7 +109,7 @@
 func TestClaimWithLostAnswerIsResolved(t *testing.T) {
 	withCluster(t, seed, func(x *cluster) {
 		is := is.New(x.t)
-		x.store.SetFaults(store.Faults{Delay: platformDelay, LoseAnswers: 1})
+		x.store.SetFaults(store.Faults{Delay: platformDelay, LoseResponses: 1})
 		x.nodes[0].Kill()
 		x.advance(time.Second)
 		x.wantPrimary(2)
--- a/internal/failover/claimer.go
+++ b/internal/failover/claimer.go
@@ -47,7 +47,7 @@
 
 // rank returns this instance's rank among the claimers for the given snapshot.
 func (c *Claimer) rank(s *group.Snapshot) int {
-	m, _ := s.Find(s.Primary)
+	m, _ := s.FindMember(s.Primary)
 	failingDomain := ""
 	if m.Failures > 0 {
 		failingDomain = m.FailureDomain
@@ -56,8 +56,8 @@
 }
 
 func (c *Claimer) callHook(step Step) {
-	if c.Hook != nil {
-		c.Hook(step)
+	if c.OnStep != nil {
+		c.OnStep(step)
 	}
 }
 
--- a/internal/failover/config.go
+++ b/internal/failover/config.go
@@ -33,11 +33,11 @@
 	Metrics *Metrics
 	// Settings defaults to DefaultSettings if zero.
 	Settings Settings
-	// MembersNumberTerms is set if members assign terms themselves: a promotion
+	// MembersAssignTerms is set if members assign terms themselves: a promotion
 	// results in the successor of the highest term that they know.
-	MembersNumberTerms bool
+	MembersAssignTerms bool
 	// OnFailover, if set, is called after every failover that this claimer completed.
-	OnFailover func(Gap)
-	// Hook, if set, is called at every Step. Tests use it to stop a claimer there.
-	Hook func(Step)
+	OnFailover func(Timings)
+	// OnStep, if set, is called at every Step. Tests use it to stop a claimer there.
+	OnStep func(Step)
 }
--- a/internal/failover/detector.go
+++ b/internal/failover/detector.go
@@ -51,8 +51,8 @@
 	since, wait := d.causeSince, time.Duration(rank)*d.settings.Stagger
 	switch cause {
 	case CauseLost:
-		m, _ := s.Find(s.Primary)
-		since = m.Failing
+		m, _ := s.FindMember(s.Primary)
+		since = m.FailingSince
 		// While this instance was cut off itself, failed probes of the primary proved nothing.
 		if d.quorumSince.After(since) {
 			since = d.quorumSince
@@ -65,7 +65,7 @@
 		wait += d.settings.StallTimeout
 		// After a promotion, replicas may need a long time to attach. Promoting another
 		// member meanwhile would make them start over, possibly forever.
-		if s.ConfirmedAt.IsZero() {
+		if s.QuorumAttachedAt.IsZero() {
 			wait += d.settings.StallTimeout * firstAttachFactor
 		}
 	case CauseLeaving:
@@ -89,17 +89,17 @@
 // detectionTime returns how long the primary must have failed. It is not extended for a
 // refused probe: a process that is merely slow does not refuse connections.
 func (d *failureDetector) detectionTime(m group.MemberView) time.Duration {
-	if m.Refused {
-		return d.settings.Detect
+	if m.ConnectionRefused {
+		return d.settings.DetectionTime
 	}
-	return d.settings.Detect << min(d.termIncreases, maxTimeoutDoublings)
+	return d.settings.DetectionTime << min(d.termIncreases, maxTimeoutDoublings)
 }
 
 // takeoverTimeout returns how long a claimed term may have no primary. It doubles with
 // each recent increase of the term after the first: where everything is slow, claimers
 // with the normal timeout would keep superseding each other's terms.
 func (d *failureDetector) takeoverTimeout() time.Duration {
-	return d.settings.Takeover << min(max(d.termIncreases-1, 0), maxTimeoutDoublings)
+	return d.settings.TakeoverTimeout << min(max(d.termIncreases-1, 0), maxTimeoutDoublings)
 }
 
 // trackCause tracks since when one cause has applied in one term, and how often
@@ -108,7 +108,7 @@
 	if now.Sub(d.unstableAt) > d.settings.StablePeriod {
 		d.termIncreases = 0
 	}
-	m, _ := s.Find(s.Primary)
+	m, _ := s.FindMember(s.Primary)
 	increased := d.term != 0 && s.Term > d.term
 	if increased {
 		d.termIncreases++
@@ -130,7 +130,7 @@
 	if s.Primary == "" {
 		return CauseLeaderless
 	}
-	m, _ := s.Find(s.Primary)
+	m, _ := s.FindMember(s.Primary)
 	switch {
 	case m.Failures >= d.settings.MinFailures:
 		return CauseLost
@@ -149,7 +149,7 @@
 // form a quorum without it. Such a quorum holds all acknowledged writes, so the primary
 // does not need to be chosen again for its longer log.
 func othersFormQuorum(s *group.Snapshot) bool {
-	return s.Enough(func(m group.MemberView) bool {
+	return s.IsQuorum(func(m group.MemberView) bool {
 		return m.Address != s.Primary && !m.Leaving && answering(m)
 	})
 }
@@ -158,7 +158,7 @@
 // it prefers one that is not to be avoided.
 func selectCandidate(fenced []fencedMember) fencedMember {
 	return slices.MaxFunc(fenced, func(a, b fencedMember) int {
-		switch x, y := a.status.Last, b.status.Last; {
+		switch x, y := a.status.LastRecord, b.status.LastRecord; {
 		case x.Less(y):
 			return -1
 		case y.Less(x):
--- a/internal/failover/detector_test.go
+++ b/internal/failover/detector_test.go
@@ -27,27 +27,27 @@
 		is.Equal(a.cause, CauseLost)
 		return a.due.Sub(now)
 	}
-	is.Equal(detection(1, 0), settings.Detect)
-	is.Equal(detection(2, time.Second), 2*settings.Detect)
-	is.Equal(detection(3, 2*time.Second), 4*settings.Detect)
+	is.Equal(detection(1, 0), settings.DetectionTime)
+	is.Equal(detection(2, time.Second), 2*settings.DetectionTime)
+	is.Equal(detection(3, 2*time.Second), 4*settings.DetectionTime)
 	refused := lostSnapshot(3, start.Add(3*time.Second), start.Add(3*time.Second))
-	refused.Members[0].Refused = true
-	is.Equal(detector.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.Detect))
+	refused.Members[0].ConnectionRefused = true
+	is.Equal(detector.assess(start.Add(3*time.Second), refused, 0).due, start.Add(3*time.Second+settings.DetectionTime))
 	after := 3*time.Second + settings.StablePeriod + time.Millisecond
-	is.Equal(detection(3, after), settings.Detect)
+	is.Equal(detection(3, after), settings.DetectionTime)
 }
 
 // lostSnapshot returns the snapshot of a group of three whose primary has been failing
 // since the given time, or is healthy if that is zero.
 func lostSnapshot(term logpos.Term, failing, now time.Time) *group.Snapshot {
-	primary := group.MemberView{Address: "a", SeenAt: now, Failing: failing}
+	primary := group.MemberView{Address: "a", ReportedAt: now, FailingSince: failing}
 	if !failing.IsZero() {
 		primary.Failures = 3
 	}
 	return &group.Snapshot{
-		Term:        term,
-		Primary:     "a",
-		ConfirmedAt: now,
-		Members:     []group.MemberView{primary, {Address: "b", SeenAt: now}, {Address: "c", SeenAt: now}},
+		Term:             term,
+		Primary:          "a",
+		QuorumAttachedAt: now,
+		Members:          []group.MemberView{primary, {Address: "b", ReportedAt: now}, {Address: "c", ReportedAt: now}},
 	}
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -64,7 +64,7 @@
 		is.Equal(len(x.gaps), 1)
 		x.t.Logf("gap %+v", x.gaps[0])
 		x.wantWritable(x.instances[1], "while cut")
-		is.True(x.nodes[0].Status().Entered == 1)
+		is.True(x.nodes[0].Status().EnteredTerm == 1)
 		stop()
 		x.cutDomain(0, x.net.Heal)
 		x.advance(3 * time.Second)
@@ -180,14 +180,14 @@
 		for k := 1; k < 3; k++ {
 			x.net.Heal(x.hosts[0], x.hosts[k])
 		}
-		is.True(x.nodes[0].Status().Last.Position > x.nodes[p].Status().Last.Position)
+		is.True(x.nodes[0].Status().LastRecord.Position > x.nodes[p].Status().LastRecord.Position)
 		x.nodes[p].Kill()
 		x.advance(3 * time.Second)
 		is.Equal(x.wantPrimary(3), 3-p)
 		x.wantAttached(0, 3)
 		_, tail := x.nodes[0].Rows("kv")["t8"]
 		is.True(!tail)
-		is.Equal(x.nodes[0].Status().Last, x.nodes[3-p].Status().Last)
+		is.Equal(x.nodes[0].Status().LastRecord, x.nodes[3-p].Status().LastRecord)
 	})
 }
 
--- a/internal/failover/fixture_test.go
+++ b/internal/failover/fixture_test.go
@@ -63,7 +63,7 @@
 	stopWriters []func()
 
 	mu    sync.Mutex
-	gaps  []failover.Gap
+	gaps  []failover.Timings
 	acked []string
 }
 
@@ -143,14 +143,14 @@
 	i.watcher = group.NewWatcher(group.Config{Group: "g", Members: members, Clock: clock.System{}, Rand: r(100), Dialer: dialer})
 	i.caller = peer.NewClient(i.ID, i.network)
 	i.server = peer.NewServer(hclog.NewNullLogger())
-	failover.ServeWitness(i.server, clock.System{}, failover.DefaultSettings().Detect,
+	failover.RegisterWitnessHandler(i.server, clock.System{}, failover.DefaultSettings().DetectionTime,
 		func(string) (failover.View, bool) { return i.watcher, true })
 	claimer := failover.New(failover.Config{
 		Group: "g", Self: i.Instance, Instances: x.platformInstances, View: i.watcher, Platform: x.store, Dialer: dialer,
 		Witness: failover.NewPeerWitness(i.caller, i.Instance, x.platformInstances, r(200)),
 		Clock:   clock.System{}, Rand: r(300),
 		OnFailover: x.recordGap,
-		Hook: func(s failover.Step) {
+		OnStep: func(s failover.Step) {
 			if i.onStep != nil {
 				i.onStep(s)
 			}
@@ -204,7 +204,7 @@
 	synctest.Wait()
 }
 
-func (x *cluster) recordGap(g failover.Gap) {
+func (x *cluster) recordGap(g failover.Timings) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.gaps = append(x.gaps, g)
@@ -237,10 +237,10 @@
 	var highest logpos.Term
 	var primaries []int
 	for _, n := range x.nodes {
-		highest = max(highest, n.Status().Entered)
+		highest = max(highest, n.Status().EnteredTerm)
 	}
 	for k, n := range x.nodes {
-		if s := n.Status(); s.Role == member.RolePrimary && s.Entered == highest {
+		if s := n.Status(); s.Role == member.RolePrimary && s.EnteredTerm == highest {
 			primaries = append(primaries, k)
 		}
 	}
@@ -268,7 +268,7 @@
 // wantAttached checks that the member follows the primary of the term.
 func (x *cluster) wantAttached(k int, term logpos.Term) {
 	x.t.Helper()
-	if s := x.nodes[k].Status(); s.Attached != term || s.Entered != term || s.Role != member.RoleReplica {
+	if s := x.nodes[k].Status(); s.AttachedTerm != term || s.EnteredTerm != term || s.Role != member.RoleReplica {
 		x.t.Fatalf("seed %d: member %d is %+v; want a replica attached in term %d", x.seed, k, s, term)
 	}
 }
--- a/internal/failover/gap.go
+++ b/internal/failover/gap.go
@@ -6,9 +6,9 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Gap holds the duration of each phase of one failover, as measured by its claimer. Each
+// Timings holds the duration of each phase of one failover, as measured by its claimer. Each
 // phase begins when the previous one ends.
-type Gap struct {
+type Timings struct {
 	Group   string
 	Term    logpos.Term
 	Cause   Cause
@@ -21,9 +21,9 @@
 	Fence time.Duration
 	// Promote runs until the new primary answered.
 	Promote time.Duration
-	// Learn runs until a replica was attached, so that writes can be confirmed.
-	Learn time.Duration
+	// Attach runs until a replica was attached, so that writes can be confirmed.
+	Attach time.Duration
 }
 
 // Total returns the duration of the whole failover.
-func (g Gap) Total() time.Duration { return g.Detect + g.Claim + g.Fence + g.Promote + g.Learn }
+func (g Timings) Total() time.Duration { return g.Detect + g.Claim + g.Fence + g.Promote + g.Attach }
--- a/internal/failover/gap_test.go
+++ b/internal/failover/gap_test.go
@@ -88,7 +88,7 @@
 			if s != failover.StepWitnessed {
 				return
 			}
-			once.Do(func() { end = time.Now().Add(remaining - failover.DefaultSettings().Detect) })
+			once.Do(func() { end = time.Now().Add(remaining - failover.DefaultSettings().DetectionTime) })
 			<-time.After(time.Until(end))
 		}
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-func phasesOf(g failover.Gap) map[string]time.Duration {
+func phasesOf(g failover.Timings) map[string]time.Duration {
 	return map[string]time.Duration{
-		"detect": g.Detect, "claim": g.Claim, "fence": g.Fence, "promote": g.Promote, "learn": g.Learn,
+		"detect": g.Detect, "claim": g.Claim, "fence": g.Fence, "promote": g.Promote, "learn": g.Attach,
 	}
 }
 
--- a/internal/failover/lateclaim_test.go
+++ b/internal/failover/lateclaim_test.go
@@ -41,7 +41,7 @@
 	clock := &immediateClock{now: time.Unix(1_000_000, 0)}
 	store := &slowPlatform{clock: clock}
 	settings := DefaultSettings()
-	settings.Attempt = 1500 * time.Millisecond
+	settings.AttemptTimeout = 1500 * time.Millisecond
 	c := New(Config{Group: "g", View: ticketView{}, Platform: store, Clock: clock, Rand: rand.New(rand.NewPCG(1, 1)), Settings: settings})
 	monitor := newPrimaryMonitor(c)
 	sent := clock.now
@@ -63,8 +63,8 @@
 // ticketView is a View that issues tickets.
 type ticketView struct{ View }
 
-// Ask implements View.
-func (ticketView) Ask() group.Ticket { return group.Ticket{} }
+// NewTicket implements View.
+func (ticketView) NewTicket() group.Ticket { return group.Ticket{} }
 
 // cancelingControl is the connection of a member that must not be promoted. It cancels
 // the context when it is closed.
--- a/internal/failover/memberattempt.go
+++ b/internal/failover/memberattempt.go
@@ -64,11 +64,11 @@
 // All calls are idempotent within their term.
 func (m *memberAttempt) callWithRetry(ctx context.Context, f controlCall) (member.Status, error) {
 	for tries := 0; ; tries++ {
-		s, err := m.callOnce(ctx, f, callTimeout(m.attempt.claimer.Settings.Call, tries))
+		s, err := m.callOnce(ctx, f, callTimeout(m.attempt.claimer.Settings.CallTimeout, tries))
 		if err == nil {
 			return s, nil
 		}
-		if errors.Is(err, member.ErrTermPassed) {
+		if errors.Is(err, member.ErrStaleTerm) {
 			m.attempt.abort(errTermSuperseded)
 			return member.Status{}, err
 		}
@@ -100,10 +100,10 @@
 		}
 		m.control = control
 	}
-	ticket := c.View.Ask()
+	ticket := c.View.NewTicket()
 	s, err := f(ctx, m.control)
 	if err == nil {
-		c.View.Observe(m.address, ticket, s)
+		c.View.RecordReport(m.address, ticket, s)
 	}
 	return s, err
 }
--- a/internal/failover/metrics.go
+++ b/internal/failover/metrics.go
@@ -50,10 +50,10 @@
 	return m
 }
 
-func (m *Metrics) observeGap(g Gap) {
+func (m *Metrics) observeGap(g Timings) {
 	for phase, d := range map[string]time.Duration{
 		"detect": g.Detect, "claim": g.Claim, "fence": g.Fence,
-		"promote": g.Promote, "learn": g.Learn, "total": g.Total(),
+		"promote": g.Promote, "learn": g.Attach, "total": g.Total(),
 	} {
 		m.phases.WithLabelValues(phase).Observe(d.Seconds())
 	}
--- a/internal/failover/monitor.go
+++ b/internal/failover/monitor.go
@@ -73,7 +73,7 @@
 		"suspected_for", decidedAt.Sub(a.since).String(), "members", len(s.Members), "majority_of", s.Size)
 	c.Metrics.countClaim(a.cause, outcomeWon)
 	c.callHook(StepClaimed)
-	gap := Gap{Group: c.Group, Term: won.record.Term, Cause: a.cause,
+	gap := Timings{Group: c.Group, Term: won.record.Term, Cause: a.cause,
 		Detect: decidedAt.Sub(a.since), Claim: c.Clock.Now().Sub(decidedAt)}
 	if err := newAttempt(c, won, s).run(ctx, &gap); err != nil {
 		c.log.Warn("Claimed term was left.", "term", won.record.Term, "error", err)
@@ -123,11 +123,11 @@
 
 func (m *primaryMonitor) delayClaims(d time.Duration) { m.earliestClaim = m.claimer.Clock.Now().Add(d) }
 
-func (m *primaryMonitor) reportGap(gap Gap) {
+func (m *primaryMonitor) reportGap(gap Timings) {
 	m.claimer.Metrics.observeGap(gap)
 	m.claimer.log.Info("Primary replaced.", "term", gap.Term, "member", gap.Primary, "cause", gap.Cause,
 		"detect", gap.Detect.String(), "claim", gap.Claim.String(), "fence", gap.Fence.String(),
-		"promote", gap.Promote.String(), "learn", gap.Learn.String())
+		"promote", gap.Promote.String(), "learn", gap.Attach.String())
 	if m.claimer.OnFailover != nil {
 		m.claimer.OnFailover(gap)
 	}
--- a/internal/failover/peerwitness.go
+++ b/internal/failover/peerwitness.go
@@ -86,9 +86,9 @@
 	return chosen
 }
 
-// ServeWitness registers the handler of MethodWitness, which answers from the views of
+// RegisterWitnessHandler registers the handler of MethodWitness, which answers from the views of
 // this instance. views returns false for a group that this instance does not follow.
-func ServeWitness(r peer.Registry, c clock.Clock, detect time.Duration, views func(group string) (View, bool)) {
+func RegisterWitnessHandler(r peer.HandlerRegistry, c clock.Clock, detect time.Duration, views func(group string) (View, bool)) {
 	r.Handle(MethodWitness, func(ctx context.Context, _ string, params json.RawMessage) (any, error) {
 		var request WitnessRequest
 		if err := json.Unmarshal(params, &request); err != nil {
--- a/internal/failover/random_test.go
+++ b/internal/failover/random_test.go
@@ -81,13 +81,13 @@
 		x.store.SetFaults(store.Faults{Outage: true})
 		return func() { x.store.SetFaults(store.Faults{Delay: platformDelay}) }
 	case 5:
-		x.store.SetFaults(store.Faults{Delay: platformDelay, LoseAnswers: 2})
+		x.store.SetFaults(store.Faults{Delay: platformDelay, LoseResponses: 2})
 		return func() {}
 	case 6:
 		x.net.CutOneWay(host, other)
 		return func() { x.net.Heal(host, other) }
 	case 7:
-		x.net.Silence(ip, other)
+		x.net.BlackholeConnections(ip, other)
 		return func() {}
 	default:
 		x.nodes[k].SetReplicationLag(time.Duration(r.IntN(1000)) * time.Millisecond)
--- a/internal/failover/settings.go
+++ b/internal/failover/settings.go
@@ -4,9 +4,9 @@
 
 // Settings holds the timing parameters of failover. None of them affects safety.
 type Settings struct {
-	// Detect is how long probes on new connections must have failed before the primary
+	// DetectionTime is how long probes on new connections must have failed before the primary
 	// counts as lost.
-	Detect time.Duration
+	DetectionTime time.Duration
 	// StablePeriod is how long the group must have had a primary, without a term increase
 	// or a failed probe of it, before earlier term increases stop extending the detection
 	// time.
@@ -17,13 +17,13 @@
 	MinFailures int
 	// Stagger is the delay between the starts of claimers of successive ranks.
 	Stagger time.Duration
-	// Takeover is how long a claimed term may have no primary before another instance
+	// TakeoverTimeout is how long a claimed term may have no primary before another instance
 	// claims the next one.
-	Takeover time.Duration
-	// Attempt limits the duration of a failover, from when its claim was sent.
-	Attempt time.Duration
-	// Call is the timeout of the first try of a call to a member, dialing included.
-	Call time.Duration
+	TakeoverTimeout time.Duration
+	// AttemptTimeout limits the duration of a failover, from when its claim was sent.
+	AttemptTimeout time.Duration
+	// CallTimeout is the timeout of the first try of a call to a member, dialing included.
+	CallTimeout time.Duration
 	// RetryInterval is the delay between two tries of a call to a member.
 	RetryInterval time.Duration
 	// WitnessTimeout limits the query of the witnesses.
@@ -52,13 +52,13 @@
 // members that take about 10 ms to open a connection.
 func DefaultSettings() Settings {
 	return Settings{
-		Detect:          150 * time.Millisecond,
+		DetectionTime:   150 * time.Millisecond,
 		StablePeriod:    5 * time.Second,
 		MinFailures:     3,
 		Stagger:         100 * time.Millisecond,
-		Takeover:        400 * time.Millisecond,
-		Attempt:         5 * time.Second,
-		Call:            100 * time.Millisecond,
+		TakeoverTimeout: 400 * time.Millisecond,
+		AttemptTimeout:  5 * time.Second,
+		CallTimeout:     100 * time.Millisecond,
 		RetryInterval:   20 * time.Millisecond,
 		WitnessTimeout:  50 * time.Millisecond,
 		PlatformTimeout: 500 * time.Millisecond,
--- a/internal/failover/slowness_test.go
+++ b/internal/failover/slowness_test.go
@@ -83,7 +83,7 @@
 		}
 		for _, i := range x.instances {
 			for _, m := range i.watcher.Snapshot().Members {
-				if m.Failures > 0 || time.Since(m.SeenAt) > time.Second {
+				if m.Failures > 0 || time.Since(m.ReportedAt) > time.Second {
 					x.t.Errorf("%s does not see %s", i.ID, m.Address)
 				}
 			}
--- a/internal/failover/step.go
+++ b/internal/failover/step.go
@@ -1,9 +1,9 @@
 package failover
 
-// Step is a point during a failover at which Config.Hook is called.
+// Step is a point during a failover at which Config.OnStep is called.
 type Step string
 
-// Steps of a failover, in order, except that StepRecorded and StepLearned are reached
+// Steps of a failover, in order, except that StepRecorded and StepAttached are reached
 // concurrently.
 const (
 	StepSuspected Step = "suspected"
@@ -13,5 +13,5 @@
 	StepChosen    Step = "chosen"
 	StepPromoted  Step = "promoted"
 	StepRecorded  Step = "recorded"
-	StepLearned   Step = "learned"
+	StepAttached  Step = "learned"
 )
--- a/internal/failover/view.go
+++ b/internal/failover/view.go
@@ -13,18 +13,18 @@
 	// Changes returns a channel that is closed at the next change of the term, the
 	// primary or its failure state.
 	Changes() <-chan struct{}
-	// Ask returns the ticket of a call that is about to be sent to a member. Observe
+	// NewTicket returns the ticket of a call that is about to be sent to a member. RecordReport
 	// submits the status that the call returned, with that ticket.
-	Ask() group.Ticket
-	Observe(address string, t group.Ticket, s member.Status)
-	// HeardAt returns when the newest request that a member answered was sent,
+	NewTicket() group.Ticket
+	RecordReport(address string, t group.Ticket, s member.Status)
+	// LastAnswerAt returns when the newest request that a member answered was sent,
 	// statements included. Recheck requests a new report from the member.
-	HeardAt(address string) time.Time
+	LastAnswerAt(address string) time.Time
 	Recheck(address string)
 }
 
 // answering reports whether the member has reported and its last probe succeeded.
-func answering(m group.MemberView) bool { return m.Failing.IsZero() && !m.SeenAt.IsZero() }
+func answering(m group.MemberView) bool { return m.FailingSince.IsZero() && !m.ReportedAt.IsZero() }
 
 // quorumReachable reports whether enough members answer for a promotion.
-func quorumReachable(s *group.Snapshot) bool { return s.Enough(answering) }
+func quorumReachable(s *group.Snapshot) bool { return s.IsQuorum(answering) }
--- a/internal/failover/witnessreport.go
+++ b/internal/failover/witnessreport.go
@@ -53,7 +53,7 @@
 	rechecked := false
 	for {
 		s := v.Snapshot()
-		state := primaryStateFrom(clk.Now(), s, v.HeardAt, request, detect)
+		state := primaryStateFrom(clk.Now(), s, v.LastAnswerAt, request, detect)
 		if state != PrimaryUnknown || s.Term < request.Term || s.Primary == "" {
 			return state
 		}
@@ -83,14 +83,14 @@
 	if s.Term < request.Term || (s.Term == 0 && s.Primary == "") {
 		return PrimaryUnknown
 	}
-	m, known := s.Find(s.Primary)
+	m, known := s.FindMember(s.Primary)
 	if !known || m.Failures > 0 {
 		return PrimaryLost
 	}
 	answeredRecently := func(m group.MemberView) bool {
-		return m.Failing.IsZero() && now.Sub(lastAnswerAt(m.Address)) <= detect
+		return m.FailingSince.IsZero() && now.Sub(lastAnswerAt(m.Address)) <= detect
 	}
-	if answeredRecently(m) && s.Enough(answeredRecently) {
+	if answeredRecently(m) && s.IsQuorum(answeredRecently) {
 		return PrimaryAlive
 	}
 	return PrimaryUnknown
--- a/internal/failover/witnessreport_test.go
+++ b/internal/failover/witnessreport_test.go
@@ -49,19 +49,19 @@
 	}
 	lastAnswers := func(s *group.Snapshot) func(string) time.Time {
 		return func(address string) time.Time {
-			m, _ := s.Find(address)
-			return m.SeenAt
+			m, _ := s.FindMember(address)
+			return m.ReportedAt
 		}
 	}
 	state := func(s *group.Snapshot, q WitnessRequest) PrimaryState {
 		return primaryStateFrom(now, s, lastAnswers(s), q, detect)
 	}
-	fresh := snapshot(group.MemberView{SeenAt: now.Add(-detect)})
+	fresh := snapshot(group.MemberView{ReportedAt: now.Add(-detect)})
 	is.Equal(state(fresh, WitnessRequest{Term: 2}), PrimaryAlive)
 	is.Equal(state(fresh, WitnessRequest{Term: 1}), PrimaryAlive)
 	is.Equal(state(fresh, WitnessRequest{Term: 3}), PrimaryUnknown)
-	is.Equal(state(snapshot(group.MemberView{SeenAt: now.Add(-time.Second)}), WitnessRequest{Term: 2}), PrimaryUnknown)
-	is.Equal(state(snapshot(group.MemberView{SeenAt: now, Failures: 1}), WitnessRequest{Term: 2}), PrimaryLost)
+	is.Equal(state(snapshot(group.MemberView{ReportedAt: now.Add(-time.Second)}), WitnessRequest{Term: 2}), PrimaryUnknown)
+	is.Equal(state(snapshot(group.MemberView{ReportedAt: now, Failures: 1}), WitnessRequest{Term: 2}), PrimaryLost)
 	is.Equal(state(&group.Snapshot{Term: 2}, WitnessRequest{Term: 2}), PrimaryLost)
 	is.Equal(state(&group.Snapshot{}, WitnessRequest{}), PrimaryUnknown)
 }
@@ -95,8 +95,8 @@
 // Snapshot implements View.
 func (v *idleView) Snapshot() *group.Snapshot { return &v.snapshot }
 
-// HeardAt implements View.
-func (v *idleView) HeardAt(address string) time.Time {
+// LastAnswerAt implements View.
+func (v *idleView) LastAnswerAt(address string) time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.answeredAt[address]
--- a/internal/failover/writes_test.go
+++ b/internal/failover/writes_test.go
@@ -44,10 +44,10 @@
 	// The report follows the commit; in between, the member may have been fenced,
 	// attached to another log, or even promoted again. The report gives the position of
 	// the write only if it is from the term in which the write was sent.
-	if status.Role != member.RolePrimary || status.Entered != term {
+	if status.Role != member.RolePrimary || status.EnteredTerm != term {
 		return errTermSuperseded
 	}
-	mark := logpos.Mark{Term: term, Position: status.Last.Position}
+	mark := logpos.TermPosition{Term: term, Position: status.LastRecord.Position}
 	if err := i.watcher.Confirm(ctx, mark); err != nil {
 		return err
 	}
--- a/internal/frontend/config.go
+++ b/internal/frontend/config.go
@@ -32,12 +32,12 @@
 	Instance  string
 	Directory Directory
 	Executor  execution.Executor
-	// EndUnits is called when a drain times out, and cancels the units that members are
+	// CancelUnits is called when a drain times out, and cancels the units that members are
 	// running. It may be nil.
-	EndUnits func()
-	Clock    clock.Clock
-	Logger   hclog.Logger
-	Metrics  *Metrics
+	CancelUnits func()
+	Clock       clock.Clock
+	Logger      hclog.Logger
+	Metrics     *Metrics
 	// MaxCallers is the maximum number of connected callers.
 	MaxCallers int
 	// StartupTimeout limits the time from accepting a connection to the end of
@@ -50,9 +50,9 @@
 	WriteTimeout time.Duration
 	// MaxUnit limits the size of one unit, in bytes.
 	MaxUnit int
-	// ForeignCancel forwards a cancel request whose process ID belongs to another
+	// ForwardCancel forwards a cancel request whose process ID belongs to another
 	// instance. It may be nil.
-	ForeignCancel func(processID, secret uint32)
+	ForwardCancel func(processID, secret uint32)
 }
 
 // Default values of Config.
@@ -80,7 +80,7 @@
 	if c.MaxUnit == 0 {
 		c.MaxUnit = DefaultMaxUnit
 	}
-	if c.EndUnits == nil {
-		c.EndUnits = func() {}
+	if c.CancelUnits == nil {
+		c.CancelUnits = func() {}
 	}
 }
--- a/internal/frontend/flush.go
+++ b/internal/frontend/flush.go
@@ -16,7 +16,7 @@
 		return true
 	case (*b).failure != nil:
 		return s.sendErrorBeforeSync(*b, (*b).failure)
-	case s.state.Lost() || (*b).executes():
+	case s.state.TransactionLost() || (*b).executes():
 		return s.sendErrorBeforeSync(*b, result.New(result.NotSupported, "Flush behind a statement that runs"))
 	case (*b).isLocal():
 		completed := *b
--- a/internal/frontend/reply.go
+++ b/internal/frontend/reply.go
@@ -14,7 +14,7 @@
 
 const (
 	statusIdle   = byte(wire.Idle)
-	statusFailed = byte(wire.InFailed)
+	statusFailed = byte(wire.InFailedTransaction)
 
 	// sqlStateAdminShutdown is PostgreSQL's SQLSTATE admin_shutdown.
 	sqlStateAdminShutdown = "57P01"
@@ -93,7 +93,7 @@
 // followed by the session token if it has changed.
 func (s *session) applyReply(r *request, reply *execution.Reply) []byte {
 	bytes := reply.Messages
-	changed := s.state.Adopt(reply)
+	changed := s.state.ApplyReply(reply)
 	s.updateValues(r, reply)
 	if changed {
 		bytes = append(bytes, encode(s.tokenStatus())...)
@@ -119,7 +119,7 @@
 
 // loseTransaction abandons the open transaction and its setting changes.
 func (s *session) loseTransaction() {
-	s.state.Lose(s.server.config.Executor)
+	s.state.LoseTransaction(s.server.config.Executor)
 	s.pendingSettings = nil
 }
 
@@ -156,7 +156,7 @@
 	}
 	bytes := stepReplies(u.Shape)
 	if u.Shape == "" || strings.IndexByte(u.Shape, execution.StepExecute) >= 0 {
-		s.state.EndLost()
+		s.state.ClearLostTransaction()
 	}
 	if u.Shape == "" {
 		bytes = encode(&pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")})
@@ -197,7 +197,7 @@
 	if err != nil {
 		return s.sendError(err, false)
 	}
-	if s.state.Token.Less(t.Mark) {
+	if s.state.Token.Less(t.TermPosition) {
 		s.state.Token = t
 	}
 	if !t.IsZero() {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -22,13 +22,13 @@
 	c.Logger = c.Logger.Named("frontend")
 	s := &Server{config: c, workers: newWorkerPool(), processIDs: newProcessIDs(ProcessIDPrefix(c.Instance))}
 	s.Server = callers.New(callers.Config{
-		Max:       c.MaxCallers,
-		Open:      s.openSession,
-		Refuse:    s.refuse,
-		EndUnits:  c.EndUnits,
-		Clock:     c.Clock,
-		Connected: c.Metrics.callers,
-		Logger:    c.Logger,
+		MaxCallers:       c.MaxCallers,
+		OpenSession:      s.openSession,
+		RejectConnection: s.refuse,
+		CancelUnits:      c.CancelUnits,
+		Clock:            c.Clock,
+		Connected:        c.Metrics.callers,
+		Logger:           c.Logger,
 	})
 	return s
 }
@@ -44,8 +44,8 @@
 // there is always a free ID.
 const processIDBits = 20
 
-// PrefixOf returns the part of a process ID that identifies its instance.
-func PrefixOf(processID uint32) uint32 { return processID >> processIDBits }
+// PrefixOfProcessID returns the part of a process ID that identifies its instance.
+func PrefixOfProcessID(processID uint32) uint32 { return processID >> processIDBits }
 
 // ProcessIDPrefix returns the upper bits that all process IDs of an instance share.
 func ProcessIDPrefix(instance string) uint32 {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -25,7 +25,7 @@
 	})
 	for range callers {
 		sess := s.openSession(nil).(*session)
-		if PrefixOf(sess.processID) != ProcessIDPrefix("i0") {
+		if PrefixOfProcessID(sess.processID) != ProcessIDPrefix("i0") {
 			t.Fatalf("process ID %d does not have this instance's prefix", sess.processID)
 		}
 	}
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -65,7 +65,7 @@
 	if !started {
 		return
 	}
-	defer func() { s.state.Abandon(s.server.config.Executor) }()
+	defer func() { s.state.AbandonTransaction(s.server.config.Executor) }()
 	for {
 		kind, err := s.waitForMessage()
 		if err != nil {
@@ -84,7 +84,7 @@
 // an open transaction continues until the caller ends it or the drain times out.
 func (s *session) waitForMessage() (byte, error) {
 	for {
-		if s.server.Draining() && s.state.Transaction == "" || s.server.Units().Err() != nil {
+		if s.server.Draining() && s.state.Transaction == "" || s.server.UnitContext().Err() != nil {
 			return 0, errDraining
 		}
 		first, err := s.readFirstByte(time.Time{})
@@ -221,7 +221,7 @@
 	id := s.runningUnitID
 	s.mu.Unlock()
 	if id != "" {
-		s.server.config.Executor.Cancel(s.state.Group, id)
+		s.server.config.Executor.CancelUnit(s.state.Group, id)
 	}
 }
 
--- a/internal/frontend/setting.go
+++ b/internal/frontend/setting.go
@@ -217,7 +217,7 @@
 }
 
 // valuesAfter returns the values that a session will have after changes.
-func valuesAfter(s state.State, changes []setting) ([]execution.Value, error) {
+func valuesAfter(s state.State, changes []setting) ([]execution.SessionValue, error) {
 	applySettings(&s, changes)
 	if len(s.Values()) > state.MaxValues {
 		return nil, result.New(result.NotSupported, "more than %d session values", state.MaxValues)
--- a/internal/frontend/startup.go
+++ b/internal/frontend/startup.go
@@ -109,8 +109,8 @@
 		return
 	}
 	secret := uint32(m.SecretKey[0])<<24 | uint32(m.SecretKey[1])<<16 | uint32(m.SecretKey[2])<<8 | uint32(m.SecretKey[3])
-	if PrefixOf(m.ProcessID) != s.processIDs.prefix && s.config.ForeignCancel != nil {
-		s.config.ForeignCancel(m.ProcessID, secret)
+	if PrefixOfProcessID(m.ProcessID) != s.processIDs.prefix && s.config.ForwardCancel != nil {
+		s.config.ForwardCancel(m.ProcessID, secret)
 		return
 	}
 	s.Cancel(m.ProcessID, secret)
--- a/internal/frontend/units.go
+++ b/internal/frontend/units.go
@@ -42,7 +42,7 @@
 
 // execute runs a request's unit and sends the caller its reply.
 func (s *session) execute(r *request) bool {
-	if s.state.Lost() {
+	if s.state.TransactionLost() {
 		return s.replyInLostTransaction(r.unit, r.sql)
 	}
 	reply, err := s.submit(r)
@@ -64,9 +64,9 @@
 		return nil, err
 	}
 	if s.state.Transaction == "" {
-		u.Waited = s.state.Repeats.Begin(u.Messages, s.server.config.Clock.Now(), u.Timeout)
+		u.SinceFirstAttempt = s.state.Repeats.BeginOperation(u.Messages, s.server.config.Clock.Now(), u.Timeout)
 	}
-	ctx, cancel := context.WithCancel(s.server.Units())
+	ctx, cancel := context.WithCancel(s.server.UnitContext())
 	defer cancel()
 	s.setRunningUnit(u.ID)
 	reply, err := s.server.config.Executor.Execute(ctx, u, s.write)
@@ -75,12 +75,12 @@
 		s.deleteStatements(r.batch.definedNames)
 	}
 	if err != nil {
-		s.state.Repeats.Refused(s.server.config.Clock.Now())
+		s.state.Repeats.RecordRefusal(s.server.config.Clock.Now())
 	}
-	if err != nil && u.Ends {
+	if err != nil && u.EndsTransaction {
 		// The transaction has ended, whatever its outcome. It is abandoned explicitly,
 		// because its home instance may not have received this unit.
-		s.state.Abandon(s.server.config.Executor)
+		s.state.AbandonTransaction(s.server.config.Executor)
 		s.pendingSettings = nil
 	}
 	return reply, err
@@ -89,12 +89,12 @@
 func (s *session) fillUnit(u *execution.Unit, t tag, sql string) {
 	s.unitCount++
 	u.ID = s.server.config.Instance + "-" + strconv.FormatUint(uint64(s.processID), 36) + "-" + strconv.FormatUint(s.unitCount, 36)
-	s.state.Fill(u)
+	s.state.FillUnit(u)
 	u.Class, u.Key = t.class, t.key
 	s.setWorkspace(u)
 	u.Timeout = s.timeout(t.class)
-	u.Begins = hintBeginsTransaction(sql)
-	u.Ends = hintEndsTransaction(sql)
+	u.BeginsTransaction = hintBeginsTransaction(sql)
+	u.EndsTransaction = hintEndsTransaction(sql)
 }
 
 // setWorkspace sets the workspace that the unit runs for according to the current document, so
@@ -109,9 +109,9 @@
 	if !ok {
 		return
 	}
-	u.Workspace = service.FullName(w)
+	u.Workspace = service.WorkspaceFullName(w)
 	if w.OwnConnections {
-		u.Owner = u.Workspace
+		u.ConnectionOwner = u.Workspace
 	}
 }
 
@@ -126,8 +126,8 @@
 	if err != nil {
 		return err
 	}
-	r.unit.Sets = s.state.Transaction == "" && !r.otherEffects
-	if r.unit.Sets {
+	r.unit.OnlySetsValues = s.state.Transaction == "" && !r.otherEffects
+	if r.unit.OnlySetsValues {
 		r.unit.NextValues = next
 	}
 	return nil
@@ -140,7 +140,7 @@
 	if !ok {
 		return defaultTimeout
 	}
-	return service.TimeoutOf(class)
+	return service.RequestTimeout(class)
 }
 
 // defaultTimeout limits a unit of a group that is no longer in any document.
--- a/internal/group/barrier.go
+++ b/internal/group/barrier.go
@@ -12,23 +12,23 @@
 //
 // Concurrent calls share rounds without a queue: one query to the primary serves every
 // call that was waiting when the query was sent.
-func (w *Watcher) Barrier(ctx context.Context) (logpos.Mark, error) {
+func (w *Watcher) Barrier(ctx context.Context) (logpos.TermPosition, error) {
 	start := w.clock.Now()
 	mark, err := w.barrier(ctx)
 	w.metrics.barrier.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
 	return mark, err
 }
 
-func (w *Watcher) barrier(ctx context.Context) (logpos.Mark, error) {
+func (w *Watcher) barrier(ctx context.Context) (logpos.TermPosition, error) {
 	wt, err := w.startBarrier()
 	if err != nil {
-		return logpos.Mark{}, err
+		return logpos.TermPosition{}, err
 	}
 	return w.awaitMark(ctx, wt)
 }
 
 // awaitMark waits for the mark of a barrier or a floor.
-func (w *Watcher) awaitMark(ctx context.Context, wt *waiter) (logpos.Mark, error) {
+func (w *Watcher) awaitMark(ctx context.Context, wt *waiter) (logpos.TermPosition, error) {
 	err, ended := w.awaitWaiter(ctx, wt)
 	switch {
 	case ended && err == nil:
@@ -36,9 +36,9 @@
 	case ended:
 		// The mark's term was replaced while the read was waiting. The read has not been
 		// sent, so the caller can be told that it did not run.
-		return logpos.Mark{}, result.New(result.NoPrimary, "the primary was replaced").WithCause(err)
+		return logpos.TermPosition{}, result.New(result.NoPrimary, "the primary was replaced").WithCause(err)
 	default:
-		return logpos.Mark{}, w.barrierTimeoutError(ctx, wt)
+		return logpos.TermPosition{}, w.barrierTimeoutError(ctx, wt)
 	}
 }
 
@@ -48,7 +48,7 @@
 	if w.primary == "" {
 		return nil, result.New(result.NoPrimary, "group %s", w.group)
 	}
-	return w.addWaiter(logpos.Mark{}, false), nil
+	return w.addWaiter(logpos.TermPosition{}, false), nil
 }
 
 // barrierTimeoutError returns what a barrier lacked when its ctx ended.
--- a/internal/group/config.go
+++ b/internal/group/config.go
@@ -17,10 +17,10 @@
 	Group string
 	// Members lists all members of the group; quorums are counted over them.
 	Members []document.Member
-	// Size is the minimum number of members that a majority is counted over; zero means
+	// MinSize is the minimum number of members that a majority is counted over; zero means
 	// the number of listed members.
-	Size  int
-	Clock clock.Clock
+	MinSize int
+	Clock   clock.Clock
 	// Rand provides jitter for the polls. The Watcher guards it; nothing else may use it.
 	Rand   *rand.Rand
 	Dialer member.Dialer
@@ -28,10 +28,10 @@
 	Logger hclog.Logger
 	// Metrics may be nil. All watchers of an instance share one.
 	Metrics *Metrics
-	// OnSilence, if set, is called when a kept connection did not answer but a new
+	// OnSilentConnection, if set, is called when a kept connection did not answer but a new
 	// connection to the same member does. since is when the last query was sent on the
 	// silent connection.
-	OnSilence func(since time.Time)
+	OnSilentConnection func(since time.Time)
 	// Intervals default to DefaultIntervals.
 	Intervals Intervals
 }
--- a/internal/group/confirm.go
+++ b/internal/group/confirm.go
@@ -9,23 +9,23 @@
 )
 
 // Confirm implements Tracker.
-func (w *Watcher) Confirm(ctx context.Context, mark logpos.Mark) error {
+func (w *Watcher) Confirm(ctx context.Context, mark logpos.TermPosition) error {
 	return w.confirm(ctx, mark, false)
 }
 
 // ConfirmCommit implements Tracker.
-func (w *Watcher) ConfirmCommit(ctx context.Context, mark logpos.Mark) error {
+func (w *Watcher) ConfirmCommit(ctx context.Context, mark logpos.TermPosition) error {
 	return w.confirm(ctx, mark, true)
 }
 
-func (w *Watcher) confirm(ctx context.Context, mark logpos.Mark, isCommit bool) error {
+func (w *Watcher) confirm(ctx context.Context, mark logpos.TermPosition, isCommit bool) error {
 	start := w.clock.Now()
 	err := w.awaitConfirm(ctx, mark, isCommit)
 	w.metrics.confirm.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
 	return err
 }
 
-func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.Mark, isCommit bool) error {
+func (w *Watcher) awaitConfirm(ctx context.Context, mark logpos.TermPosition, isCommit bool) error {
 	wt, err := w.startConfirm(mark, isCommit)
 	if err != nil || wt == nil {
 		return err
@@ -38,7 +38,7 @@
 }
 
 // startConfirm returns nil without an error if there is nothing to wait for.
-func (w *Watcher) startConfirm(mark logpos.Mark, isCommit bool) (*waiter, error) {
+func (w *Watcher) startConfirm(mark logpos.TermPosition, isCommit bool) (*waiter, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	// The mark was reported by a primary, so its term exists.
--- a/internal/group/fixture_test.go
+++ b/internal/group/fixture_test.go
@@ -102,7 +102,7 @@
 }
 
 // write commits a row at member i and returns the mark after it.
-func (x *fixture) write(i int) logpos.Mark {
+func (x *fixture) write(i int) logpos.TermPosition {
 	x.t.Helper()
 	cfg, err := pgconn.ParseConfig("host=h port=1 user=u password=p dbname=d sslmode=disable")
 	if err != nil {
@@ -120,7 +120,7 @@
 	if _, err := c.Exec(x.t.Context(), "INSERT INTO kv (k, v) VALUES ('"+crand.Text()+"', 'v')").ReadAll(); err != nil {
 		x.t.Fatal(err)
 	}
-	return x.nodes[i].Status().Last
+	return x.nodes[i].Status().LastRecord
 }
 
 // promote makes member i the primary of a term that the fenced members enter too. It uses
@@ -149,7 +149,7 @@
 }
 
 func (x *fixture) view(i int) group.MemberView {
-	v, _ := x.w.Snapshot().Find(x.addresses[i])
+	v, _ := x.w.Snapshot().FindMember(x.addresses[i])
 	return v
 }
 
--- a/internal/group/floor.go
+++ b/internal/group/floor.go
@@ -27,8 +27,8 @@
 // refuses reads until another one is promoted, although two of three members are
 // reachable.
 
-// Floor implements Tracker. Its errors belong to the did-not-run family.
-func (w *Watcher) Floor(ctx context.Context) (logpos.Mark, error) {
+// FetchFloor implements Tracker. Its errors belong to the did-not-run family.
+func (w *Watcher) FetchFloor(ctx context.Context) (logpos.TermPosition, error) {
 	start := w.clock.Now()
 	mark, err := w.awaitMark(ctx, w.startFloor())
 	w.metrics.floor.WithLabelValues(w.group, outcome(err)).Observe(w.secondsSince(start))
@@ -38,20 +38,20 @@
 func (w *Watcher) startFloor() *waiter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	wt := w.addWaiter(logpos.Mark{}, false)
-	wt.isFloor, wt.reported = true, make(map[uint64]logpos.Mark)
+	wt := w.addWaiter(logpos.TermPosition{}, false)
+	wt.isFloor, wt.reported = true, make(map[uint64]logpos.TermPosition)
 	return wt
 }
 
 // countFloorReport counts a member's report for a waiter for a floor.
-func (w *Watcher) countFloorReport(wt *waiter, p *poller, reported logpos.Mark) {
+func (w *Watcher) countFloorReport(wt *waiter, p *poller, reported logpos.TermPosition) {
 	wt.reported[p.bit()] = combineHighest(wt.reported[p.bit()], reported)
 	w.completeFloor(wt)
 }
 
 // combineHighest returns the higher term and the higher position of two marks.
-func combineHighest(a, b logpos.Mark) logpos.Mark {
-	return logpos.Mark{Term: max(a.Term, b.Term), Position: max(a.Position, b.Position)}
+func combineHighest(a, b logpos.TermPosition) logpos.TermPosition {
+	return logpos.TermPosition{Term: max(a.Term, b.Term), Position: max(a.Position, b.Position)}
 }
 
 // completeFloor ends a waiter for a floor once enough members have reported.
@@ -71,7 +71,7 @@
 // provenFloor returns the floor that the reports prove. If the replicas alone are a quorum,
 // the primary's report is ignored: its log may extend past everything acknowledged, to a
 // position that no replica has.
-func (w *Watcher) provenFloor(wt *waiter) (logpos.Mark, bool) {
+func (w *Watcher) provenFloor(wt *waiter) (logpos.TermPosition, bool) {
 	primary := w.primaryBit()
 	if mark, ok := w.highestReported(wt, func(bit uint64) bool { return bit != primary }); ok {
 		return mark, true
@@ -81,8 +81,8 @@
 
 // highestReported returns the highest combination of the included members' reports, and
 // whether those members are a quorum.
-func (w *Watcher) highestReported(wt *waiter, include func(bit uint64) bool) (logpos.Mark, bool) {
-	var mark logpos.Mark
+func (w *Watcher) highestReported(wt *waiter, include func(bit uint64) bool) (logpos.TermPosition, bool) {
+	var mark logpos.TermPosition
 	var set uint64
 	for bit, reported := range wt.reported {
 		if include(bit) {
--- a/internal/group/floorterm_test.go
+++ b/internal/group/floorterm_test.go
@@ -19,18 +19,18 @@
 // every member would refuse them until the floor is too old.
 func TestFloorIsDroppedWithItsTerm(t *testing.T) {
 	is := is.New(t)
-	w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
+	w := NewWatcher(Config{Group: "g", MinSize: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 		Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
 	before := time.Now()
 	wt := w.startFloor()
 	for address, end := range map[string]logpos.Position{"b": 10, "c": 12} {
-		w.Observe(address, w.Ask(), member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: end}})
+		w.RecordReport(address, w.NewTicket(), member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: logpos.TermPosition{Term: 1, Position: end}})
 	}
 	is.True(wt.ended())
-	mark, ok := w.Proven(before)
+	mark, ok := w.ProvenPosition(before)
 	is.True(ok)
-	is.Equal(mark, logpos.Mark{Term: 1, Position: 12})
-	w.Observe("b", w.Ask(), member.Status{Role: member.RolePrimary, Entered: 2, Attached: 2, Last: logpos.Mark{Term: 1, Position: 10}})
-	_, ok = w.Proven(before)
+	is.Equal(mark, logpos.TermPosition{Term: 1, Position: 12})
+	w.RecordReport("b", w.NewTicket(), member.Status{Role: member.RolePrimary, EnteredTerm: 2, AttachedTerm: 2, LastRecord: logpos.TermPosition{Term: 1, Position: 10}})
+	_, ok = w.ProvenPosition(before)
 	is.True(!ok)
 }
--- a/internal/group/intervals.go
+++ b/internal/group/intervals.go
@@ -18,24 +18,24 @@
 	// Wait is the timeout of one wait for a position. It is also how long a connection
 	// that falls silent during such a wait goes undetected.
 	Wait time.Duration
-	// Away is the maximum time between two probes of an unreachable member, and the time
+	// MaxProbeInterval is the maximum time between two probes of an unreachable member, and the time
 	// between two probes of an overloaded one.
-	Away time.Duration
-	// Spread is how much later than the best replica the others are queried when a caller
+	MaxProbeInterval time.Duration
+	// HedgeDelay is how much later than the best replica the others are queried when a caller
 	// waits for a report; zero queries all at the same time. It saves queries where each
 	// one takes a connection slot at the member, since one answer is usually enough.
-	Spread time.Duration
+	HedgeDelay time.Duration
 }
 
 // DefaultIntervals suits one-way latencies of a few milliseconds and members that take
 // about 10 ms to open a connection.
 func DefaultIntervals() Intervals {
 	return Intervals{
-		PrimaryPoll: 50 * time.Millisecond,
-		ReplicaPoll: 100 * time.Millisecond,
-		FastPoll:    20 * time.Millisecond,
-		Probe:       50 * time.Millisecond,
-		Wait:        200 * time.Millisecond,
-		Away:        500 * time.Millisecond,
+		PrimaryPoll:      50 * time.Millisecond,
+		ReplicaPoll:      100 * time.Millisecond,
+		FastPoll:         20 * time.Millisecond,
+		Probe:            50 * time.Millisecond,
+		Wait:             200 * time.Millisecond,
+		MaxProbeInterval: 500 * time.Millisecond,
 	}
 }
--- a/internal/group/members_test.go
+++ b/internal/group/members_test.go
@@ -35,7 +35,7 @@
 		x.w.SetMembers(x.membersAt(0, 1, 2), 3)
 		x.advance(time.Second)
 		is.True(slices.ContainsFunc(x.w.Snapshot().Members, func(m group.MemberView) bool {
-			return m.Address == x.addresses[2] && m.Failures == 0 && !m.SeenAt.IsZero()
+			return m.Address == x.addresses[2] && m.Failures == 0 && !m.ReportedAt.IsZero()
 		}))
 	})
 }
@@ -51,6 +51,6 @@
 		x.advance(time.Second)
 		s := x.w.Snapshot()
 		is.Equal(s.Primary, x.addresses[1])
-		is.Equal(s.Term, s.Led)
+		is.Equal(s.Term, s.LedTerm)
 	})
 }
--- a/internal/group/observation.go
+++ b/internal/group/observation.go
@@ -6,19 +6,19 @@
 	"github.com/topazrock/topazrock/internal/logpos"
 )
 
-// Observation is what the answer to a caller's statement reveals about a member. It costs no
+// StatementObservation is what the answer to a caller's statement reveals about a member. It costs no
 // extra query, so a member whose answers include it is not polled while it serves
 // statements.
-type Observation struct {
-	// Log is the end of the member's log.
-	Log logpos.Mark
+type StatementObservation struct {
+	// LogEnd is the end of the member's log.
+	LogEnd logpos.TermPosition
 	// Committed is set if the member committed a write of the statement, which only a
 	// primary does; Log is then a position in the primary's term.
 	Committed bool
 }
 
-// Observed implements Tracker.
-func (w *Watcher) Observed(address string, t Ticket, o Observation) {
+// RecordAnswer implements Tracker.
+func (w *Watcher) RecordAnswer(address string, t Ticket, o StatementObservation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.findPoller(address)
@@ -28,28 +28,28 @@
 	p.answeredStatementAt = t.at
 	p.recordRecovery()
 	if o.Committed {
-		w.advanceTerm(o.Log.Term)
+		w.advanceTerm(o.LogEnd.Term)
 	}
-	if o.Log.Term != w.term {
+	if o.LogEnd.Term != w.term {
 		return
 	}
 	switch {
 	case o.Committed:
-		p.ledTerm = max(p.ledTerm, o.Log.Term)
-		w.primaryPosition = max(w.primaryPosition, o.Log.Position)
-		w.samples.add(p.index, t, o.Log)
+		p.ledTerm = max(p.ledTerm, o.LogEnd.Term)
+		w.primaryPosition = max(w.primaryPosition, o.LogEnd.Position)
+		w.samples.add(p.index, t, o.LogEnd)
 	case address != w.primary && p.ledTerm != w.term:
-		w.recordReplicaPosition(p, t, o.Log)
+		w.recordReplicaPosition(p, t, o.LogEnd)
 	}
 }
 
 // recordReplicaPosition records a lower bound on a replica's log. A log that holds a commit
 // of the term proves that the commit came before any fencing of the replica, but not that
 // the replica has not been fenced since, so only waiters for a commit count it.
-func (w *Watcher) recordReplicaPosition(p *poller, t Ticket, log logpos.Mark) {
+func (w *Watcher) recordReplicaPosition(p *poller, t Ticket, log logpos.TermPosition) {
 	if t.number > p.newestTicket && attached(p.view.Status, w.term) {
 		p.attachedAt = t.at
-		p.view.Status.Last = log
+		p.view.Status.LastRecord = log
 	}
 	if log.Position > p.highestPosition {
 		p.highestPosition, p.stalledAt = log.Position, time.Time{}
--- a/internal/group/observe.go
+++ b/internal/group/observe.go
@@ -8,16 +8,16 @@
 	"github.com/topazrock/topazrock/internal/member"
 )
 
-// Observe records a member's report. The ticket was taken before the query was sent. Other
+// RecordReport records a member's report. The ticket was taken before the query was sent. Other
 // components that query a member pass their reports in as well.
-func (w *Watcher) Observe(address string, t Ticket, s member.Status) {
+func (w *Watcher) RecordReport(address string, t Ticket, s member.Status) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.findPoller(address)
 	if p == nil {
 		return
 	}
-	w.advanceTerm(s.Entered)
+	w.advanceTerm(s.EnteredTerm)
 	p.recordRecovery()
 	s = p.withoutSelfAttachment(s)
 	// Reports from two connections may arrive out of order. An older report still counts
@@ -43,9 +43,9 @@
 func (p *poller) withoutSelfAttachment(s member.Status) member.Status {
 	switch {
 	case s.Role == member.RolePrimary:
-		p.ledTerm = max(p.ledTerm, s.Entered)
-	case s.Attached != 0 && s.Attached == p.ledTerm:
-		s.Attached = 0
+		p.ledTerm = max(p.ledTerm, s.EnteredTerm)
+	case s.AttachedTerm != 0 && s.AttachedTerm == p.ledTerm:
+		s.AttachedTerm = 0
 	}
 	return s
 }
@@ -77,9 +77,9 @@
 func (w *Watcher) updatePrimary(p *poller) {
 	s := p.view.Status
 	if s.Role == member.RolePrimary {
-		w.ledTerm = max(w.ledTerm, s.Entered)
+		w.ledTerm = max(w.ledTerm, s.EnteredTerm)
 	}
-	isPrimary := s.Role == member.RolePrimary && s.Entered == w.term && w.term != 0
+	isPrimary := s.Role == member.RolePrimary && s.EnteredTerm == w.term && w.term != 0
 	switch {
 	case isPrimary && w.primary == "":
 		w.log.Info("Primary found.", "group", w.group, "term", w.term, "member", p.view.Address)
@@ -94,15 +94,15 @@
 // recordSample adds a report of the primary as a sample, or marks the samples that a
 // replica's report proves.
 func (w *Watcher) recordSample(p *poller, t Ticket, s member.Status) {
-	if s.Entered != w.term {
+	if s.EnteredTerm != w.term {
 		return
 	}
 	if s.Role == member.RolePrimary {
-		w.samples.add(p.index, t, s.Last)
+		w.samples.add(p.index, t, s.LastRecord)
 		return
 	}
 	if attached(s, w.term) {
-		w.samples.markHeld(p.index, t, s.Last.Position)
+		w.samples.markHeld(p.index, t, s.LastRecord.Position)
 		w.updateFreshness()
 	}
 }
@@ -123,21 +123,21 @@
 // attached reports whether s is from a replica whose log is a prefix of its primary's log
 // in term.
 func attached(s member.Status, term logpos.Term) bool {
-	return s.Role == member.RoleReplica && s.Entered == term && s.Attached == term
+	return s.Role == member.RoleReplica && s.EnteredTerm == term && s.AttachedTerm == term
 }
 
 // publishSnapshot stores the current state as the snapshot.
 func (w *Watcher) publishSnapshot() {
 	s := &Snapshot{
-		Group:        w.group,
-		Term:         w.term,
-		Led:          w.ledTerm,
-		Primary:      w.primary,
-		TermStart:    w.termStart,
-		ConfirmedAt:  w.confirmedAt(),
-		StalledSince: w.stalledSince(),
-		Members:      make([]MemberView, len(w.pollers)),
-		Size:         w.quorum.size,
+		Group:            w.group,
+		Term:             w.term,
+		LedTerm:          w.ledTerm,
+		Primary:          w.primary,
+		TermStart:        w.termStart,
+		QuorumAttachedAt: w.confirmedAt(),
+		StalledSince:     w.stalledSince(),
+		Members:          make([]MemberView, len(w.pollers)),
+		Size:             w.quorum.size,
 	}
 	for i, p := range w.pollers {
 		s.Members[i] = p.view
@@ -151,7 +151,7 @@
 func (w *Watcher) confirmedAt() time.Time {
 	if w.quorum.requiredReplicas() == 0 {
 		if p := w.findPoller(w.primary); p != nil {
-			return p.view.SeenAt
+			return p.view.ReportedAt
 		}
 		return time.Time{}
 	}
--- a/internal/group/observe_test.go
+++ b/internal/group/observe_test.go
@@ -26,7 +26,7 @@
 }
 
 func primaryStatus(term logpos.Term, p logpos.Position) member.Status {
-	return member.Status{Role: member.RolePrimary, Entered: term, Attached: term, Last: logpos.Mark{Term: term, Position: p}}
+	return member.Status{Role: member.RolePrimary, EnteredTerm: term, AttachedTerm: term, LastRecord: logpos.TermPosition{Term: term, Position: p}}
 }
 
 func replicaStatus(term logpos.Term, p logpos.Position) member.Status {
@@ -50,18 +50,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newPassiveWatcher("p", "r", "q")
-		w.Observe("p", w.Ask(), primaryStatus(1, 100))
-		early := w.Ask()
+		w.RecordReport("p", w.NewTicket(), primaryStatus(1, 100))
+		early := w.NewTicket()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		barrier := runAsync(func() error { _, err := w.Barrier(ctx); return err })
-		confirm := runAsync(func() error { return w.Confirm(ctx, logpos.Mark{Term: 1, Position: 100}) })
-		w.Observe("p", w.Ask(), primaryStatus(1, 100))
-		w.Observe("r", early, replicaStatus(1, 100))
+		confirm := runAsync(func() error { return w.Confirm(ctx, logpos.TermPosition{Term: 1, Position: 100}) })
+		w.RecordReport("p", w.NewTicket(), primaryStatus(1, 100))
+		w.RecordReport("r", early, replicaStatus(1, 100))
 		synctest.Wait()
 		is.Equal(len(barrier), 0)
 		is.Equal(len(confirm), 0)
-		w.Observe("r", w.Ask(), member.Status{Role: member.RoleFenced, Entered: 2})
+		w.RecordReport("r", w.NewTicket(), member.Status{Role: member.RoleFenced, EnteredTerm: 2})
 		is.Equal(codeOf(<-barrier), result.NoPrimary)
 		is.Equal(codeOf(<-confirm), result.PrimaryReplaced)
 	})
@@ -72,11 +72,11 @@
 func TestPrimaryOfAnOldTermIsNeverShown(t *testing.T) {
 	is := is.New(t)
 	w := newPassiveWatcher("p", "r", "q")
-	w.Observe("r", w.Ask(), member.Status{Role: member.RoleFenced, Entered: 2})
-	w.Observe("p", w.Ask(), primaryStatus(1, 100))
+	w.RecordReport("r", w.NewTicket(), member.Status{Role: member.RoleFenced, EnteredTerm: 2})
+	w.RecordReport("p", w.NewTicket(), primaryStatus(1, 100))
 	is.Equal(w.Snapshot().Term, logpos.Term(2))
 	is.Equal(w.Snapshot().Primary, "")
-	w.Observe("r", w.Ask(), primaryStatus(2, 90))
+	w.RecordReport("r", w.NewTicket(), primaryStatus(2, 90))
 	is.Equal(w.Snapshot().Primary, "r")
 }
 
@@ -86,17 +86,17 @@
 	is := is.New(t)
 	w := newPassiveWatcher("p", "r", "q")
 	fresh := func() time.Time {
-		v, _ := w.Snapshot().Find("r")
+		v, _ := w.Snapshot().FindMember("r")
 		return v.FreshAsOf
 	}
-	w.Observe("p", w.Ask(), primaryStatus(1, 100))
-	w.Observe("r", w.Ask(), replicaStatus(1, 120))
+	w.RecordReport("p", w.NewTicket(), primaryStatus(1, 100))
+	w.RecordReport("r", w.NewTicket(), replicaStatus(1, 120))
 	proved := fresh()
 	is.True(!proved.IsZero())
-	w.Observe("q", w.Ask(), primaryStatus(2, 110))
-	w.Observe("r", w.Ask(), member.Status{Role: member.RoleReplica, Entered: 2, Last: logpos.Mark{Term: 1, Position: 110}})
+	w.RecordReport("q", w.NewTicket(), primaryStatus(2, 110))
+	w.RecordReport("r", w.NewTicket(), member.Status{Role: member.RoleReplica, EnteredTerm: 2, LastRecord: logpos.TermPosition{Term: 1, Position: 110}})
 	is.Equal(fresh(), proved)
-	w.Observe("r", w.Ask(), member.Status{Role: member.RoleReplica, Entered: 2, Last: logpos.Mark{Term: 1, Position: 90}})
+	w.RecordReport("r", w.NewTicket(), member.Status{Role: member.RoleReplica, EnteredTerm: 2, LastRecord: logpos.TermPosition{Term: 1, Position: 90}})
 	is.True(fresh().IsZero())
 }
 
@@ -105,9 +105,9 @@
 func TestOlderReportDoesNotReplaceANewerOne(t *testing.T) {
 	is := is.New(t)
 	w := newPassiveWatcher("p", "r", "q")
-	early := w.Ask()
-	w.Observe("r", w.Ask(), replicaStatus(1, 200))
-	w.Observe("r", early, replicaStatus(1, 100))
-	v, _ := w.Snapshot().Find("r")
-	is.Equal(v.Status.Last.Position, logpos.Position(200))
+	early := w.NewTicket()
+	w.RecordReport("r", w.NewTicket(), replicaStatus(1, 200))
+	w.RecordReport("r", early, replicaStatus(1, 100))
+	v, _ := w.Snapshot().FindMember("r")
+	is.Equal(v.Status.LastRecord.Position, logpos.Position(200))
 }
