--- a/internal/group/poller.go
+++ b/internal/group/poller.go
@@ -114,11 +114,11 @@
 		if !q.wait {
 			p.recordResponseTime(p.w.clock.Now().Sub(t.at))
 		}
-		p.w.Observe(p.view.Address, t, s)
+		p.w.RecordReport(p.view.Address, t, s)
 	case errors.Is(err, errConnectionLate):
 		// The connection is usable; the next query is sent on it.
 		p.recordBusy()
-	case errors.Is(err, member.ErrBusy) && !p.busyTooLong():
+	case errors.Is(err, member.ErrTooManyConnections) && !p.busyTooLong():
 		// The member refused the query because it is overloaded, so it is alive.
 		p.disconnect()
 		p.recordBusy()
@@ -134,7 +134,7 @@
 // nothing else in the meantime. A member that answers statements is busy and not lost;
 // reconnecting would cost a new connection, which waits in the same queue.
 func (p *poller) withTimeout(ctx context.Context, t Ticket, timeout time.Duration) (context.Context, context.CancelFunc) {
-	if p.w.intervals.Spread == 0 {
+	if p.w.intervals.HedgeDelay == 0 {
 		return context.WithTimeout(ctx, timeout)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -241,7 +241,7 @@
 	defer p.w.mu.Unlock()
 	p.cancelQuery = nil
 	early := p.w.clock.Now().Sub(t.at) < p.w.intervals.FastPoll
-	missed := err == nil && early && s.Last.Position < q.position
+	missed := err == nil && early && s.LastRecord.Position < q.position
 	p.waitEndedEarly = q.wait && missed
 	p.connected = err == nil
 	switch {
@@ -258,13 +258,13 @@
 // setStatus makes s the member's newest report.
 func (p *poller) setStatus(t Ticket, s member.Status) {
 	p.busySince = time.Time{}
-	p.view.Status, p.view.SeenAt = s, t.at
+	p.view.Status, p.view.ReportedAt = s, t.at
 	if attached(s, p.w.term) {
 		p.attachedAt = t.at
 	}
 	// A log shorter than the position that proved the member's freshness was truncated or
 	// recreated; the proof was about records that no longer exist.
-	if s.Last.Position < p.freshPosition {
+	if s.LastRecord.Position < p.freshPosition {
 		p.view.FreshAsOf, p.freshPosition = time.Time{}, 0
 	}
 }
--- a/internal/group/polling_test.go
+++ b/internal/group/polling_test.go
@@ -88,7 +88,7 @@
 func withSparsePolling(t *testing.T, f func(w *Watcher, members countingMembers)) {
 	synctest.Test(t, func(t *testing.T) {
 		members := countingMembers{"p": {}, "r": {}, "q": {}}
-		status := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: logpos.Mark{Term: 1, Position: 100}}
+		status := member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: logpos.TermPosition{Term: 1, Position: 100}}
 		members["r"].setStatus(status)
 		members["q"].setStatus(status)
 		status.Role = member.RolePrimary
@@ -97,7 +97,7 @@
 			Group: "g", Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)), Dialer: members,
 			Members: []document.Member{{Address: "p"}, {Address: "r"}, {Address: "q"}},
 			Intervals: Intervals{PrimaryPoll: 2 * time.Second, ReplicaPoll: 2 * time.Second, FastPoll: 4 * time.Millisecond,
-				Probe: 100 * time.Millisecond, Wait: 400 * time.Millisecond, Away: 500 * time.Millisecond, Spread: 8 * time.Millisecond},
+				Probe: 100 * time.Millisecond, Wait: 400 * time.Millisecond, MaxProbeInterval: 500 * time.Millisecond, HedgeDelay: 8 * time.Millisecond},
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -112,7 +112,9 @@
 	})
 }
 
-func markAt(position logpos.Position) logpos.Mark { return logpos.Mark{Term: 1, Position: position} }
+func markAt(position logpos.Position) logpos.TermPosition {
+	return logpos.TermPosition{Term: 1, Position: position}
+}
 
 // A write is confirmed while both replicas hold it. Only one of them is queried.
 func TestConfirmQueriesOneReplica(t *testing.T) {
@@ -137,7 +139,7 @@
 		if members["r"].queryCount() == before {
 			lagging, other = "q", "r"
 		}
-		s := member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(200)}
+		s := member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(200)}
 		members[other].setStatus(s)
 		start := time.Now()
 		is.NoErr(w.ConfirmCommit(context.Background(), markAt(200)))
@@ -170,13 +172,13 @@
 func TestStallEndsWhenTheReplicaCatchesUp(t *testing.T) {
 	withSparsePolling(t, func(w *Watcher, members countingMembers) {
 		is := is.New(t)
-		w.Observed("p", w.Ask(), Observation{Log: markAt(200), Committed: true})
+		w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(200), Committed: true})
 		for _, name := range []string{"r", "q"} {
-			w.Observe(name, w.Ask(), member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(100)})
+			w.RecordReport(name, w.NewTicket(), member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(100)})
 		}
 		is.True(!w.Snapshot().StalledSince.IsZero())
 		for _, name := range []string{"r", "q"} {
-			members[name].setStatus(member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(200)})
+			members[name].setStatus(member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(200)})
 		}
 		time.Sleep(300 * time.Millisecond)
 		is.True(w.Snapshot().StalledSince.IsZero())
@@ -193,13 +195,13 @@
 		members["q"].delay = time.Hour
 		members["q"].mu.Unlock()
 		time.Sleep(5 * time.Second)
-		q, _ := w.Snapshot().Find("q")
-		is.True(!q.Failing.IsZero())
+		q, _ := w.Snapshot().FindMember("q")
+		is.True(!q.FailingSince.IsZero())
 		is.True(w.Snapshot().StalledSince.IsZero())
-		w.Observed("p", w.Ask(), Observation{Log: markAt(200), Committed: true})
-		w.Observe("r", w.Ask(), member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(100)})
+		w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(200), Committed: true})
+		w.RecordReport("r", w.NewTicket(), member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(100)})
 		is.True(!w.Snapshot().StalledSince.IsZero())
-		members["r"].setStatus(member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(200)})
+		members["r"].setStatus(member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(200)})
 		time.Sleep(300 * time.Millisecond)
 		is.True(w.Snapshot().StalledSince.IsZero())
 	})
@@ -217,10 +219,10 @@
 		members["p"].mu.Unlock()
 		w.ReportFailure("p")
 		time.Sleep(500 * time.Millisecond)
-		p, _ := w.Snapshot().Find("p")
-		is.True(!p.Failing.IsZero())
-		members["r"].setStatus(member.Status{Role: member.RolePrimary, Entered: 2, Attached: 2, Last: logpos.Mark{Term: 2, Position: 120}, TermStart: 100})
-		members["q"].setStatus(member.Status{Role: member.RoleReplica, Entered: 2, Attached: 2, Last: logpos.Mark{Term: 2, Position: 120}})
+		p, _ := w.Snapshot().FindMember("p")
+		is.True(!p.FailingSince.IsZero())
+		members["r"].setStatus(member.Status{Role: member.RolePrimary, EnteredTerm: 2, AttachedTerm: 2, LastRecord: logpos.TermPosition{Term: 2, Position: 120}, TermStart: 100})
+		members["q"].setStatus(member.Status{Role: member.RoleReplica, EnteredTerm: 2, AttachedTerm: 2, LastRecord: logpos.TermPosition{Term: 2, Position: 120}})
 		time.Sleep(60 * time.Millisecond)
 		is.Equal(w.Snapshot().Primary, "r")
 		before := members["q"].queryCount()
@@ -238,13 +240,13 @@
 		members["p"].mu.Lock()
 		members["p"].delay = time.Hour
 		members["p"].mu.Unlock()
-		w.Observed("p", w.Ask(), Observation{Log: markAt(200), Committed: true})
+		w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(200), Committed: true})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		go func() { _ = w.ConfirmCommit(ctx, markAt(200)) }()
 		time.Sleep(700 * time.Millisecond)
-		p, _ := w.Snapshot().Find("p")
-		is.True(!p.Failing.IsZero())
+		p, _ := w.Snapshot().FindMember("p")
+		is.True(!p.FailingSince.IsZero())
 	})
 }
 
@@ -260,7 +262,7 @@
 			members[name].delay = time.Hour
 			members[name].mu.Unlock()
 		}
-		w.Observed("p", w.Ask(), Observation{Log: markAt(200), Committed: true})
+		w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(200), Committed: true})
 		v, err := w.Verify()
 		is.NoErr(err)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -269,10 +271,10 @@
 		go func() { confirmed <- w.ConfirmCommit(ctx, markAt(200)) }()
 		go func() { verified <- v.Wait(ctx) }()
 		synctest.Wait()
-		members["p"].setStatus(member.Status{Role: member.RoleReplica, Entered: 1, Attached: 1, Last: markAt(200)})
+		members["p"].setStatus(member.Status{Role: member.RoleReplica, EnteredTerm: 1, AttachedTerm: 1, LastRecord: markAt(200)})
 		w.Recheck("p")
 		time.Sleep(100 * time.Millisecond)
-		w.Observed("p", w.Ask(), Observation{Log: markAt(200)})
+		w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(200)})
 		is.True(<-confirmed != nil)
 		is.True(<-verified != nil)
 	})
@@ -284,7 +286,7 @@
 		is := is.New(t)
 		before := members["r"].queryCount()
 		for range 100 {
-			w.Observed("r", w.Ask(), Observation{Log: markAt(100)})
+			w.RecordAnswer("r", w.NewTicket(), StatementObservation{LogEnd: markAt(100)})
 			time.Sleep(100 * time.Millisecond)
 		}
 		is.Equal(members["r"].queryCount(), before)
@@ -301,11 +303,11 @@
 		members["p"].mu.Unlock()
 		w.Recheck("p")
 		for range 20 {
-			w.Observed("p", w.Ask(), Observation{Log: markAt(100)})
+			w.RecordAnswer("p", w.NewTicket(), StatementObservation{LogEnd: markAt(100)})
 			time.Sleep(50 * time.Millisecond)
 		}
-		v, _ := w.Snapshot().Find("p")
-		is.True(v.Failing.IsZero())
+		v, _ := w.Snapshot().FindMember("p")
+		is.True(v.FailingSince.IsZero())
 	})
 }
 
@@ -324,7 +326,7 @@
 		done := make(chan error, 1)
 		go func() { done <- w.ConfirmCommit(context.Background(), markAt(150)) }()
 		synctest.Wait()
-		w.Observed("r", w.Ask(), Observation{Log: markAt(150)})
+		w.RecordAnswer("r", w.NewTicket(), StatementObservation{LogEnd: markAt(150)})
 		is.NoErr(<-done)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
--- a/internal/group/protocol_sim_checks_test.go
+++ b/internal/group/protocol_sim_checks_test.go
@@ -35,7 +35,7 @@
 	m.log = append(m.log, e)
 	w := &simWrite{entry: e, at: m}
 	x.writes = append(x.writes, w)
-	i.reports = append(i.reports, simReport{address: m.address, ticket: i.w.Ask(), observation: &Observation{Log: m.mark(), Committed: true}, write: w})
+	i.reports = append(i.reports, simReport{address: m.address, ticket: i.w.NewTicket(), observation: &StatementObservation{LogEnd: m.mark(), Committed: true}, write: w})
 	x.logStep("%s commits %d at %s, term %d", i.name, e.number, m.address, m.term)
 	if x.rand.IntN(2) == 0 {
 		x.deliverReport(i, len(i.reports)-1)
--- a/internal/group/protocol_sim_claims_test.go
+++ b/internal/group/protocol_sim_claims_test.go
@@ -9,7 +9,7 @@
 	by     *simInstance
 	view   *Snapshot
 	term   logpos.Term
-	fenced map[*simMember]logpos.Mark
+	fenced map[*simMember]logpos.TermPosition
 	target *simMember
 	ended  bool
 }
@@ -18,13 +18,13 @@
 // the next term only after the time limit of the last claim and of its orders has passed.
 func (x *sim) beginClaim(i *simInstance) {
 	s := i.w.Snapshot()
-	if s.Led == 0 || s.Led < x.term || x.claim != nil && !x.claim.ended {
+	if s.LedTerm == 0 || s.LedTerm < x.term || x.claim != nil && !x.claim.ended {
 		return
 	}
 	if len(x.promotionOrders) > 0 && x.fault != faultLateOrder {
 		return
 	}
-	x.claim = &simClaim{by: i, view: s, term: s.Led + 1, fenced: make(map[*simMember]logpos.Mark)}
+	x.claim = &simClaim{by: i, view: s, term: s.LedTerm + 1, fenced: make(map[*simMember]logpos.TermPosition)}
 	x.logStep("%s claims term %d", i.name, x.claim.term)
 }
 
@@ -34,7 +34,7 @@
 	if c == nil || c.ended || c.target != nil || !m.up {
 		return
 	}
-	if _, listed := c.view.Find(m.address); !listed || m.term >= c.term {
+	if _, listed := c.view.FindMember(m.address); !listed || m.term >= c.term {
 		return
 	}
 	switch {
@@ -69,7 +69,7 @@
 	if x.fault == faultLeavingIgnored {
 		view = withoutLeaving(view)
 	}
-	if !view.Enough(isFenced) && !(x.fault == faultFenceTooSmall && len(c.fenced) > 0) {
+	if !view.IsQuorum(isFenced) && !(x.fault == faultFenceTooSmall && len(c.fenced) > 0) {
 		return
 	}
 	for m, log := range c.fenced {
--- a/internal/group/protocol_sim_floors_test.go
+++ b/internal/group/protocol_sim_floors_test.go
@@ -13,9 +13,9 @@
 	covered []entry
 	// highestReported is the highest reported mark, compared as a pair of term and
 	// position.
-	highestReported logpos.Mark
+	highestReported logpos.TermPosition
 	// mark is the floor once it is proven.
-	mark   logpos.Mark
+	mark   logpos.TermPosition
 	proven bool
 }
 
@@ -23,7 +23,7 @@
 const maxFloors = 6
 
 // reportedMark is the end of a member's log as the member reports it.
-func (x *sim) reportedMark(m *simMember) logpos.Mark {
+func (x *sim) reportedMark(m *simMember) logpos.TermPosition {
 	mark := m.mark()
 	if x.memberTerms && len(m.log) > 0 {
 		mark.Term = m.term
@@ -68,8 +68,8 @@
 // recordHighestReport records the highest mark, as a pair, that an instance receives.
 func (x *sim) recordHighestReport(i *simInstance, r simReport) {
 	for _, f := range x.floors {
-		if f.by == i && r.observation == nil && r.ticket.After(f.waiter.ticket) && f.highestReported.Less(r.status.Last) {
-			f.highestReported = r.status.Last
+		if f.by == i && r.observation == nil && r.ticket.After(f.waiter.ticket) && f.highestReported.Less(r.status.LastRecord) {
+			f.highestReported = r.status.LastRecord
 		}
 	}
 }
@@ -100,7 +100,7 @@
 }
 
 // accepts reports whether a member accepts a read that requires a position.
-func (x *sim) accepts(m *simMember, mark logpos.Mark) bool {
+func (x *sim) accepts(m *simMember, mark logpos.TermPosition) bool {
 	reported := x.reportedMark(m)
 	if x.memberTerms {
 		return reported.Term >= mark.Term && reported.Position >= mark.Position
--- a/internal/group/protocol_sim_members_test.go
+++ b/internal/group/protocol_sim_members_test.go
@@ -33,22 +33,22 @@
 
 // status is the member's report as the adapter decodes it.
 func (m *simMember) status() member.Status {
-	s := member.Status{Entered: m.term, Last: m.mark(), Attached: m.term, Role: member.RoleReplica}
+	s := member.Status{EnteredTerm: m.term, LastRecord: m.mark(), AttachedTerm: m.term, Role: member.RoleReplica}
 	switch {
 	case m.isPrimary:
 		s.Role = member.RolePrimary
 	case m.heldFor > m.term:
-		s.Role, s.Entered, s.Attached = member.RoleFenced, m.heldFor, 0
+		s.Role, s.EnteredTerm, s.AttachedTerm = member.RoleFenced, m.heldFor, 0
 	}
 	return s
 }
 
 // mark is the end of the log: the term of its last record and the number of records.
-func (m *simMember) mark() logpos.Mark {
+func (m *simMember) mark() logpos.TermPosition {
 	if len(m.log) == 0 {
-		return logpos.Mark{}
+		return logpos.TermPosition{}
 	}
-	return logpos.Mark{Term: m.log[len(m.log)-1].term, Position: logpos.Position(len(m.log))}
+	return logpos.TermPosition{Term: m.log[len(m.log)-1].term, Position: logpos.Position(len(m.log))}
 }
 
 func (x *sim) addMember(domain string) *simMember {
@@ -84,10 +84,10 @@
 	if !m.up || i.w.findPoller(m.address) == nil {
 		return
 	}
-	r := simReport{address: m.address, ticket: i.w.Ask(), status: m.status()}
-	r.status.Last = x.reportedMark(m)
+	r := simReport{address: m.address, ticket: i.w.NewTicket(), status: m.status()}
+	r.status.LastRecord = x.reportedMark(m)
 	if x.rand.IntN(3) == 0 {
-		r.observation = &Observation{Log: m.mark()}
+		r.observation = &StatementObservation{LogEnd: m.mark()}
 	}
 	i.reports = append(i.reports, r)
 	x.logStep("%s queries %s: %+v", i.name, m.address, r.status)
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, i := range x.instances {
-		if m, ok := i.w.Snapshot().Find(old.address); !ok || !m.Leaving {
+		if m, ok := i.w.Snapshot().FindMember(old.address); !ok || !m.Leaving {
 			return false
 		}
 	}
--- a/internal/group/protocol_sim_test.go
+++ b/internal/group/protocol_sim_test.go
@@ -16,7 +16,7 @@
 	ticket  Ticket
 	status  member.Status
 	// observation is set if this is the answer to a statement.
-	observation *Observation
+	observation *StatementObservation
 	write       *simWrite
 }
 
@@ -66,7 +66,7 @@
 	}
 	for i := range 2 {
 		x.instances = append(x.instances, &simInstance{name: fmt.Sprintf("i%d", i), w: NewWatcher(Config{
-			Group: "g", Members: x.listed(), Size: document.MinMembers, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
+			Group: "g", Members: x.listed(), MinSize: document.MinMembers, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(seed, uint64(i))),
 		})})
 	}
 	// Some walks start during a replacement.
@@ -170,17 +170,17 @@
 	x.recordHighestReport(i, r)
 	x.logStep("%s receives the answer of %s", i.name, r.address)
 	if x.fault == faultOldReport {
-		r.ticket = i.w.Ask()
+		r.ticket = i.w.NewTicket()
 	}
 	if r.observation != nil {
-		i.w.Observed(r.address, r.ticket, *r.observation)
+		i.w.RecordAnswer(r.address, r.ticket, *r.observation)
 	} else {
-		i.w.Observe(r.address, r.ticket, r.status)
+		i.w.RecordReport(r.address, r.ticket, r.status)
 	}
 	if r.write == nil {
 		return
 	}
-	waiter, err := i.w.startConfirm(r.observation.Log, true)
+	waiter, err := i.w.startConfirm(r.observation.LogEnd, true)
 	if err == nil {
 		r.write.waiter = waiter
 	}
--- a/internal/group/quorum.go
+++ b/internal/group/quorum.go
@@ -81,8 +81,8 @@
 // primary.
 func (q quorum) requiredReplicas() int { return q.size / 2 }
 
-// Enough reports whether the members for which selected returns true are a quorum.
-func (s *Snapshot) Enough(selected func(m MemberView) bool) bool {
+// IsQuorum reports whether the members for which selected returns true are a quorum.
+func (s *Snapshot) IsQuorum(selected func(m MemberView) bool) bool {
 	members := make([]quorumMember, len(s.Members))
 	var set uint64
 	for i, m := range s.Members {
@@ -94,9 +94,9 @@
 	return newQuorum(members, s.Size).satisfiedBy(set)
 }
 
-// MajorityAnswers reports whether the members whose last probe succeeded are a quorum.
-func (s *Snapshot) MajorityAnswers() bool {
-	return s.Enough(func(m MemberView) bool { return m.Failing.IsZero() })
+// QuorumReachable reports whether the members whose last probe succeeded are a quorum.
+func (s *Snapshot) QuorumReachable() bool {
+	return s.IsQuorum(func(m MemberView) bool { return m.FailingSince.IsZero() })
 }
 
 // updateQuorum recomputes the quorum after the members or their properties changed, and
--- a/internal/group/reachability.go
+++ b/internal/group/reachability.go
@@ -45,11 +45,11 @@
 
 // recordRecovery ends a run of failed probes.
 func (p *poller) recordRecovery() {
-	if p.view.Failing.IsZero() {
+	if p.view.FailingSince.IsZero() {
 		return
 	}
 	p.w.log.Info("Member answers again.", "group", p.w.group, "member", p.view.Address)
-	p.view.Failing, p.view.Failures, p.view.Refused = time.Time{}, 0, false
+	p.view.FailingSince, p.view.Failures, p.view.ConnectionRefused = time.Time{}, 0, false
 	p.w.probeFailingMembers(p)
 	p.w.signalChange()
 }
@@ -58,7 +58,7 @@
 // again: the outage between this instance and that member may be over for all.
 func (w *Watcher) probeFailingMembers(recovered *poller) {
 	for _, p := range w.pollers {
-		if p != recovered && !p.view.Failing.IsZero() {
+		if p != recovered && !p.view.FailingSince.IsZero() {
 			p.queriedAt = time.Time{}
 			p.wake()
 		}
@@ -84,13 +84,13 @@
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	p.w.metrics.probeFailures.WithLabelValues(p.w.group, p.view.Address).Inc()
-	if p.view.Failing.IsZero() {
+	if p.view.FailingSince.IsZero() {
 		p.w.log.Warn("Member does not answer.", "group", p.w.group, "member", p.view.Address, "error", err)
-		p.view.Failing = t.at
+		p.view.FailingSince = t.at
 		p.w.searchForPrimary(p)
 	}
 	p.view.Failures++
-	p.view.Refused = errors.Is(err, syscall.ECONNREFUSED)
+	p.view.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 	p.w.signalChange()
 	p.w.publishSnapshot()
 }
--- a/internal/group/samples.go
+++ b/internal/group/samples.go
@@ -17,7 +17,7 @@
 // sample is the end of the primary's log at one moment, and the members known to hold it.
 type sample struct {
 	ticket Ticket
-	mark   logpos.Mark
+	mark   logpos.TermPosition
 	// holders has one bit per member, by index.
 	holders uint64
 }
@@ -46,7 +46,7 @@
 
 // add records the log position that the primary, given by its index, reported, unless a
 // later or a too recent sample exists.
-func (s *samples) add(index int, t Ticket, m logpos.Mark) {
+func (s *samples) add(index int, t Ticket, m logpos.TermPosition) {
 	if n := len(s.list); n > 0 {
 		last := s.list[n-1].ticket
 		if !t.After(last) || t.at.Sub(last.at) < sampleSpacing {
@@ -95,7 +95,7 @@
 
 // oldestProven returns the oldest sample held by a quorum that was requested at or after
 // notBefore.
-func (s *samples) oldestProven(notBefore time.Time, isQuorum func(set uint64) bool) (logpos.Mark, bool) {
+func (s *samples) oldestProven(notBefore time.Time, isQuorum func(set uint64) bool) (logpos.TermPosition, bool) {
 	for _, list := range [][]sample{s.earlierTerms, s.list} {
 		for i := range list {
 			e := &list[i]
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	return logpos.Mark{}, false
+	return logpos.TermPosition{}, false
 }
 
 // removeHolder removes one member from the holders of all samples.
--- a/internal/group/schedule.go
+++ b/internal/group/schedule.go
@@ -107,7 +107,7 @@
 // hedgeDelay is how long a replica's query is delayed so that a better replica can answer
 // the waiters first. The best replica has the fewest misses, and then the fastest answers.
 func (w *Watcher) hedgeDelay(p *poller) time.Duration {
-	if w.intervals.Spread == 0 {
+	if w.intervals.HedgeDelay == 0 {
 		return 0
 	}
 	remaining := time.Duration(0)
@@ -117,14 +117,14 @@
 	if w.bestReplica() == p {
 		return remaining
 	}
-	return max(remaining, w.intervals.Spread-w.clock.Now().Sub(w.wantedSince(p)))
+	return max(remaining, w.intervals.HedgeDelay-w.clock.Now().Sub(w.wantedSince(p)))
 }
 
 // bestReplica returns the replica that is queried first; nil if none is reachable.
 func (w *Watcher) bestReplica() *poller {
 	var best *poller
 	for _, p := range w.pollers {
-		if p.view.Address == w.primary || !p.view.Failing.IsZero() || !p.connected {
+		if p.view.Address == w.primary || !p.view.FailingSince.IsZero() || !p.connected {
 			continue
 		}
 		if best == nil || p.preferredTo(best) {
@@ -147,12 +147,12 @@
 	i := p.w.intervals
 	switch {
 	case p.busy:
-		return i.Away
+		return i.MaxProbeInterval
 	case p.view.Failures == 0:
 		return 0
 	}
-	backoff := p.w.clock.Now().Sub(p.view.Failing) / 8
-	return max(i.Probe, p.jitter(min(i.Away, backoff)))
+	backoff := p.w.clock.Now().Sub(p.view.FailingSince) / 8
+	return max(i.Probe, p.jitter(min(i.MaxProbeInterval, backoff)))
 }
 
 // probeTimeout is the timeout of a probe on a new connection. It doubles after every few
--- a/internal/group/search_test.go
+++ b/internal/group/search_test.go
@@ -19,7 +19,7 @@
 func TestPrimarySearchBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := NewWatcher(Config{Group: "g", Size: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
+		w := NewWatcher(Config{Group: "g", MinSize: 3, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(1, 2)),
 			Members: []document.Member{{Address: "a"}, {Address: "b"}, {Address: "c"}}})
 		queries := 0
 		var earlyQueries int
--- a/internal/group/snapshot.go
+++ b/internal/group/snapshot.go
@@ -12,20 +12,20 @@
 	Address       string
 	FailureDomain string
 	Status        member.Status
-	// SeenAt is when the newest report was requested; zero if there is none.
-	SeenAt time.Time
+	// ReportedAt is when the newest report was requested; zero if there is none.
+	ReportedAt time.Time
 	// FreshAsOf bounds the age of the member's data: the member has since reached the
 	// confirmed position that the primary was asked for at this time. Zero when nothing is
 	// proven.
 	FreshAsOf time.Time
-	// Failing is when the first of the current run of failed probes on new connections was
+	// FailingSince is when the first of the current run of failed probes on new connections was
 	// sent; zero if the last one succeeded.
-	Failing time.Time
-	// Failures counts the failed probes since Failing.
+	FailingSince time.Time
+	// Failures counts the failed probes since FailingSince.
 	Failures int
-	// Refused is set if the last probe's connection was refused: the host answers, but no
+	// ConnectionRefused is set if the last probe's connection was refused: the host answers, but no
 	// process listens on the port.
-	Refused bool
+	ConnectionRefused bool
 	// Leaving is set if the platform lists the member as leaving.
 	Leaving bool
 }
@@ -38,13 +38,13 @@
 	Term      logpos.Term
 	Primary   string
 	TermStart logpos.Position
-	// Led is the highest term in which a member reported itself as primary. It is below
+	// LedTerm is the highest term in which a member reported itself as primary. It is below
 	// Term while members are fenced for a promotion.
-	Led logpos.Term
-	// ConfirmedAt is the latest time for which enough replicas for a confirmation, when
+	LedTerm logpos.Term
+	// QuorumAttachedAt is the latest time for which enough replicas for a confirmation, when
 	// queried at that time or later, reported themselves attached in Term. Writes are
 	// refused before sending when it is old.
-	ConfirmedAt time.Time
+	QuorumAttachedAt time.Time
 	// StalledSince is the time since which too few replicas for a confirmation have made
 	// progress although the primary is ahead of them; zero while enough do. A primary that
 	// is disconnected only from its replicas still answers probes.
@@ -54,8 +54,8 @@
 	Size int
 }
 
-// Find returns the view of the member with the given address.
-func (s *Snapshot) Find(address string) (MemberView, bool) {
+// FindMember returns the view of the member with the given address.
+func (s *Snapshot) FindMember(address string) (MemberView, bool) {
 	for _, m := range s.Members {
 		if m.Address == address {
 			return m, true
--- a/internal/group/stall.go
+++ b/internal/group/stall.go
@@ -11,17 +11,17 @@
 // trackProgress records whether a replica makes progress. A replica that is not attached
 // makes none, regardless of the length of its log.
 func (w *Watcher) trackProgress(p *poller, t Ticket, s member.Status) {
-	if s.Entered != w.term {
+	if s.EnteredTerm != w.term {
 		return
 	}
 	if s.Role == member.RolePrimary {
-		w.primaryPosition = max(w.primaryPosition, s.Last.Position)
+		w.primaryPosition = max(w.primaryPosition, s.LastRecord.Position)
 		return
 	}
-	progressed := s.Last.Position > p.highestPosition || s.Last.Position >= w.primaryPosition
+	progressed := s.LastRecord.Position > p.highestPosition || s.LastRecord.Position >= w.primaryPosition
 	switch {
 	case attached(s, w.term) && progressed:
-		p.highestPosition, p.stalledAt = s.Last.Position, time.Time{}
+		p.highestPosition, p.stalledAt = s.LastRecord.Position, time.Time{}
 	case p.stalledAt.IsZero():
 		p.stalledAt = t.at
 		p.wake()
@@ -41,9 +41,9 @@
 		case p.view.Address == w.primary:
 		case !p.stalledAt.IsZero():
 			stalled = append(stalled, stalledReplica{p.stalledAt, p.bit()})
-		case !p.view.Failing.IsZero():
+		case !p.view.FailingSince.IsZero():
 			// The member is unreachable; its last report does not show its current state.
-			stalled = append(stalled, stalledReplica{p.view.Failing, p.bit()})
+			stalled = append(stalled, stalledReplica{p.view.FailingSince, p.bit()})
 		case !p.attachedAt.IsZero():
 			progressing |= p.bit()
 		}
@@ -89,7 +89,7 @@
 	for _, p := range w.pollers {
 		s := p.view.Status
 		descriptions = append(descriptions, fmt.Sprintf("%s %s entered %d attached %d log %d.%d age %s failures %d",
-			p.view.Address, s.Role, s.Entered, s.Attached, s.Last.Term, s.Last.Position, w.clock.Now().Sub(p.view.SeenAt), p.view.Failures))
+			p.view.Address, s.Role, s.EnteredTerm, s.AttachedTerm, s.LastRecord.Term, s.LastRecord.Position, w.clock.Now().Sub(p.view.ReportedAt), p.view.Failures))
 	}
 	return descriptions
 }
--- a/internal/group/unlistedprimary_test.go
+++ b/internal/group/unlistedprimary_test.go
@@ -27,12 +27,12 @@
 		return members
 	}
 	w := NewWatcher(Config{
-		Group: "g", Members: listed("m0", "m1", "m2", "m3"), Size: document.MinMembers, Clock: clock.System{},
+		Group: "g", Members: listed("m0", "m1", "m2", "m3"), MinSize: document.MinMembers, Clock: clock.System{},
 		Rand: rand.New(rand.NewPCG(1, 2)),
 	})
-	mark := logpos.Mark{Term: 1, Position: 5}
+	mark := logpos.TermPosition{Term: 1, Position: 5}
 	report := func(address string, role member.Role) {
-		w.Observe(address, w.Ask(), member.Status{Role: role, Entered: 1, Attached: 1, Last: mark})
+		w.RecordReport(address, w.NewTicket(), member.Status{Role: role, EnteredTerm: 1, AttachedTerm: 1, LastRecord: mark})
 	}
 	report("m0", member.RolePrimary)
 	wt, err := w.startConfirm(mark, true)
--- a/internal/group/verify.go
+++ b/internal/group/verify.go
@@ -8,8 +8,8 @@
 )
 
 // Verification proves that the primary of a term had not been replaced when the
-// Verification began. It completes by itself; a caller that does not Wait for it must Drop
-// it.
+// Verification began. It completes by itself; a caller that does not Wait for it must
+// Cancel it.
 type Verification struct {
 	watcher *Watcher
 	waiter  *waiter
@@ -27,7 +27,7 @@
 	v := &Verification{watcher: w, Term: w.term}
 	if w.quorum.requiredReplicas() > 0 {
 		// Every replica holds position zero, so only the term matters.
-		v.waiter = w.addWaiter(logpos.Mark{Term: w.term}, true)
+		v.waiter = w.addWaiter(logpos.TermPosition{Term: w.term}, true)
 	}
 	return v, nil
 }
@@ -45,8 +45,8 @@
 	return err
 }
 
-// Drop cancels a verification that is no longer needed.
-func (v *Verification) Drop() {
+// Cancel cancels a verification that is no longer needed.
+func (v *Verification) Cancel() {
 	if v != nil && v.waiter != nil {
 		v.watcher.removeWaiter(v.waiter)
 	}
--- a/internal/group/waiter.go
+++ b/internal/group/waiter.go
@@ -9,30 +9,30 @@
 	"github.com/topazrock/topazrock/internal/result"
 )
 
-// waiter is a Confirm, Barrier, Floor or Verification in progress.
+// waiter is a Confirm, Barrier, FetchFloor or Verification in progress.
 type waiter struct {
 	ticket Ticket
 	// hasMark is false for a barrier or a floor until the primary has reported its
 	// position.
 	hasMark bool
-	mark    logpos.Mark
+	mark    logpos.TermPosition
 	// holders has one bit for each member known to hold the mark, by index.
 	holders uint64
 	// isCommit is set if the mark is that of a commit, which no other primary can produce: a
 	// log that holds it proves it regardless of when the report was requested.
 	isCommit bool
-	// isFloor is set for a Floor, which the reports of a majority may complete as well.
+	// isFloor is set for a FetchFloor, which the reports of a majority may complete as well.
 	// reported is the highest mark that each member has reported since the wait began,
 	// keyed by the member's bit.
 	isFloor  bool
-	reported map[uint64]logpos.Mark
+	reported map[uint64]logpos.TermPosition
 	// done is closed at the end, after err was set.
 	done chan struct{}
 	err  error
 }
 
 // addWaiter adds a waiter that counts reports requested from now on.
-func (w *Watcher) addWaiter(mark logpos.Mark, hasMark bool) *waiter {
+func (w *Watcher) addWaiter(mark logpos.TermPosition, hasMark bool) *waiter {
 	wt := &waiter{ticket: w.newTicket(), mark: mark, hasMark: hasMark, done: make(chan struct{})}
 	w.waiters[wt] = struct{}{}
 	for _, p := range w.pollers {
@@ -73,14 +73,14 @@
 			continue
 		}
 		w.setMarkFromPrimary(wt, s)
-		if wt.hasMark && attached(s, wt.mark.Term) && s.Last.Position >= wt.mark.Position {
+		if wt.hasMark && attached(s, wt.mark.Term) && s.LastRecord.Position >= wt.mark.Position {
 			wt.holders |= p.bit()
 		}
 		if wt.hasMark && w.confirmedBy(wt.holders) {
 			w.completeWaiter(wt, nil)
 		}
 		if wt.isFloor && !wt.ended() {
-			w.countFloorReport(wt, p, s.Last)
+			w.countFloorReport(wt, p, s.LastRecord)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 
 // countLogPosition counts a replica's log position for every waiter whose commit the log
 // holds.
-func (w *Watcher) countLogPosition(p *poller, log logpos.Mark) {
+func (w *Watcher) countLogPosition(p *poller, log logpos.TermPosition) {
 	for wt := range w.waiters {
 		if !wt.isCommit || wt.mark.Term != log.Term || wt.mark.Position > log.Position {
 			continue
@@ -123,11 +123,11 @@
 
 // setMarkFromPrimary sets the mark of a barrier or a floor from a report of the primary.
 func (w *Watcher) setMarkFromPrimary(wt *waiter, s member.Status) {
-	if wt.hasMark || s.Role != member.RolePrimary || s.Entered != w.term {
+	if wt.hasMark || s.Role != member.RolePrimary || s.EnteredTerm != w.term {
 		return
 	}
 	wt.hasMark = true
-	wt.mark = logpos.Mark{Term: s.Entered, Position: s.Last.Position}
+	wt.mark = logpos.TermPosition{Term: s.EnteredTerm, Position: s.LastRecord.Position}
 	for _, p := range w.pollers {
 		p.wake()
 	}
@@ -140,7 +140,7 @@
 		switch {
 		case !wt.hasMark || wt.mark.Term >= term:
 		case wt.isFloor:
-			wt.hasMark, wt.mark, wt.holders = false, logpos.Mark{}, 0
+			wt.hasMark, wt.mark, wt.holders = false, logpos.TermPosition{}, 0
 		default:
 			w.completeWaiter(wt, result.New(result.PrimaryReplaced, "term %d was replaced by %d", wt.mark.Term, term))
 		}
--- a/internal/group/watcher.go
+++ b/internal/group/watcher.go
@@ -30,7 +30,7 @@
 	pollers []*poller
 	// quorum decides which sets of the members are sufficient.
 	quorum quorum
-	// minSize is Config.Size, dialer opens the pollers' connections, and startPoller
+	// minSize is Config.MinSize, dialer opens the pollers' connections, and startPoller
 	// starts a poller; startPoller is nil while the Watcher is not running.
 	minSize     int
 	dialer      member.Dialer
@@ -68,12 +68,12 @@
 		log:       c.Logger,
 		metrics:   c.Metrics,
 		intervals: c.Intervals,
-		minSize:   c.Size,
+		minSize:   c.MinSize,
 		dialer:    c.Dialer,
 		rand:      c.Rand,
 		waiters:   make(map[*waiter]struct{}),
 		changes:   make(chan struct{}),
-		onSilence: c.OnSilence,
+		onSilence: c.OnSilentConnection,
 	}
 	if w.onSilence == nil {
 		w.onSilence = func(time.Time) {}
@@ -116,8 +116,8 @@
 	wg.Wait()
 }
 
-// Proven implements Tracker.
-func (w *Watcher) Proven(notBefore time.Time) (logpos.Mark, bool) {
+// ProvenPosition implements Tracker.
+func (w *Watcher) ProvenPosition(notBefore time.Time) (logpos.TermPosition, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if mark, ok := w.samples.oldestProven(notBefore, w.isQuorum); ok {
@@ -183,7 +183,7 @@
 	// Hundreds of statements fail together when a member dies or is overloaded. One new
 	// connection is enough to check the member; more would only add load.
 	now := w.clock.Now()
-	if now.Sub(p.view.SeenAt) < w.intervals.FastPoll || now.Sub(p.reconnectRequestedAt) < w.intervals.Wait {
+	if now.Sub(p.view.ReportedAt) < w.intervals.FastPoll || now.Sub(p.reconnectRequestedAt) < w.intervals.Wait {
 		return
 	}
 	p.reconnectRequested, p.reconnectRequestedAt = true, now
@@ -205,24 +205,24 @@
 	p.wake()
 }
 
-// HeardAt returns the send time of the last query or statement that the member answered;
+// LastAnswerAt returns the send time of the last query or statement that the member answered;
 // zero if it has answered none.
-func (w *Watcher) HeardAt(address string) time.Time {
+func (w *Watcher) LastAnswerAt(address string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.findPoller(address)
 	switch {
 	case p == nil:
 		return time.Time{}
-	case p.answeredStatementAt.After(p.view.SeenAt):
+	case p.answeredStatementAt.After(p.view.ReportedAt):
 		return p.answeredStatementAt
 	default:
-		return p.view.SeenAt
+		return p.view.ReportedAt
 	}
 }
 
-// Ask implements Tracker.
-func (w *Watcher) Ask() Ticket {
+// NewTicket implements Tracker.
+func (w *Watcher) NewTicket() Ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.newTicket()
--- a/internal/group/watcher_test.go
+++ b/internal/group/watcher_test.go
@@ -27,7 +27,7 @@
 		s := x.w.Snapshot()
 		is.Equal(s.Term, logpos.Term(1))
 		is.Equal(s.Primary, x.addresses[0])
-		is.True(time.Since(s.ConfirmedAt) < 150*time.Millisecond)
+		is.True(time.Since(s.QuorumAttachedAt) < 150*time.Millisecond)
 		for i := 1; i < 3; i++ {
 			is.Equal(x.view(i).Status.Role, member.RoleReplica)
 			is.True(time.Since(x.view(i).FreshAsOf) < 200*time.Millisecond)
@@ -148,8 +148,8 @@
 		mark := x.write(1)
 		tail := x.nodes[0].Status()
 		is.Equal(tail.Role, member.RoleReplica)
-		is.Equal(tail.Entered, mark.Term)
-		is.True(tail.Last.Position > mark.Position)
+		is.Equal(tail.EnteredTerm, mark.Term)
+		is.True(tail.LastRecord.Position > mark.Position)
 		err := x.w.Confirm(x.timeout(500*time.Millisecond), mark)
 		is.Equal(codeOf(err), result.ConfirmTimeout)
 	})
@@ -199,7 +199,7 @@
 	withGroup(t, 3, func(x *fixture) {
 		is := is.New(x.t)
 		for _, h := range x.hosts {
-			x.net.Silence(watcherIP, h)
+			x.net.BlackholeConnections(watcherIP, h)
 		}
 		_, err := x.w.Barrier(x.timeout(500 * time.Millisecond))
 		is.NoErr(err)
@@ -216,7 +216,7 @@
 		x.advance(160 * time.Millisecond)
 		v := x.view(0)
 		is.True(v.Failures >= 3)
-		is.True(time.Since(v.Failing) >= 100*time.Millisecond)
+		is.True(time.Since(v.FailingSince) >= 100*time.Millisecond)
 		x.nodes[0].Stop()
 		is.NoErr(x.nodes[0].Start())
 		x.advance(time.Second)
--- a/internal/inifile/file.go
+++ b/internal/inifile/file.go
@@ -7,8 +7,8 @@
 	problems Problems
 }
 
-// All returns the sections of a kind in file order.
-func (f *File) All(kind string) []*Section {
+// SectionsOfKind returns the sections of a kind in file order.
+func (f *File) SectionsOfKind(kind string) []*Section {
 	var found []*Section
 	for _, s := range f.Sections {
 		if s.Kind == kind {
@@ -18,24 +18,24 @@
 	return found
 }
 
-// First returns the first section of a kind. If the file has none, it returns a
+// FirstSection returns the first section of a kind. If the file has none, it returns a
 // section with the default values.
-func (f *File) First(schema *Schema, kind string) *Section {
-	if all := f.All(kind); len(all) > 0 {
+func (f *File) FirstSection(schema *Schema, kind string) *Section {
+	if all := f.SectionsOfKind(kind); len(all) > 0 {
 		return all[0]
 	}
 	return defaultSection(schema, kind)
 }
 
-// Refuse adds a problem with the value of a key. Other packages use it for
+// AddKeyProblem adds a problem with the value of a key. Other packages use it for
 // checks that involve several keys.
-func (f *File) Refuse(s *Section, key, reason, allowed string) {
+func (f *File) AddKeyProblem(s *Section, key, reason, allowed string) {
 	f.problems = append(f.problems, Problem{File: f.Name, Line: s.KeyLine(key), Section: s.Title(),
 		Key: key, Value: s.rawValues[key], Reason: reason, Allowed: allowed})
 }
 
-// RefuseSection adds a problem with a whole section.
-func (f *File) RefuseSection(s *Section, reason, allowed string) {
+// AddSectionProblem adds a problem with a whole section.
+func (f *File) AddSectionProblem(s *Section, reason, allowed string) {
 	f.problems = append(f.problems, Problem{File: f.Name, Line: s.Line, Section: s.Title(),
 		Reason: reason, Allowed: allowed})
 }
--- a/internal/inifile/keydoc.go
+++ b/internal/inifile/keydoc.go
@@ -9,10 +9,10 @@
 	Name    string
 	// Default is the default as written in the file. It is empty if the key is
 	// required or its default is an empty value.
-	Default  string
-	Required bool
-	Allowed  string
-	Meaning  string
+	Default     string
+	Required    bool
+	Allowed     string
+	Description string
 }
 
 // MarkdownRow returns the key as a row of a Markdown table with the columns
@@ -25,15 +25,15 @@
 	case k.Default == "":
 		value = "empty"
 	}
-	return fmt.Sprintf("| `%s` | %s | %s | %s |", k.Name, value, k.Allowed, k.Meaning)
+	return fmt.Sprintf("| `%s` | %s | %s | %s |", k.Name, value, k.Allowed, k.Description)
 }
 
-// Docs returns the documentation of every key in schema order.
-func (s *Schema) Docs() []KeyDoc {
+// KeyDocs returns the documentation of every key in schema order.
+func (s *Schema) KeyDocs() []KeyDoc {
 	docs := make([]KeyDoc, len(s.Keys))
 	for i, k := range s.Keys {
 		docs[i] = KeyDoc{Section: k.Section, Name: k.Name, Default: k.Default,
-			Required: k.Required, Allowed: k.Kind.Allowed(), Meaning: k.Meaning}
+			Required: k.Required, Allowed: k.Type.Allowed(), Description: k.Description}
 	}
 	return docs
 }
--- a/internal/inifile/kind.go
+++ b/internal/inifile/kind.go
@@ -1,7 +1,7 @@
 package inifile
 
-// Kind is the type of a key's value.
-type Kind interface {
+// ValueType is the type of a key's value.
+type ValueType interface {
 	// Parse returns the typed value. Its error states only what is wrong with the
 	// text. The accepted values are reported separately, in Problem.Allowed.
 	Parse(text string) (any, error)
--- a/internal/inifile/kinds.go
+++ b/internal/inifile/kinds.go
@@ -25,7 +25,7 @@
 // Int is a whole number from Min to Max; its value is an int.
 type Int struct{ Min, Max int }
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (k Int) Parse(text string) (any, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -37,13 +37,13 @@
 	return n, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (k Int) Allowed() string { return fmt.Sprintf("%d to %d", k.Min, k.Max) }
 
 // Decimal is a number from Min to Max, written like 0.1; its value is a float64.
 type Decimal struct{ Min, Max float64 }
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (k Decimal) Parse(text string) (any, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -55,14 +55,14 @@
 	return n, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (k Decimal) Allowed() string { return fmt.Sprintf("%v to %v", k.Min, k.Max) }
 
 // Duration is a time span from Min to Max, written like 250ms, 5s or 1m30s;
 // its value is a time.Duration.
 type Duration struct{ Min, Max time.Duration }
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (k Duration) Parse(text string) (any, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -74,13 +74,13 @@
 	return d, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (k Duration) Allowed() string { return fmt.Sprintf("%v to %v", k.Min, k.Max) }
 
 // Enum is one of the listed words; its value is a string.
 type Enum []string
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (k Enum) Parse(text string) (any, error) {
 	if !slices.Contains(k, text) {
 		return "", errNotListed
@@ -88,7 +88,7 @@
 	return text, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (k Enum) Allowed() string { return strings.Join(k, " or ") }
 
 // MaxNameLength is the maximum length of a name in bytes. PostgreSQL truncates
@@ -100,7 +100,7 @@
 // Name is an identifier; its value is a string.
 type Name struct{}
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (Name) Parse(text string) (any, error) {
 	if len(text) > MaxNameLength {
 		return "", errTooLong
@@ -111,7 +111,7 @@
 	return text, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (Name) Allowed() string {
 	return fmt.Sprintf("1 to %d of a-z, 0-9, - and _, not beginning with - or _", MaxNameLength)
 }
@@ -119,7 +119,7 @@
 // Text is any text up to Max bytes; its value is a string.
 type Text struct{ Max int }
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (k Text) Parse(text string) (any, error) {
 	if len(text) > k.Max {
 		return "", errTooLong
@@ -127,13 +127,13 @@
 	return text, nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (k Text) Allowed() string { return fmt.Sprintf("up to %d bytes", k.Max) }
 
 // Address is an IP address and port; its value is a string.
 type Address struct{}
 
-// Parse implements Kind.
+// Parse implements ValueType.
 func (Address) Parse(text string) (any, error) {
 	ap, err := netip.ParseAddrPort(text)
 	if err != nil || ap.Port() == 0 {
@@ -142,5 +142,5 @@
 	return ap.String(), nil
 }
 
-// Allowed implements Kind.
+// Allowed implements ValueType.
 func (Address) Allowed() string { return "IP:port, such as 10.1.0.4:5432 or [fd00::4]:5432" }
--- a/internal/inifile/page.go
+++ b/internal/inifile/page.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// ComparePage compares a Markdown page with the keys of a schema and returns the
+// CompareDocs compares a Markdown page with the keys of a schema and returns the
 // differences. For each section, the page must have a heading that begins with
 // the section in brackets, followed by the rows that KeyDoc.MarkdownRow returns
 // for its keys, in schema order.
-func ComparePage(page string, keys []KeyDoc) []string {
+func CompareDocs(page string, keys []KeyDoc) []string {
 	var differences []string
 	found := pageRows(page)
 	want := make(map[string][]string)
--- a/internal/inifile/read.go
+++ b/internal/inifile/read.go
@@ -16,8 +16,8 @@
 }
 
 // Read parses text and checks it against a schema. It returns no error: File.Err
-// returns the problems, together with those that other packages add by Refuse and
-// RefuseSection after Read.
+// returns the problems, together with those that other packages add by AddKeyProblem and
+// AddSectionProblem after Read.
 func Read(schema *Schema, name string, text []byte) *File {
 	f := &File{Name: name}
 	if len(text) > schema.MaxSize {
@@ -68,22 +68,22 @@
 	s.Name, s.Line = name, h.line
 	switch {
 	case !known:
-		r.file.RefuseSection(s, "unknown section", r.schema.sectionHeaders())
+		r.file.AddSectionProblem(s, "unknown section", r.schema.sectionHeaders())
 		return nil
 	case rule.Named && name == "":
-		r.file.RefuseSection(s, "the section needs a name", "["+kind+" NAME]")
+		r.file.AddSectionProblem(s, "the section needs a name", "["+kind+" NAME]")
 		return nil
 	case !rule.Named && name != "":
-		r.file.RefuseSection(s, "the section takes no name", "["+kind+"]")
+		r.file.AddSectionProblem(s, "the section takes no name", "["+kind+"]")
 		return nil
 	}
 	if rule.Named {
 		if _, err := (Name{}).Parse(name); err != nil {
-			r.file.RefuseSection(s, err.Error(), Name{}.Allowed())
+			r.file.AddSectionProblem(s, err.Error(), Name{}.Allowed())
 		}
 	}
 	if first, duplicate := r.firstLines[h.name]; duplicate {
-		r.file.RefuseSection(s, fmt.Sprintf("the section stands twice, first in line %d", first), "")
+		r.file.AddSectionProblem(s, fmt.Sprintf("the section stands twice, first in line %d", first), "")
 		return nil
 	}
 	r.firstLines[h.name] = h.line
@@ -98,7 +98,7 @@
 	}
 	for _, k := range r.schema.sectionKeys(s.Kind) {
 		if k.Required && !s.HasKey(k.Name) {
-			r.file.Refuse(s, k.Name, "the key is missing", k.Kind.Allowed())
+			r.file.AddKeyProblem(s, k.Name, "the key is missing", k.Type.Allowed())
 		}
 	}
 }
@@ -106,20 +106,20 @@
 func (r *reader) readKey(s *Section, name, text string) {
 	k, known := r.schema.findKey(s.Kind, name)
 	if !known {
-		r.file.Refuse(s, name, "unknown key", strings.Join(r.keyNames(s.Kind), ", "))
+		r.file.AddKeyProblem(s, name, "unknown key", strings.Join(r.keyNames(s.Kind), ", "))
 		return
 	}
 	if !k.Secret {
 		s.rawValues[name] = text
 	}
-	v, err := k.Kind.Parse(text)
+	v, err := k.Type.Parse(text)
 	s.values[name] = v
 	if err != nil {
 		reason := err.Error()
 		if text == "" {
 			reason = "the value is empty"
 		}
-		r.file.Refuse(s, name, reason, k.Kind.Allowed())
+		r.file.AddKeyProblem(s, name, reason, k.Type.Allowed())
 	}
 }
 
@@ -134,9 +134,9 @@
 // checkRequiredSections reports every required section that the file lacks.
 func (r *reader) checkRequiredSections() {
 	for _, rule := range r.schema.Sections {
-		if rule.Required && len(r.file.All(rule.Kind)) == 0 {
+		if rule.Required && len(r.file.SectionsOfKind(rule.Kind)) == 0 {
 			s := &Section{Kind: rule.Kind, Line: 1}
-			r.file.RefuseSection(s, "the section is missing", r.schema.sectionHeaders())
+			r.file.AddSectionProblem(s, "the section is missing", r.schema.sectionHeaders())
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	s := &Section{Kind: kind, Line: 1, values: make(map[string]any),
 		keyLines: make(map[string]int), rawValues: make(map[string]string)}
 	for _, k := range schema.sectionKeys(kind) {
-		v, err := k.Kind.Parse(k.Default)
+		v, err := k.Type.Parse(k.Default)
 		if err != nil && !k.Required && k.Default != "" {
 			panic(fmt.Sprintf("inifile: invalid default of %s.%s: %v", kind, k.Name, err))
 		}
--- a/internal/inifile/schema.go
+++ b/internal/inifile/schema.go
@@ -4,14 +4,14 @@
 type Key struct {
 	Section string
 	Name    string
-	Kind    Kind
+	Type    ValueType
 	// Default is the value of an absent key, as written in the file.
 	Default string
 	// Required is set for a key that has no default and must be present.
 	Required bool
 	// Secret is set for a value that must not appear in errors.
-	Secret  bool
-	Meaning string
+	Secret      bool
+	Description string
 }
 
 // SectionRule describes one kind of section, which the first word of its header names.
--- a/internal/instance/administration.go
+++ b/internal/instance/administration.go
@@ -21,7 +21,7 @@
 		Build:         build.Version(),
 	}
 	stored := adminDocuments{n.store}
-	parts := adminapi.Parts{
+	parts := adminapi.Dependencies{
 		Identity:   identity,
 		Documents:  stored,
 		Fleet:      adminapi.NewPeerFleet(identity, adminInventory{n}, n.client, stored),
@@ -41,7 +41,7 @@
 // what is in force.
 type adminInventory struct{ instance *Instance }
 
-// Inventory implements adminapi.Inventory.
+// Inventory implements adminapi.InventoryReader.
 func (i adminInventory) Inventory(ctx context.Context) (platform.Inventory, error) {
 	list, err := i.instance.options.Platform.Inventory(ctx)
 	if err != nil {
@@ -64,7 +64,7 @@
 
 // Get implements adminapi.Documents.
 func (d adminDocuments) Get(ctx context.Context, name string) (adminapi.Document, error) {
-	a, err := d.store.Newest(ctx, name)
+	a, err := d.store.Highest(ctx, name)
 	if err != nil {
 		return adminapi.Document{}, err
 	}
@@ -119,7 +119,7 @@
 			Total:  h.group.Connections,
 			Share:  h.share.Limit().Connections,
 			Slots:  h.share.Limit().Slots,
-			Seated: h.share.Seated(),
+			Seated: h.share.HoldsShare(),
 			InUse:  s.InUse,
 			Idle:   s.Idle,
 		})
@@ -133,14 +133,14 @@
 func (a adminWorkspaces) Workspaces() []adminapi.WorkspaceView {
 	var all []adminapi.WorkspaceView
 	for _, w := range a.instance.documents.Workspaces().All() {
-		use := a.instance.quotaGuard.UseOf(w.Name)
+		use := a.instance.quotaGuard.Usage(w.Name)
 		all = append(all, adminapi.WorkspaceView{
-			Name:           w.Name,
-			Priority:       w.Priority,
-			Rate:           w.Limit.Rate,
-			Burst:          w.Limit.Burst,
-			BegunPerSecond: use.PerSecond,
-			Refused:        use.Refused,
+			Name:               w.Name,
+			Priority:           w.Priority,
+			Rate:               w.Limit.Rate,
+			Burst:              w.Limit.Burst,
+			RequestedPerSecond: use.PerSecond,
+			Refused:            use.Refused,
 		})
 	}
 	return all
@@ -198,7 +198,7 @@
 		return true
 	}
 	for _, m := range s.Members {
-		if m.SeenAt.IsZero() && m.Failing.IsZero() {
+		if m.ReportedAt.IsZero() && m.FailingSince.IsZero() {
 			return false
 		}
 	}
--- a/internal/instance/administration_test.go
+++ b/internal/instance/administration_test.go
@@ -16,8 +16,8 @@
 func TestGroupWithoutMembersDoesNotDelayReadiness(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1, 0)
-	is.True(!membersProbed(&group.Snapshot{Members: []group.MemberView{{}, {Failing: now}}})) // one was not probed yet
-	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{SeenAt: now}, {Failing: now}}}))
-	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{Failing: now}, {Failing: now}}}))
+	is.True(!membersProbed(&group.Snapshot{Members: []group.MemberView{{}, {FailingSince: now}}})) // one was not probed yet
+	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{ReportedAt: now}, {FailingSince: now}}}))
+	is.True(membersProbed(&group.Snapshot{Members: []group.MemberView{{FailingSince: now}, {FailingSince: now}}}))
 	is.True(membersProbed(&group.Snapshot{Term: 1, Members: []group.MemberView{{}}}))
 }
--- a/internal/instance/cancel.go
+++ b/internal/instance/cancel.go
@@ -35,7 +35,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, p := range n.members.Peers() {
-		if frontend.ProcessIDPrefix(p.ID) != frontend.PrefixOf(processID) {
+		if frontend.ProcessIDPrefix(p.ID) != frontend.PrefixOfProcessID(processID) {
 			continue
 		}
 		err := n.client.Call(ctx, p.PeerAddress, methodCancelCaller, cancelParams{ProcessID: processID, Secret: secret}, nil)
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -119,7 +119,7 @@
 }
 
 func (tc *testCluster) startMembers() {
-	base := member.Options{ConnectDelay: 10 * time.Millisecond, ReplicationLag: testReplicationLag, ConnectionTotal: 35}
+	base := member.Options{ConnectDelay: 10 * time.Millisecond, ReplicationLag: testReplicationLag, MaxConnections: 35}
 	network := func(ip string) netio.Network { return tc.net.Host(ip) }
 	nodes, err := member.StartGroup(base, network, memberAddress(0), memberAddress(1), memberAddress(2))
 	tc.is.NoErr(err)
--- a/internal/instance/documents.go
+++ b/internal/instance/documents.go
@@ -18,11 +18,11 @@
 	// Ready reports whether the services are known.
 	Ready() bool
 	// Groups returns the groups of all services.
-	Groups() []GroupInForce
+	Groups() []VersionedGroup
 	// Workspaces returns the workspaces in force, or nil if callers belong to none.
 	Workspaces() *workspace.Table
-	// Leaving reports whether a member must not get new work.
-	Leaving(address string) bool
+	// IsLeaving reports whether a member must not get new work.
+	IsLeaving(address string) bool
 	// Subscribe calls f after each change. f must not block.
 	Subscribe(f func())
 	// Run keeps the services up to date until ctx ends.
@@ -35,8 +35,8 @@
 	UseSharing(s *objectwatch.Sharing)
 }
 
-// GroupInForce is a group and the version of the document that defines it.
-type GroupInForce struct {
+// VersionedGroup is a group and the version of the document that defines it.
+type VersionedGroup struct {
 	document.Group
 	Version int64
 }
@@ -62,7 +62,7 @@
 	for _, a := range d.store.All() {
 		for _, w := range a.Service.Workspaces {
 			entry := w.Workspace
-			entry.Name = a.Service.FullName(w)
+			entry.Name = a.Service.WorkspaceFullName(w)
 			entries = append(entries, workspace.Entry{Workspace: entry})
 		}
 	}
@@ -83,18 +83,18 @@
 func (d *storedDocuments) Ready() bool { return d.store.Ready() }
 
 // Groups implements Documents.
-func (d *storedDocuments) Groups() []GroupInForce {
-	var all []GroupInForce
+func (d *storedDocuments) Groups() []VersionedGroup {
+	var all []VersionedGroup
 	for _, a := range d.store.All() {
 		for _, g := range a.Service.Groups {
-			all = append(all, GroupInForce{Group: g, Version: a.Version})
+			all = append(all, VersionedGroup{Group: g, Version: a.Version})
 		}
 	}
 	return all
 }
 
-// Leaving implements Documents.
-func (d *storedDocuments) Leaving(address string) bool { return d.members.Leaving(address) }
+// IsLeaving implements Documents.
+func (d *storedDocuments) IsLeaving(address string) bool { return d.members.IsUpstreamLeaving(address) }
 
 // Subscribe implements Documents.
 func (d *storedDocuments) Subscribe(f func()) { d.store.Subscribe(func(config.Applied) { f() }) }
--- a/internal/instance/domainwatch.go
+++ b/internal/instance/domainwatch.go
@@ -73,7 +73,7 @@
 
 // isDomainProber reports whether this instance has the duty to probe other failure domains.
 func (n *Instance) isDomainProber() bool {
-	_, self := objectwatch.OnDuty(n.members, domainProbeDuty, probersPerDomain)
+	_, self := objectwatch.SelectLocal(n.members, domainProbeDuty, probersPerDomain)
 	return self
 }
 
@@ -82,7 +82,7 @@
 // channel answers.
 func (n *Instance) probeOtherDomains(ctx context.Context, round int, answers chan<- string) {
 	byDomain := make(map[string][]platform.Instance)
-	for _, i := range n.members.Pick(domainProbeDuty, probersPerDomain) {
+	for _, i := range n.members.PickInstances(domainProbeDuty, probersPerDomain) {
 		if i.FailureDomain != n.self().FailureDomain {
 			byDomain[i.FailureDomain] = append(byDomain[i.FailureDomain], i)
 		}
--- a/internal/instance/failover.go
+++ b/internal/instance/failover.go
@@ -16,24 +16,24 @@
 		Instances:          instances,
 		View:               w,
 		Platform:           n.options.Platform,
-		Dialer:             n.protocol.Control(g.Name),
+		Dialer:             n.protocol.ControlDialer(g.Name),
 		Settings:           n.protocol.Failover,
-		MembersNumberTerms: n.protocol.MembersNumberTerms,
+		MembersAssignTerms: n.protocol.MembersAssignTerms,
 		Witness:            failover.NewPeerWitness(n.client, n.self(), instances, n.random("witness/"+g.Name)),
 		Clock:              n.options.Clock,
 		Rand:               n.random("failover/" + g.Name),
 		Logger:             n.options.Logger,
 		Metrics:            n.metrics.failover,
 		OnFailover:         n.options.OnFailover,
-		Hook:               n.options.FailoverHook,
+		OnStep:             n.options.FailoverHook,
 	})
 }
 
 // serveWitness registers the handler for peers that ask whether this instance sees a
 // primary.
 func (n *Instance) serveWitness() {
-	detect := failover.DefaultSettings().Detect
-	failover.ServeWitness(n.peers, n.options.Clock, detect, func(name string) (failover.View, bool) {
+	detect := failover.DefaultSettings().DetectionTime
+	failover.RegisterWitnessHandler(n.peers, n.options.Clock, detect, func(name string) (failover.View, bool) {
 		h := n.home(name)
 		if h == nil {
 			return nil, false
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -29,7 +29,7 @@
 	{"slow network", func(tc *testCluster) { tc.setLatency(30 * time.Millisecond) }, func(tc *testCluster) { tc.setLatency(0) }},
 	{"platform down", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{Outage: true}) }, (*testCluster).healPlatform},
 	{"platform slow", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{Delay: 300 * time.Millisecond}) }, (*testCluster).healPlatform},
-	{"platform answer lost", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{LoseAnswers: 3}) }, (*testCluster).healPlatform},
+	{"platform answer lost", func(tc *testCluster) { tc.store.SetFaults(standin.Faults{LoseResponses: 3}) }, (*testCluster).healPlatform},
 	{"operator race", (*testCluster).raceOperators, func(*testCluster) {}},
 	{"silent connections", (*testCluster).silenceConnections, func(*testCluster) {}},
 	{"instance list wrong", (*testCluster).publishWrongList, (*testCluster).restoreList},
@@ -51,7 +51,7 @@
 // keep running in the test process but can reach nothing.
 func (tc *testCluster) killInstance(i int) {
 	tc.net.Kill(instanceHost(i))
-	tc.views[i].SetAway(true)
+	tc.views[i].SetDisconnected(true)
 }
 
 // replaceInstance starts a new process at the address of a killed one.
@@ -97,12 +97,12 @@
 // can still reach it.
 func (tc *testCluster) cutDomain() {
 	tc.eachPair(tc.net.Cut)
-	tc.views[0].SetAway(true)
+	tc.views[0].SetDisconnected(true)
 }
 
 func (tc *testCluster) healDomain() {
 	tc.eachPair(tc.net.Heal)
-	tc.views[0].SetAway(false)
+	tc.views[0].SetDisconnected(false)
 }
 
 // cutOneWay drops everything that a host sends to the other failure domains.
@@ -145,8 +145,8 @@
 // silenceConnections makes every open connection of poa-a silent permanently; new ones
 // work.
 func (tc *testCluster) silenceConnections() {
-	tc.eachPair(tc.net.Silence)
-	tc.net.Silence(instanceHost(0), memberHost(0))
+	tc.eachPair(tc.net.BlackholeConnections)
+	tc.net.BlackholeConnections(instanceHost(0), memberHost(0))
 }
 
 // publishWrongList publishes a list that lacks the instance of poa-a, which still runs, and
--- a/internal/instance/forward_test.go
+++ b/internal/instance/forward_test.go
@@ -65,7 +65,7 @@
 		tc.exec(c, "INSERT INTO kv (k, v) VALUES ('a', '1')")
 		for i := range tc.instances {
 			if i != at {
-				tc.net.Silence(instanceHost(at), instanceHost(i))
+				tc.net.BlackholeConnections(instanceHost(at), instanceHost(i))
 			}
 		}
 		start := time.Now()
@@ -144,7 +144,7 @@
 		tc.nodes[2].SetReplicationLag(time.Second)
 		reader := tc.mustConnect(2, "")
 		tc.exec(reader, "BEGIN")
-		tc.net.Silence(instanceHost(2), memberHost(0))
+		tc.net.BlackholeConnections(instanceHost(2), memberHost(0))
 		_, err := reader.Exec(ctx, "SELECT 1")
 		tc.is.True(err != nil)
 		_, err = reader.Exec(ctx, "ROLLBACK")
--- a/internal/instance/home.go
+++ b/internal/instance/home.go
@@ -44,16 +44,16 @@
 func (n *Instance) newHome(g document.Group, version int64) *home {
 	h := &home{group: g, router: n.router}
 	h.watcher = group.NewWatcher(group.Config{
-		Group:     g.Name,
-		Members:   g.Members,
-		Size:      g.Size,
-		Clock:     n.options.Clock,
-		Rand:      n.random("watcher/" + g.Name),
-		Dialer:    n.protocol.Control(g.Name),
-		Intervals: n.protocol.Intervals,
-		Logger:    n.options.Logger,
-		Metrics:   n.metrics.group,
-		OnSilence: func(since time.Time) { h.pool.ProbeIdle(since) },
+		Group:              g.Name,
+		Members:            g.Members,
+		MinSize:            g.MinSize,
+		Clock:              n.options.Clock,
+		Rand:               n.random("watcher/" + g.Name),
+		Dialer:             n.protocol.ControlDialer(g.Name),
+		Intervals:          n.protocol.Intervals,
+		Logger:             n.options.Logger,
+		Metrics:            n.metrics.group,
+		OnSilentConnection: func(since time.Time) { h.pool.ProbeIdle(since) },
 	})
 	h.claimer = n.newClaimer(g, h.watcher)
 	h.pool = n.newPool(g)
@@ -64,7 +64,7 @@
 		Logger:  n.options.Logger,
 		Metrics: n.metrics.admission,
 	}
-	if n.protocol.Wire.SlotIsConnection {
+	if n.protocol.Wire.SlotPerConnection {
 		h.perMemberGate = admission.NewPerMember(gate)
 	} else {
 		h.gate = admission.New(gate)
@@ -143,15 +143,15 @@
 // newShare returns the home's share of the group's connections. It is allocated in the
 // group's ledger on the platform, or divided evenly if members limit their own connections.
 func (n *Instance) newShare(g document.Group, version int64, h *home) connectionShare {
-	if n.protocol.MemberShares {
-		e := &shares.Even{
-			Clock:       n.options.Clock,
-			Linger:      n.protocol.Linger,
-			Connections: shares.Pool(h.pool),
-			Each:        h.setMemberLimit,
-			Control:     controlConnsPerMember,
-			Part:        func(total int) int { return n.connectionShareOf(g.Name, total) },
-			SeatChanged: h.shareChanged,
+	if n.protocol.MembersLimitConnections {
+		e := &shares.EqualShare{
+			Clock:                 n.options.Clock,
+			LostConnectionTimeout: n.protocol.ConnectionLinger,
+			Connections:           shares.PoolResource(h.pool),
+			SetPerMember:          h.setMemberLimit,
+			ControlPerMember:      controlConnsPerMember,
+			PartOf:                func(total int) int { return n.connectionShareOf(g.Name, total) },
+			OnHeldChanged:         h.shareChanged,
 		}
 		e.SetAllocation(allocation(g, version))
 		return e
@@ -167,18 +167,18 @@
 
 func (n *Instance) newShareManager(g document.Group, version int64, h *home) *shares.Manager {
 	return shares.New(shares.Config{
-		Group:       g.Name,
-		Self:        n.holder,
-		Clock:       n.options.Clock,
-		Rand:        n.random("shares/" + g.Name),
-		Platform:    n.options.Platform,
-		Peers:       n.client,
-		Logger:      n.options.Logger,
-		Metrics:     n.metrics.shares,
-		Connections: shares.Pool(h.pool),
-		Slots:       shares.Gate(h.gate),
-		Control:     len(g.Members),
-		SeatChanged: h.shareChanged,
+		Group:              g.Name,
+		Self:               n.holder,
+		Clock:              n.options.Clock,
+		Rand:               n.random("shares/" + g.Name),
+		Platform:           n.options.Platform,
+		Peers:              n.client,
+		Logger:             n.options.Logger,
+		Metrics:            n.metrics.shares,
+		Connections:        shares.PoolResource(h.pool),
+		Slots:              shares.GateResource(h.gate),
+		ControlConnections: len(g.Members),
+		OnHeldChanged:      h.shareChanged,
 	}, allocation(g, version))
 }
 
@@ -187,10 +187,10 @@
 // instances.
 func allocation(g document.Group, version int64) shares.Allocation {
 	a := shares.Allocation{
-		Document:  version,
-		Total:     shares.Amount{Connections: g.Connections, Slots: g.Slots},
-		Members:   len(g.Members),
-		PerMember: g.MemberConnections,
+		DocumentVersion: version,
+		Total:           shares.Amount{Connections: g.Connections, Slots: g.Slots},
+		Members:         len(g.Members),
+		PerMember:       g.MemberConnections,
 	}
 	for _, m := range g.Members {
 		a.FailureDomains = append(a.FailureDomains, m.FailureDomain)
@@ -209,7 +209,7 @@
 // released.
 func (h *home) shareChanged(held bool) {
 	if !held {
-		h.router.Retire(h.group.Name)
+		h.router.RetireGroup(h.group.Name)
 		h.stopComponents()
 		return
 	}
@@ -217,7 +217,7 @@
 	h.cancelComponents = cancel
 	h.components.Go(func() { h.watcher.Run(ctx) })
 	h.components.Go(func() { h.claimer.Run(ctx) })
-	h.router.Add(h.executor)
+	h.router.AddGroup(h.executor)
 	h.components.Go(func() { h.executor.Run(ctx) })
 }
 
--- a/internal/instance/homecount_test.go
+++ b/internal/instance/homecount_test.go
@@ -72,7 +72,7 @@
 // instances has twice as many groups.
 func BenchmarkHomeCounts(b *testing.B) {
 	live := fleetOf(295, 5)
-	groups := make([]GroupInForce, 2*len(live))
+	groups := make([]VersionedGroup, 2*len(live))
 	for i := range groups {
 		groups[i].Group = document.Group{Name: fmt.Sprint(i), MemberConnections: 125, Members: make([]document.Member, 3), Slots: 15}
 	}
--- a/internal/instance/homeload_test.go
+++ b/internal/instance/homeload_test.go
@@ -94,16 +94,16 @@
 // request runs one operation at the member through a home's gate.
 func (l *loadModel) request(gate *admission.PerMember, work, pause time.Duration) {
 	began := time.Now()
-	slot, err := gate.Enter(context.Background(), admission.Request{
+	slot, err := gate.Acquire(context.Background(), admission.Request{
 		Class: "read", Priority: 2, MaxQueue: 500, Member: "m",
-		WantedBy: began.Add(loadModelObjective), Deadline: began.Add(loadModelTimeout),
+		ObjectiveDeadline: began.Add(loadModelObjective), Deadline: began.Add(loadModelTimeout),
 	})
 	if err == nil {
 		defer slot.Release()
 		l.slots <- struct{}{}
 		_ = clock.Sleep(context.Background(), clock.System{}, work)
 		<-l.slots
-		slot.Answered()
+		slot.MarkAnswered()
 	}
 	l.recordResult(err == nil && time.Since(began) <= loadModelObjective)
 	if err == nil {
--- a/internal/instance/homes.go
+++ b/internal/instance/homes.go
@@ -44,7 +44,7 @@
 	wanted := n.wantedGroups()
 	for name, h := range n.homesCopy() {
 		w, ok := wanted[name]
-		if !ok || !n.protocol.MembersChange && !sameMembers(w.Group, h.group) {
+		if !ok || !n.protocol.DynamicMembers && !sameMembers(w.Group, h.group) {
 			n.retire(ctx, h)
 		}
 	}
@@ -62,7 +62,7 @@
 // updateHomeCounts sets how many instances are homes to each group, if members limit their
 // own connections.
 func (n *Instance) updateHomeCounts() {
-	if !n.protocol.MemberShares {
+	if !n.protocol.MembersLimitConnections {
 		return
 	}
 	n.members.SetHomeCounts(homeCounts(n.documents.Groups(), fleetSizeOf(n.members.Live())))
@@ -70,7 +70,7 @@
 
 // homeCounts returns the number of homes per failure domain for each group. Groups whose
 // members do not limit their connections are left out.
-func homeCounts(groups []GroupInForce, fleet fleetSize) map[string]int {
+func homeCounts(groups []VersionedGroup, fleet fleetSize) map[string]int {
 	counts := make(map[string]int)
 	for _, g := range groups {
 		if count := homesPerDomain(g.Group, fleet); count > 0 {
@@ -85,17 +85,17 @@
 // instance that starts during an outage of the platform would use all connections.
 func (n *Instance) connectionShareOf(group string, total int) int {
 	share := evenShare(total, n.members.Homes(group), n.self())
-	if !n.members.Known() {
+	if !n.members.IsLoaded() {
 		return min(share, defaultShare)
 	}
 	return share
 }
 
 // wantedGroups returns the groups that this instance should be home to.
-func (n *Instance) wantedGroups() map[string]GroupInForce {
-	wanted := make(map[string]GroupInForce)
+func (n *Instance) wantedGroups() map[string]VersionedGroup {
+	wanted := make(map[string]VersionedGroup)
 	groups := n.documents.Groups()
-	if n.registry != nil && n.listWait.pending(n.options.Clock.Now(), len(groups), n.members.Known()) {
+	if n.registry != nil && n.listWait.pending(n.options.Clock.Now(), len(groups), n.members.IsLoaded()) {
 		return wanted
 	}
 	for _, g := range groups {
@@ -110,7 +110,7 @@
 
 // addHome starts a home. It returns nil while an earlier home of the group is still
 // stopping, because the two would use the connections of two shares.
-func (n *Instance) addHome(w GroupInForce) *home {
+func (n *Instance) addHome(w VersionedGroup) *home {
 	n.mu.Lock()
 	stopping := n.stopping[w.Name]
 	n.mu.Unlock()
@@ -128,15 +128,15 @@
 
 // updateHome applies what may change while a home runs: the group's limits and members, and
 // which members are leaving.
-func (n *Instance) updateHome(h *home, w GroupInForce) {
+func (n *Instance) updateHome(h *home, w VersionedGroup) {
 	var leaving []string
 	for _, m := range w.Members {
-		if n.documents.Leaving(m.Address) {
+		if n.documents.IsLeaving(m.Address) {
 			leaving = append(leaving, m.Address)
 		}
 	}
-	if n.protocol.MembersChange {
-		h.watcher.SetMembers(w.Members, w.Size)
+	if n.protocol.DynamicMembers {
+		h.watcher.SetMembers(w.Members, w.MinSize)
 	}
 	h.watcher.SetLeaving(leaving)
 	h.pool.SetLeaving(leaving)
@@ -146,7 +146,7 @@
 // retire rejects new units at once. The home stops when its running units and open
 // transactions have ended.
 func (n *Instance) retire(ctx context.Context, h *home) {
-	n.router.Retire(h.group.Name)
+	n.router.RetireGroup(h.group.Name)
 	n.mu.Lock()
 	delete(n.homesByGroup, h.group.Name)
 	n.stopping[h.group.Name] = true
@@ -162,7 +162,7 @@
 			break
 		}
 	}
-	n.router.Remove(h.executor)
+	n.router.RemoveGroup(h.executor)
 	n.stopHome(ctx, h)
 	n.mu.Lock()
 	delete(n.stopping, h.group.Name)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -57,7 +57,7 @@
 	router   *executor.Router
 	// quotaGuard enforces the limits of workspaces.
 	quotaGuard *quota.Guard
-	callers    Callers
+	callers    CallerServer
 	admin      *adminapi.Server
 	// reconcileRequested triggers a reconciliation of homes; it holds at most one request.
 	reconcileRequested chan struct{}
@@ -133,10 +133,10 @@
 	}, n.peers)
 	if o.SelfRegister {
 		n.registry = registry.New(registry.Config{
-			API: o.Platform, Entries: sharing.API(platform.KindInstances, 0), Self: n.self(), List: n.members, Clock: o.Clock, Seed: o.Seed, Log: o.Logger,
+			API: o.Platform, EntriesAPI: sharing.API(platform.KindInstances, 0), Self: n.self(), InstanceSink: n.members, Clock: o.Clock, Seed: o.Seed, Log: o.Logger,
 			Peers: n.client,
 		})
-		n.registry.Register(n.peers)
+		n.registry.RegisterHandlers(n.peers)
 	}
 	n.documents = o.Documents
 	if n.documents == nil {
@@ -152,13 +152,13 @@
 	n.router = executor.NewRouter(s.Instance.ID, s.Peer.Address, homeLookup{n.members}, n.client, o.Clock, n.metrics.executor)
 	n.router.Register(n.peers)
 	n.quotaGuard = n.newQuotaGuard()
-	n.callers = n.protocol.Callers(CallerParts{
-		Executor:   quota.Executor{Executor: n.router, Guard: n.quotaGuard, Clock: o.Clock},
-		EndUnits:   n.router.EndUnits,
-		Clock:      o.Clock,
-		Logger:     o.Logger,
-		Registry:   o.Registry,
-		MaxCallers: s.Caller.MaxCallers,
+	n.callers = n.protocol.Callers(CallerServerConfig{
+		Executor:    quota.Executor{Executor: n.router, Guard: n.quotaGuard, Clock: o.Clock},
+		CancelUnits: n.router.InterruptUnits,
+		Clock:       o.Clock,
+		Logger:      o.Logger,
+		Registry:    o.Registry,
+		MaxCallers:  s.Caller.MaxCallers,
 	})
 	n.serveWitness()
 	n.serveReach()
@@ -203,7 +203,7 @@
 	defer stop()
 	n.documents.Subscribe(n.requestReconcile)
 	n.members.Subscribe(n.requestReconcile)
-	n.members.Subscribe(n.quotaGuard.Observe)
+	n.members.Subscribe(n.quotaGuard.UpdateInstances)
 	n.running.Go(func() { n.followInstances(background) })
 	n.running.Go(func() { _ = n.documents.Run(background) })
 	n.reconciling.Go(func() { n.runHomes(background) })
@@ -239,7 +239,7 @@
 	if n.registry == nil {
 		return
 	}
-	if err := n.registry.Withdraw(ctx); err != nil {
+	if err := n.registry.RemoveOwnEntry(ctx); err != nil {
 		n.options.Logger.Info("The instance's entry was not removed.", "error", err)
 	}
 }
@@ -278,7 +278,7 @@
 	// Callers still connect, and peers still send units, until the balancer has noticed
 	// that the instance is not ready.
 	_ = clock.Sleep(ctx, n.options.Clock, limits.Linger)
-	if !n.protocol.MemberShares {
+	if !n.protocol.MembersLimitConnections {
 		n.members.SetDraining()
 	}
 	// From now on, callers that connect are told to use another instance; the listener is
--- a/internal/instance/invariants_test.go
+++ b/internal/instance/invariants_test.go
@@ -53,11 +53,11 @@
 	}
 	for _, n := range tc.nodes {
 		s := n.Status()
-		if s.Role == member.RolePrimary && (best == nil || uint64(s.Entered) > best.term) {
+		if s.Role == member.RolePrimary && (best == nil || uint64(s.EnteredTerm) > best.term) {
 			best = &struct {
 				term uint64
 				rows map[string]string
-			}{uint64(s.Entered), n.Rows("kv")}
+			}{uint64(s.EnteredTerm), n.Rows("kv")}
 		}
 	}
 	if best == nil {
--- a/internal/instance/metricspage_test.go
+++ b/internal/instance/metricspage_test.go
@@ -30,7 +30,7 @@
 	newMetrics(r)
 	frontend.NewMetrics(r)
 	directory.NewMetrics(r)
-	platform.NewCounted(nil, r)
+	platform.NewInstrumentedAPI(nil, r)
 	logqueue.New(io.Discard, r).Close()
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
--- a/internal/instance/options.go
+++ b/internal/instance/options.go
@@ -25,7 +25,7 @@
 	// Registry collects the instance's metrics.
 	Registry *prometheus.Registry
 	// OnFailover, if set, is called after every failover that this instance completed.
-	OnFailover func(failover.Gap)
+	OnFailover func(failover.Timings)
 	// Protocol is the protocol of callers and members; nil means PostgreSQL.
 	Protocol *Protocol
 	// Documents provides the services in force; nil means the product's own document
--- a/internal/instance/postgres.go
+++ b/internal/instance/postgres.go
@@ -15,9 +15,9 @@
 	s := n.options.Settings
 	control := pgcontrol.NewDialer(n.options.Network, pgcontrol.Options{User: s.Upstream.User, Password: s.Upstream.Password})
 	return Protocol{
-		Open:    n.openPostgres,
-		Control: func(string) member.Dialer { return control },
-		Callers: n.postgresCallers,
+		Open:          n.openPostgres,
+		ControlDialer: func(string) member.Dialer { return control },
+		Callers:       n.postgresCallers,
 	}
 }
 
@@ -43,18 +43,18 @@
 	return product + " " + workspace
 }
 
-func (n *Instance) postgresCallers(p CallerParts) Callers {
+func (n *Instance) postgresCallers(p CallerServerConfig) CallerServer {
 	f := frontend.NewServer(frontend.Config{
 		Instance:       n.options.Settings.Instance.ID,
 		Directory:      n.documents,
 		Executor:       p.Executor,
-		EndUnits:       p.EndUnits,
+		CancelUnits:    p.CancelUnits,
 		Clock:          p.Clock,
 		Logger:         p.Logger,
 		Metrics:        frontend.NewMetrics(p.Registry),
 		MaxCallers:     p.MaxCallers,
 		StartupTimeout: n.options.Settings.Caller.StartupTimeout,
-		ForeignCancel:  n.forwardCancel,
+		ForwardCancel:  n.forwardCancel,
 	})
 	n.registerCancel(f)
 	return f
--- a/internal/instance/protocol.go
+++ b/internal/instance/protocol.go
@@ -22,45 +22,45 @@
 	Wire wire.Features
 	// Open opens a connection to a member of a group for statements of a workspace.
 	Open func(ctx context.Context, group, address, workspace string) (wire.Conn, error)
-	// Control opens control connections to members of a group.
-	Control func(group string) member.Dialer
+	// ControlDialer opens control connections to members of a group.
+	ControlDialer func(group string) member.Dialer
 	// Callers builds the server for callers.
-	Callers func(CallerParts) Callers
+	Callers func(CallerServerConfig) CallerServer
 	// Intervals and Failover configure how groups are followed and failed over; zero
 	// values select the packages' defaults.
 	Intervals group.Intervals
 	Failover  failover.Settings
-	// MembersNumberTerms and ConfirmationAge are passed to packages failover and
+	// MembersAssignTerms and ConfirmationAge are passed to packages failover and
 	// execution.
-	MembersNumberTerms bool
+	MembersAssignTerms bool
 	ConfirmationAge    time.Duration
 	// TrimInterval is how often pools close idle connections that were not needed; zero
 	// disables this.
 	TrimInterval time.Duration
-	// MembersChange is set if members join and leave a running group through their own
+	// DynamicMembers is set if members join and leave a running group through their own
 	// entries, without a new document.
-	MembersChange bool
-	// MemberShares is set if each member limits the total number of its connections and
+	DynamicMembers bool
+	// MembersLimitConnections is set if each member limits the total number of its connections and
 	// refuses further ones without harm. An even share of a member's connections then
 	// needs no ledger on the platform.
-	MemberShares bool
-	// Linger is how long members still count a connection whose peer has vanished.
-	Linger time.Duration
+	MembersLimitConnections bool
+	// ConnectionLinger is how long members still count a connection whose peer has vanished.
+	ConnectionLinger time.Duration
 }
 
-// CallerParts holds what the instance provides to the server for callers.
-type CallerParts struct {
+// CallerServerConfig holds what the instance provides to the server for callers.
+type CallerServerConfig struct {
 	Executor execution.Executor
-	// EndUnits aborts the units that members are running; their outcome is then unknown.
-	EndUnits   func()
-	Clock      clock.Clock
-	Logger     hclog.Logger
-	Registry   prometheus.Registerer
-	MaxCallers int
+	// CancelUnits aborts the units that members are running; their outcome is then unknown.
+	CancelUnits func()
+	Clock       clock.Clock
+	Logger      hclog.Logger
+	Registry    prometheus.Registerer
+	MaxCallers  int
 }
 
-// Callers is the server for callers.
-type Callers interface {
+// CallerServer is the server for callers.
+type CallerServer interface {
 	// Serve accepts callers until the listener is closed.
 	Serve(net.Listener) error
 	// Drain ends sessions as they become idle, and closes the remaining ones when ctx
--- a/internal/instance/reachpeers.go
+++ b/internal/instance/reachpeers.go
@@ -46,7 +46,7 @@
 func (n *Instance) ownReach() reachCounts {
 	var r reachCounts
 	for _, h := range n.homesCopy() {
-		r.addGroup(h.watcher.Snapshot().MajorityAnswers())
+		r.addGroup(h.watcher.Snapshot().QuorumReachable())
 	}
 	return r
 }
--- a/internal/instance/reachwatch.go
+++ b/internal/instance/reachwatch.go
@@ -12,9 +12,9 @@
 	hintedReachInterval = 20 * time.Millisecond
 )
 
-// dismisser is implemented by Callers that can disconnect idle callers, so that they
+// dismisser is implemented by a CallerServer that can disconnect idle callers, so that they
 // reconnect to other instances.
-type dismisser interface{ Dismiss() }
+type dismisser interface{ DisconnectIdle() }
 
 // sleepOrWake waits for d or until it is woken, and reports whether it was woken. It
 // returns an error when ctx ends.
@@ -61,7 +61,7 @@
 			n.options.Logger.Info("Instance reaches most groups again.", "groups", sum.Groups, "reached", sum.Reached)
 		case reachDismissCallers:
 			if d, ok := n.callers.(dismisser); ok {
-				d.Dismiss()
+				d.DisconnectIdle()
 				n.options.Logger.Info("Idle callers are sent elsewhere.")
 			}
 		}
--- a/internal/instance/requestkeys_test.go
+++ b/internal/instance/requestkeys_test.go
@@ -28,7 +28,7 @@
 		tc.nodes[0].SetHook(func(point string) {
 			if point == "commit.after_before_answer" {
 				tc.nodes[0].SetHook(func(string) {})
-				tc.net.Silence(instanceHost(0), memberHost(0))
+				tc.net.BlackholeConnections(instanceHost(0), memberHost(0))
 			}
 		})
 		_, err := c.Exec(ctx, payFee)
@@ -156,7 +156,7 @@
 						time.Sleep(time.Second)
 						return
 					}
-					tc.net.Silence(instanceHost(1), memberHost(0))
+					tc.net.BlackholeConnections(instanceHost(1), memberHost(0))
 				})
 				tc.is.Equal(sqlState(tx.Commit(ctx)), want)
 				tc.is.Equal(c.PgConn().TxStatus(), byte('I'))
@@ -190,7 +190,7 @@
 				tc.net.Cut(in, instanceHost(i))
 			}
 		}
-		tc.views[1].SetAway(true)
+		tc.views[1].SetDisconnected(true)
 		tc.is.Equal(<-done, "TU003")
 		tc.is.True(time.Since(start) < 2*time.Second)
 		start = time.Now()
--- a/internal/instance/share.go
+++ b/internal/instance/share.go
@@ -15,5 +15,5 @@
 	// SetAllocation applies a newer version of the group's limits.
 	SetAllocation(shares.Allocation)
 	Limit() shares.Amount
-	Seated() bool
+	HoldsShare() bool
 }
--- a/internal/instance/workspace_test.go
+++ b/internal/instance/workspace_test.go
@@ -69,7 +69,7 @@
 		}
 		tc.is.True(served >= 20 && served <= 40)
 		tc.is.Equal(served+refused, 100)
-		use := tc.instances[0].quotaGuard.UseOf("base/north")
+		use := tc.instances[0].quotaGuard.Usage("base/north")
 		tc.is.Equal(use.Refused, uint64(refused))
 	})
 }
--- a/internal/logpos/token.go
+++ b/internal/logpos/token.go
@@ -17,7 +17,7 @@
 // The zero Token requires nothing.
 type Token struct {
 	Group string `json:"group"`
-	Mark
+	TermPosition
 }
 
 // IsZero reports whether the token requires nothing.
@@ -49,6 +49,6 @@
 	if err != nil {
 		return Token{}, ErrBadToken
 	}
-	mark := Mark{Term: Term(term), Position: Position(position)}
-	return Token{Group: parts[0], Mark: mark}, nil
+	mark := TermPosition{Term: Term(term), Position: Position(position)}
+	return Token{Group: parts[0], TermPosition: mark}, nil
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -30,19 +30,19 @@
 // Status is the state that a member reports about itself.
 type Status struct {
 	Role Role `json:"role"`
-	// Entered is the highest term that the member has entered.
-	Entered logpos.Term `json:"entered"`
-	// Last identifies the last record of the member's log by the term that wrote
+	// EnteredTerm is the highest term that the member has entered.
+	EnteredTerm logpos.Term `json:"entered"`
+	// LastRecord identifies the last record of the member's log by the term that wrote
 	// it and the position of its end.
-	Last logpos.Mark `json:"last"`
+	LastRecord logpos.TermPosition `json:"last"`
 	// TermStart is the position at which the log of the entered term begins, on
 	// its primary and on replicas attached to it. All records that older terms
 	// acknowledged end at or before it.
 	TermStart logpos.Position `json:"term_start"`
-	// Attached is the term in which a replica's log is known to be a prefix of
+	// AttachedTerm is the term in which a replica's log is known to be a prefix of
 	// its primary's log. It is zero while the log may still end with records that
 	// the primary's log lacks. A primary reports its own term.
-	Attached logpos.Term `json:"attached"`
+	AttachedTerm logpos.Term `json:"attached"`
 }
 
 // Promotion holds the parameters of a promotion to primary.
@@ -57,7 +57,7 @@
 }
 
 // Control is a control connection to one member. Except for Close, every method
-// returns the status after the call or an error, which is ErrTermPassed if the
+// returns the status after the call or an error, which is ErrStaleTerm if the
 // member has entered a higher term than that of the call.
 type Control interface {
 	// Status returns the current status of the member.
--- a/internal/member/pgcontrol/control.go
+++ b/internal/member/pgcontrol/control.go
@@ -82,7 +82,7 @@
 		return fmt.Errorf("pgcontrol: %w", err)
 	}
 	if pgErr.Code == sqlStateTermPassed {
-		return fmt.Errorf("%w: %s", member.ErrTermPassed, pgErr.Message)
+		return fmt.Errorf("%w: %s", member.ErrStaleTerm, pgErr.Message)
 	}
 	return fmt.Errorf("pgcontrol: %w", err)
 }
--- a/internal/member/pgcontrol/dialer.go
+++ b/internal/member/pgcontrol/dialer.go
@@ -101,12 +101,12 @@
 	return cfg, nil
 }
 
-// connectError returns ErrBusy if the member has reached its connection limit,
+// connectError returns ErrTooManyConnections if the member has reached its connection limit,
 // so that it is not mistaken for a member that does not respond.
 func connectError(address string, err error) error {
 	var pgErr *pgconn.PgError
 	if errors.As(err, &pgErr) && pgErr.Code == sqlStateTooManyConnections {
-		return fmt.Errorf("%w: %s", member.ErrBusy, address)
+		return fmt.Errorf("%w: %s", member.ErrTooManyConnections, address)
 	}
 	return fmt.Errorf("pgcontrol: connect to %s: %w", address, err)
 }
--- a/internal/member/pgcontrol/handshake_test.go
+++ b/internal/member/pgcontrol/handshake_test.go
@@ -54,7 +54,7 @@
 		is := is.New(t)
 		full := &slowMember{startupError: &pgproto3.ErrorResponse{Severity: "FATAL", Code: sqlStateTooManyConnections, Message: "full"}}
 		_, err := NewDialer(full, Options{User: "u"}).DialControl(t.Context(), "10.0.0.1:5432")
-		is.True(errors.Is(err, member.ErrBusy))
+		is.True(errors.Is(err, member.ErrTooManyConnections))
 	})
 }
 
--- a/internal/member/pgcontrol/pgcontrol_test.go
+++ b/internal/member/pgcontrol/pgcontrol_test.go
@@ -79,8 +79,8 @@
 
 		st, err := c.Status(ctx)
 		is.NoErr(err)
-		is.Equal(st, member.Status{Role: member.RoleReplica, Entered: 7,
-			Last: logpos.Mark{Term: 6, Position: 120}, TermStart: 90, Attached: 7})
+		is.Equal(st, member.Status{Role: member.RoleReplica, EnteredTerm: 7,
+			LastRecord: logpos.TermPosition{Term: 6, Position: 120}, TermStart: 90, AttachedTerm: 7})
 		_, err = c.WaitPosition(ctx, 130)
 		is.NoErr(err)
 		_, err = c.EnterTerm(ctx, 8)
@@ -102,7 +102,7 @@
 }
 
 // A member that has entered a higher term rejects the call. The claimer must get
-// ErrTermPassed, and the connection must remain usable for the next call.
+// ErrStaleTerm, and the connection must remain usable for the next call.
 func TestConnectionUsableAfterErrTermPassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,10 +116,10 @@
 		is.NoErr(err)
 		defer c.Close()
 		_, err = c.EnterTerm(t.Context(), 8)
-		is.True(errors.Is(err, member.ErrTermPassed))
+		is.True(errors.Is(err, member.ErrStaleTerm))
 		st, err := c.Status(t.Context())
 		is.NoErr(err)
-		is.Equal(st.Entered, logpos.Term(9))
+		is.Equal(st.EnteredTerm, logpos.Term(9))
 	})
 }
 
--- a/internal/member/pgcontrol/status.go
+++ b/internal/member/pgcontrol/status.go
@@ -33,10 +33,10 @@
 		numbers[i] = n
 	}
 	return member.Status{
-		Role:      role,
-		Entered:   logpos.Term(numbers[0]),
-		Last:      logpos.Mark{Term: logpos.Term(numbers[1]), Position: logpos.Position(numbers[2])},
-		TermStart: logpos.Position(numbers[3]),
-		Attached:  logpos.Term(numbers[4]),
+		Role:         role,
+		EnteredTerm:  logpos.Term(numbers[0]),
+		LastRecord:   logpos.TermPosition{Term: logpos.Term(numbers[1]), Position: logpos.Position(numbers[2])},
+		TermStart:    logpos.Position(numbers[3]),
+		AttachedTerm: logpos.Term(numbers[4]),
 	}, nil
 }
--- a/internal/membership/homes.go
+++ b/internal/membership/homes.go
@@ -18,10 +18,10 @@
 // IsHome reports whether this instance is a home of a group.
 func (m *Members) IsHome(group string) bool { return m.current.Load().homesOf(group).includesSelf }
 
-// Pick returns n instances of each failure domain for a task identified by key, or all
+// PickInstances returns n instances of each failure domain for a task identified by key, or all
 // instances of a failure domain with fewer. Tasks with different keys are spread over different
 // instances.
-func (m *Members) Pick(key string, n int) []platform.Instance {
+func (m *Members) PickInstances(key string, n int) []platform.Instance {
 	return instancesOf(pickPerDomain(key, m.current.Load().domains, n))
 }
 
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -55,15 +55,15 @@
 // must be able to rely on its own entry. The result must not be modified.
 func (m *Members) Live() []platform.Instance { return m.current.Load().live }
 
-// Listed returns all instances on the platform's list, including those that are leaving. The
+// ListedInstances returns all instances on the platform's list, including those that are leaving. The
 // result must not be modified.
-func (m *Members) Listed() []platform.Instance { return m.current.Load().listed }
+func (m *Members) ListedInstances() []platform.Instance { return m.current.Load().listed }
 
 // Peers returns the live instances other than this one. The result must not be modified.
 func (m *Members) Peers() []platform.Instance { return m.current.Load().peers }
 
-// Leaving reports whether the upstream at an address is listed as leaving.
-func (m *Members) Leaving(address string) bool { return m.current.Load().leaving[address] }
+// IsUpstreamLeaving reports whether the upstream at an address is listed as leaving.
+func (m *Members) IsUpstreamLeaving(address string) bool { return m.current.Load().leaving[address] }
 
 // SetDraining marks this instance as leaving before the platform lists it as leaving.
 func (m *Members) SetDraining() {
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -87,11 +87,11 @@
 		for range 20 {
 			api.set(platform.Inventory{Instances: all, Upstreams: []platform.Upstream{{Address: "10.0.1.1:5432", Leaving: true}}}, nil)
 			time.Sleep(1500 * time.Millisecond)
-			is.True(m.Leaving("10.0.1.1:5432"))
-			is.True(!m.Leaving("10.0.1.2:5432"))
+			is.True(m.IsUpstreamLeaving("10.0.1.1:5432"))
+			is.True(!m.IsUpstreamLeaving("10.0.1.2:5432"))
 			api.set(platform.Inventory{Instances: all}, nil)
 			time.Sleep(1500 * time.Millisecond)
-			is.True(!m.Leaving("10.0.1.1:5432"))
+			is.True(!m.IsUpstreamLeaving("10.0.1.1:5432"))
 		}
 		cancel()
 		<-done
@@ -113,7 +113,7 @@
 	api.set(platform.Inventory{}, nil)
 	is.True(m.Refresh(t.Context()) != nil)
 	is.Equal(m.Homes("orders"), before)
-	is.True(m.Leaving("u"))
+	is.True(m.IsUpstreamLeaving("u"))
 }
 
 func TestHomesPerFailureDomain(t *testing.T) {
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -27,7 +27,7 @@
 	// platform.
 	Peers peer.Caller
 	// Registry registers the handlers for calls from peers; it may be nil if Peers is nil.
-	Registry peer.Registry
+	Registry peer.HandlerRegistry
 	// Seeds are the peer addresses to pull the list from while no other instance is known. It
 	// may be empty.
 	Seeds []string
--- a/internal/membership/pull.go
+++ b/internal/membership/pull.go
@@ -73,7 +73,7 @@
 func (m *Members) pullFromAny(ctx context.Context) error {
 	self := m.Self()
 	var addresses []string
-	for _, i := range m.Pick(relayKey, m.options.Relays) {
+	for _, i := range m.PickInstances(relayKey, m.options.Relays) {
 		addresses = append(addresses, i.PeerAddress)
 	}
 	excludeSelf := func(list []string) []string {
@@ -92,7 +92,7 @@
 // relayTree returns the tree of this instance's failure domain.
 func (m *Members) relayTree() relaytree.Tree {
 	s := m.current.Load()
-	return relaytree.New(s.self.FailureDomain, m.Pick(relayKey, m.options.Relays), s.live)
+	return relaytree.New(s.self.FailureDomain, m.PickInstances(relayKey, m.options.Relays), s.live)
 }
 
 // notifyChildren notifies the children that the list has changed, without waiting for their
--- a/internal/membership/relay_test.go
+++ b/internal/membership/relay_test.go
@@ -103,7 +103,7 @@
 func (h *harness) countLeavingSeen() int {
 	n := 0
 	for _, m := range h.views {
-		if m.Leaving("u") {
+		if m.IsUpstreamLeaving("u") {
 			n++
 		}
 	}
--- a/internal/membership/setters.go
+++ b/internal/membership/setters.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Known reports whether a list of instances has been applied.
-func (m *Members) Known() bool {
+// IsLoaded reports whether a list of instances has been applied.
+func (m *Members) IsLoaded() bool {
 	_, known := m.listAge()
 	return known
 }
--- a/internal/objectwatch/changessince_test.go
+++ b/internal/objectwatch/changessince_test.go
@@ -23,14 +23,14 @@
 // Self implements Fleet.
 func (f fakeFleet) Self() platform.Instance { return f.self }
 
-// Known implements Fleet.
-func (fakeFleet) Known() bool { return true }
+// IsLoaded implements Fleet.
+func (fakeFleet) IsLoaded() bool { return true }
 
 // Live implements Fleet.
 func (fakeFleet) Live() []platform.Instance { return nil }
 
-// Pick implements Fleet.
-func (f fakeFleet) Pick(_ string, n int) []platform.Instance {
+// PickInstances implements Fleet.
+func (f fakeFleet) PickInstances(_ string, n int) []platform.Instance {
 	if n <= readersPerDomain {
 		return f.readers
 	}
@@ -54,7 +54,7 @@
 	return p.err
 }
 
-// Handle implements peer.Registry.
+// Handle implements peer.HandlerRegistry.
 func (*fakePeer) Handle(string, peer.Handler) {}
 
 // A follower asks a peer instead of the platform. It turns to the platform if the peer's
--- a/internal/objectwatch/fallback_test.go
+++ b/internal/objectwatch/fallback_test.go
@@ -79,8 +79,8 @@
 // largeFleet is a fleet whose failure domains all have more than maxDirectReaders instances.
 type largeFleet struct{ fakeFleet }
 
-// Pick implements Fleet.
-func (f largeFleet) Pick(_ string, n int) []platform.Instance {
+// PickInstances implements Fleet.
+func (f largeFleet) PickInstances(_ string, n int) []platform.Instance {
 	if n <= readersPerDomain {
 		return f.readers
 	}
@@ -110,8 +110,8 @@
 			all := append(slices.Clone(local), remote...)
 			ctx, cancel := context.WithCancel(context.Background())
 			follow := func(self platform.Instance, cut *atomic.Bool, sink Sink) {
-				s := NewSharing(SharingConfig{API: cutAPI{store, cut}, Fleet: largeFleet{fakeFleet{self, all}}, Caller: net.At(self.ID), Clock: clock.System{},
-					Rand: rand.New(rand.NewPCG(seed, 1)), Log: hclog.NewNullLogger()}, net.At(self.ID))
+				s := NewSharing(SharingConfig{API: cutAPI{store, cut}, Fleet: largeFleet{fakeFleet{self, all}}, Caller: net.Endpoint(self.ID), Clock: clock.System{},
+					Rand: rand.New(rand.NewPCG(seed, 1)), Log: hclog.NewNullLogger()}, net.Endpoint(self.ID))
 				api := s.API(platform.KindManifest, 2300*time.Millisecond)
 				f := New(Config{API: api, Kind: platform.KindManifest, Sink: sink, Clock: clock.System{}, CheckInterval: 2 * time.Second,
 					Peers: api, Rand: rand.New(rand.NewPCG(seed, 2)), Log: hclog.NewNullLogger()})
@@ -128,14 +128,14 @@
 			follow(instance("s", "a"), cut, sink)
 			time.Sleep(5 * time.Second)
 			for _, id := range []string{"n1", "n2", "s"} {
-				net.SetCut(id, true)
+				net.SetDisconnected(id, true)
 			}
 			cut.Store(true)
 			time.Sleep(2 * time.Second)
 			_, err := store.Put(ctx, platform.KindManifest, "late", []byte("{}"), 0)
 			is.NoErr(err)
 			time.Sleep(time.Duration(6000+137*seed) * time.Millisecond)
-			net.SetCut("s", false)
+			net.SetDisconnected("s", false)
 			reconnectedAt := time.Now()
 			time.Sleep(12 * time.Second)
 			is.Equal(len(sink.deliveredAt), 1)
--- a/internal/objectwatch/fleet.go
+++ b/internal/objectwatch/fleet.go
@@ -5,19 +5,19 @@
 // Fleet provides the list of instances; membership.Members implements it.
 type Fleet interface {
 	Self() platform.Instance
-	// Known reports whether the list of instances has been loaded at least once.
-	Known() bool
+	// IsLoaded reports whether the list of instances has been loaded at least once.
+	IsLoaded() bool
 	// Live returns the instances that are not leaving.
 	Live() []platform.Instance
-	// Pick selects n instances of each failure domain for the task identified by a key.
-	Pick(key string, n int) []platform.Instance
+	// PickInstances selects n instances of each failure domain for the task identified by a key.
+	PickInstances(key string, n int) []platform.Instance
 }
 
-// OnDuty selects n instances of each failure domain for the task identified by a key. It returns
+// SelectLocal selects n instances of each failure domain for the task identified by a key. It returns
 // those in this instance's own failure domain, and whether this instance was selected.
-func OnDuty(f Fleet, key string, n int) (local []platform.Instance, isSelected bool) {
+func SelectLocal(f Fleet, key string, n int) (local []platform.Instance, isSelected bool) {
 	self := f.Self()
-	for _, i := range f.Pick(key, n) {
+	for _, i := range f.PickInstances(key, n) {
 		if i.FailureDomain == self.FailureDomain {
 			local = append(local, i)
 		}
--- a/internal/objectwatch/follower_test.go
+++ b/internal/objectwatch/follower_test.go
@@ -97,7 +97,7 @@
 func TestChecksBoundTheDelayOfASilentWatch(t *testing.T) {
 	for _, check := range []time.Duration{0, 2 * time.Second} {
 		runFollower(t, check, func(is *is.I, s *standin.Store, sink *recordingSink) {
-			s.SetFaults(standin.Faults{DeafWatches: true})
+			s.SetFaults(standin.Faults{SuppressWatchEvents: true})
 			put(is, s, "a", "1")
 			advance(check + 100*time.Millisecond)
 			is.Equal(sink.values["a"] == "1", check > 0)
--- a/internal/objectwatch/sharing.go
+++ b/internal/objectwatch/sharing.go
@@ -81,7 +81,7 @@
 }
 
 // NewSharing returns a Sharing and registers its methods.
-func NewSharing(c SharingConfig, r peer.Registry) *Sharing {
+func NewSharing(c SharingConfig, r peer.HandlerRegistry) *Sharing {
 	c.Log = c.Log.Named("objectwatch")
 	s := &Sharing{SharingConfig: c, feeds: make(map[platform.Kind]*feed), relayed: make(map[platform.Kind]*relayedList), unresponsiveUntil: make(map[string]time.Time)}
 	r.Handle(methodList, s.serveList)
@@ -113,7 +113,7 @@
 // ask again.
 func (s *Sharing) parent(kind platform.Kind) (platform.Instance, bool) {
 	self := s.Fleet.Self()
-	readers, isReader := OnDuty(s.Fleet, readersKey, readersPerDomain)
+	readers, isReader := SelectLocal(s.Fleet, readersKey, readersPerDomain)
 	if isReader || kind == platform.KindInstances {
 		return platform.Instance{}, false
 	}
@@ -141,7 +141,7 @@
 		// This kind is the list of instances itself.
 		return
 	}
-	for deadline := s.Clock.Now().Add(fleetWait); !s.Fleet.Known() && s.Clock.Now().Before(deadline); {
+	for deadline := s.Clock.Now().Add(fleetWait); !s.Fleet.IsLoaded() && s.Clock.Now().Before(deadline); {
 		if clock.Sleep(ctx, s.Clock, fleetPoll) != nil {
 			return
 		}
@@ -151,10 +151,10 @@
 // readers returns the readers of this instance's failure domain, or none if this instance calls
 // the platform directly.
 func (s *Sharing) readers() []platform.Instance {
-	if local, _ := OnDuty(s.Fleet, readersKey, maxDirectReaders+1); len(local) <= maxDirectReaders {
+	if local, _ := SelectLocal(s.Fleet, readersKey, maxDirectReaders+1); len(local) <= maxDirectReaders {
 		return nil
 	}
-	readers, isReader := OnDuty(s.Fleet, readersKey, readersPerDomain)
+	readers, isReader := SelectLocal(s.Fleet, readersKey, readersPerDomain)
 	if isReader {
 		return nil
 	}
@@ -199,7 +199,7 @@
 func (s *Sharing) pickFallbackReaders(n int) []platform.Instance {
 	self, hasReaders := s.Fleet.Self(), len(s.readers()) > 0
 	var all []platform.Instance
-	for _, i := range s.Fleet.Pick(readersKey, readersPerDomain) {
+	for _, i := range s.Fleet.PickInstances(readersKey, readersPerDomain) {
 		if i.ID != self.ID && !(hasReaders && i.FailureDomain == self.FailureDomain) {
 			all = append(all, i)
 		}
--- a/internal/objectwatch/sharing_test.go
+++ b/internal/objectwatch/sharing_test.go
@@ -47,14 +47,14 @@
 // directly.
 func TestReaderWithoutThePlatformIsPassedBy(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
-		d.instances[0].view.SetAway(true)
+		d.instances[0].view.SetDisconnected(true)
 		time.Sleep(30 * time.Second)
 		is.Equal(d.putAndCount(is, "m", time.Second), 8)
-		d.instances[1].view.SetAway(true)
+		d.instances[1].view.SetDisconnected(true)
 		time.Sleep(30 * time.Second)
 		is.Equal(d.putAndCount(is, "n", time.Second), 6)
-		d.instances[0].view.SetAway(false)
-		d.instances[1].view.SetAway(false)
+		d.instances[0].view.SetDisconnected(false)
+		d.instances[1].view.SetDisconnected(false)
 		time.Sleep(5 * time.Second)
 		is.Equal(d.putAndCount(is, "o", time.Second), 8)
 	})
@@ -64,10 +64,10 @@
 // overdue, and switch to the other reader.
 func TestFollowersSwitchFromADeadReader(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
-		d.net.SetCut("i0", true)
+		d.net.SetDisconnected("i0", true)
 		time.Sleep(2 * (longPollWait + longPollGrace))
 		is.True(d.putAndCount(is, "m", longPollWait+2*longPollGrace) >= 7)
-		d.net.SetCut("i0", false)
+		d.net.SetDisconnected("i0", false)
 	})
 }
 
@@ -76,13 +76,13 @@
 // would delay every change by the timeout of a request.
 func TestDeadReaderHoldsNobodyUpTwice(t *testing.T) {
 	runInDomain(t, 8, func(is *is.I, d *testDomain) {
-		d.net.SetCut("i0", true)
+		d.net.SetDisconnected("i0", true)
 		// A request that the reader held when it died is still answered; the next one is not.
 		time.Sleep(2*(longPollWait+longPollGrace) - time.Second)
 		for k := range 3 {
 			is.True(d.putAndCount(is, fmt.Sprint("m", k), 500*time.Millisecond) >= 7)
 		}
-		d.net.SetCut("i0", false)
+		d.net.SetDisconnected("i0", false)
 	})
 }
 
@@ -205,16 +205,16 @@
 			return n
 		}
 		is.Equal(watching(), int64(0))
-		d.instances[0].view.SetAway(true)
-		d.instances[1].view.SetAway(true)
+		d.instances[0].view.SetDisconnected(true)
+		d.instances[1].view.SetDisconnected(true)
 		most := int64(0)
 		for range 250 {
 			time.Sleep(100 * time.Millisecond)
 			most = max(most, watching())
 		}
 		is.True(most > 0)
-		d.instances[0].view.SetAway(false)
-		d.instances[1].view.SetAway(false)
+		d.instances[0].view.SetDisconnected(false)
+		d.instances[1].view.SetDisconnected(false)
 		time.Sleep(check + directWatchTimeout + time.Second)
 		is.Equal(watching(), int64(0))
 		cancel()
--- a/internal/objectwatch/testdomain_test.go
+++ b/internal/objectwatch/testdomain_test.go
@@ -34,7 +34,7 @@
 // testDomain is a failure domain with a store of objects. Its instances are the whole fleet.
 type testDomain struct {
 	store     *standin.Store
-	net       *peernet.Net
+	net       *peernet.Network
 	instances []*testInstance
 	// fleetKnownAt is the time from which the instances know the list of instances.
 	fleetKnownAt time.Time
@@ -62,8 +62,8 @@
 	return platform.Instance{ID: i.id, FailureDomain: "a", PeerAddress: i.id}
 }
 
-// Pick implements Fleet. It selects the first n instances for every key.
-func (i *testInstance) Pick(_ string, n int) []platform.Instance {
+// PickInstances implements Fleet. It selects the first n instances for every key.
+func (i *testInstance) PickInstances(_ string, n int) []platform.Instance {
 	var all []platform.Instance
 	for _, o := range i.domain.instances[:min(n, len(i.domain.instances))] {
 		all = append(all, o.Self())
@@ -80,8 +80,8 @@
 	return all
 }
 
-// Known implements Fleet.
-func (i *testInstance) Known() bool { return !time.Now().Before(i.domain.fleetKnownAt) }
+// IsLoaded implements Fleet.
+func (i *testInstance) IsLoaded() bool { return !time.Now().Before(i.domain.fleetKnownAt) }
 
 // ApplyList implements Sink.
 func (i *testInstance) ApplyList(objects []platform.Object) {
@@ -124,8 +124,8 @@
 // are at most maxAge old.
 func (d *testDomain) newFollower(k int, api platform.API, check, maxAge time.Duration) *Follower {
 	i := d.instances[k]
-	s := NewSharing(SharingConfig{API: api, Fleet: i, Caller: d.net.At(i.id), Clock: clock.System{},
-		Rand: rand.New(rand.NewPCG(uint64(k), 2)), Log: hclog.NewNullLogger()}, d.net.At(i.id))
+	s := NewSharing(SharingConfig{API: api, Fleet: i, Caller: d.net.Endpoint(i.id), Clock: clock.System{},
+		Rand: rand.New(rand.NewPCG(uint64(k), 2)), Log: hclog.NewNullLogger()}, d.net.Endpoint(i.id))
 	shared := s.API(platform.KindUpstreams, maxAge)
 	c := Config{API: shared, Kind: platform.KindUpstreams, Sink: i, Clock: clock.System{}, CheckInterval: check,
 		Rand: rand.New(rand.NewPCG(uint64(k), 1)), Log: hclog.NewNullLogger()}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,7 +18,7 @@
 // itself.
 type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
-// Registry accepts handlers from the components of an instance before it starts to serve.
-type Registry interface {
+// HandlerRegistry accepts handlers from the components of an instance before it starts to serve.
+type HandlerRegistry interface {
 	Handle(method string, h Handler)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Handle implements Registry.
+// Handle implements HandlerRegistry.
 func (s *Server) Handle(method string, h Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -22,17 +22,17 @@
 	directionReceived = "received"
 )
 
-// Counted is an API that counts calls and the bytes of the values they transfer, by kind
+// InstrumentedAPI is an API that counts calls and the bytes of the values they transfer, by kind
 // of object and verb.
-type Counted struct {
+type InstrumentedAPI struct {
 	API
 	calls *prometheus.CounterVec
 	bytes *prometheus.CounterVec
 }
 
-// NewCounted wraps an API with counters and registers their metrics.
-func NewCounted(a API, r prometheus.Registerer) *Counted {
-	c := &Counted{
+// NewInstrumentedAPI wraps an API with counters and registers their metrics.
+func NewInstrumentedAPI(a API, r prometheus.Registerer) *InstrumentedAPI {
+	c := &InstrumentedAPI{
 		API: a,
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "topazrock_platform_calls_total",
@@ -47,11 +47,11 @@
 	return c
 }
 
-func (c *Counted) countCall(kind Kind, verb string) {
+func (c *InstrumentedAPI) countCall(kind Kind, verb string) {
 	c.calls.WithLabelValues(string(kind), verb).Inc()
 }
 
-func (c *Counted) countReceived(kind Kind, verb string, objects ...Object) {
+func (c *InstrumentedAPI) countReceived(kind Kind, verb string, objects ...Object) {
 	size := 0
 	for _, o := range objects {
 		size += len(o.Name) + len(o.Value)
@@ -60,7 +60,7 @@
 }
 
 // Get implements API.
-func (c *Counted) Get(ctx context.Context, kind Kind, name string) (Object, error) {
+func (c *InstrumentedAPI) Get(ctx context.Context, kind Kind, name string) (Object, error) {
 	c.countCall(kind, verbGet)
 	o, err := c.API.Get(ctx, kind, name)
 	c.countReceived(kind, verbGet, o)
@@ -68,7 +68,7 @@
 }
 
 // List implements API.
-func (c *Counted) List(ctx context.Context, kind Kind) ([]Object, int64, error) {
+func (c *InstrumentedAPI) List(ctx context.Context, kind Kind) ([]Object, int64, error) {
 	c.countCall(kind, verbList)
 	all, revision, err := c.API.List(ctx, kind)
 	c.countReceived(kind, verbList, all...)
@@ -76,7 +76,7 @@
 }
 
 // ListStale implements API.
-func (c *Counted) ListStale(ctx context.Context, kind Kind) ([]Object, int64, error) {
+func (c *InstrumentedAPI) ListStale(ctx context.Context, kind Kind) ([]Object, int64, error) {
 	c.countCall(kind, verbListStale)
 	all, revision, err := c.API.ListStale(ctx, kind)
 	c.countReceived(kind, verbListStale, all...)
@@ -84,20 +84,20 @@
 }
 
 // Put implements API.
-func (c *Counted) Put(ctx context.Context, kind Kind, name string, value []byte, ifVersion int64) (Object, error) {
+func (c *InstrumentedAPI) Put(ctx context.Context, kind Kind, name string, value []byte, ifVersion int64) (Object, error) {
 	c.countCall(kind, verbPut)
 	c.bytes.WithLabelValues(string(kind), verbPut, directionSent).Add(float64(len(value)))
 	return c.API.Put(ctx, kind, name, value, ifVersion)
 }
 
 // Delete implements API.
-func (c *Counted) Delete(ctx context.Context, kind Kind, name string, ifVersion int64) error {
+func (c *InstrumentedAPI) Delete(ctx context.Context, kind Kind, name string, ifVersion int64) error {
 	c.countCall(kind, verbDelete)
 	return c.API.Delete(ctx, kind, name, ifVersion)
 }
 
 // Watch implements API.
-func (c *Counted) Watch(ctx context.Context, kind Kind, after int64) ([]Object, int64, error) {
+func (c *InstrumentedAPI) Watch(ctx context.Context, kind Kind, after int64) ([]Object, int64, error) {
 	c.countCall(kind, verbWatch)
 	changed, revision, err := c.API.Watch(ctx, kind, after)
 	c.countReceived(kind, verbWatch, changed...)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -67,8 +67,8 @@
 	// Slots is the number of statements that the member runs concurrently.
 	Slots   int  `json:"slots,omitempty"`
 	Leaving bool `json:"leaving"`
-	// Leads reports that the member considers itself the primary.
-	Leads bool `json:"leads,omitempty"`
+	// ClaimsPrimary reports that the member considers itself the primary.
+	ClaimsPrimary bool `json:"leads,omitempty"`
 	// Started distinguishes successive starts of the member with the same ID.
 	Started int64 `json:"started,omitempty"`
 }
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -110,24 +110,24 @@
 	return m.repeatedlyFull(p.cfg.MinBackoff) && !m.countsFor(workspace).hasEstablished()
 }
 
-// Full implements Pool.
-func (p *Limited) Full(address string) bool {
+// IsFull implements Pool.
+func (p *Limited) IsFull(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.member(address)
 	return m.repeatedlyFull(p.cfg.MinBackoff) && m.total() == m.opening
 }
 
-// Idle implements Pool.
-func (p *Limited) Idle(address, workspace string) bool {
+// HasIdle implements Pool.
+func (p *Limited) HasIdle(address, workspace string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	counts := p.member(address).workspaces[workspace]
 	return counts != nil && counts.idle > 0
 }
 
-// FullFor implements Pool.
-func (p *Limited) FullFor(address, workspace string) bool {
+// FullForWorkspace implements Pool.
+func (p *Limited) FullForWorkspace(address, workspace string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isFullFor(p.member(address), workspace)
--- a/internal/pool/failure_test.go
+++ b/internal/pool/failure_test.go
@@ -132,7 +132,7 @@
 		p.SetLimit(2)
 		settled := make(chan int, 1)
 		go func() {
-			is.NoErr(p.Settle(context.Background()))
+			is.NoErr(p.WaitWithinLimit(context.Background()))
 			settled <- members.count()
 		}()
 		sleep(time.Second)
--- a/internal/pool/limited.go
+++ b/internal/pool/limited.go
@@ -101,11 +101,11 @@
 // because a pool that fills up opens its connections within such a time.
 const suspectWindow = time.Minute
 
-// Suspect implements Pool. Idle connections of that age are probed now and concurrently:
+// MarkSuspect implements Pool. Idle connections of that age are probed now and concurrently:
 // otherwise each request that gets the next silent one costs a statement timeout. Those in
 // use are probed on Release. Newer ones are not probed, because a member that is only slow
 // must not lose all its connections to probes that time out.
-func (p *Limited) Suspect(address string, opened time.Time) {
+func (p *Limited) MarkSuspect(address string, opened time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.markSuspects(p.member(address), opened.Add(suspectWindow))
@@ -175,7 +175,7 @@
 }
 
 // SetLimit changes the limit. Idle connections in excess are closed at once, those in use
-// when they are released. Settle waits until the excess is closed.
+// when they are released. WaitWithinLimit waits until the excess is closed.
 func (p *Limited) SetLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,8 +205,8 @@
 	return p.memberLimit > 0 && m.total()+m.replacing >= p.memberLimit+excess
 }
 
-// Settle waits until the number of counted connections is within the limit.
-func (p *Limited) Settle(ctx context.Context) error {
+// WaitWithinLimit waits until the number of counted connections is within the limit.
+func (p *Limited) WaitWithinLimit(ctx context.Context) error {
 	return p.countsChanged.Wait(ctx, &p.mu, func() bool { return p.total() <= p.limit })
 }
 
--- a/internal/pool/limited_test.go
+++ b/internal/pool/limited_test.go
@@ -63,7 +63,7 @@
 		p := newFakeMembers().newPool(3)
 		defer closePool(t, p)
 		first := acquire(t, p, firstMember)
-		first.Spoil()
+		first.MarkUnusable()
 		p.Release(first)
 		second := acquire(t, p, firstMember)
 		is.True(second != first)
--- a/internal/pool/opening_test.go
+++ b/internal/pool/opening_test.go
@@ -129,8 +129,8 @@
 		_, err := p.Acquire(ctx, firstMember, "")
 		is.Equal(code(err), result.TooManyConnections)
 		is.True(time.Since(began) < 4*DefaultMinBackoff)
-		is.True(p.Full(firstMember))
-		is.True(!p.Full(secondMember))
+		is.True(p.IsFull(firstMember))
+		is.True(!p.IsFull(secondMember))
 		for range 100 {
 			began = time.Now()
 			_, err := p.Acquire(ctx, firstMember, "")
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -26,20 +26,20 @@
 	// Release returns a connection to the pool. It is closed if it is not known to be clean
 	// or if its member is leaving.
 	Release(c wire.Conn)
-	// Suspect reports that a connection to address, opened at opened, stopped responding:
+	// MarkSuspect reports that a connection to address, opened at opened, stopped responding:
 	// all connections of the same age are probed before they are used again.
-	Suspect(address string, opened time.Time)
+	MarkSuspect(address string, opened time.Time)
 	// ProbeIdle probes every idle connection, to any member, that became idle before
 	// cutoff. It is called when there are signs that a network device between this
 	// instance and the members has dropped connection state.
 	ProbeIdle(cutoff time.Time)
-	// Full reports whether statements for the member at address are refused because it
+	// IsFull reports whether statements for the member at address are refused because it
 	// accepts no connections and the pool has none to it.
-	Full(address string) bool
-	// Idle reports whether there is an idle connection of the workspace to the member at
+	IsFull(address string) bool
+	// HasIdle reports whether there is an idle connection of the workspace to the member at
 	// address.
-	Idle(address, workspace string) bool
-	// FullFor reports the same as Full, but for statements of one workspace, which only
+	HasIdle(address, workspace string) bool
+	// FullForWorkspace reports the same as IsFull, but for statements of one workspace, which only
 	// that workspace's connections can serve.
-	FullFor(address, workspace string) bool
+	FullForWorkspace(address, workspace string) bool
 }
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -38,7 +38,7 @@
 	switch {
 	case p.closed:
 		p.startClose(pc, closedShutdown)
-	case !pc.conn.Clean():
+	case !pc.conn.Reusable():
 		// Session state left by a transaction, or a response still on the wire, would reach
 		// the next user of the connection.
 		p.startClose(pc, closedNotClean)
--- a/internal/pool/statemachine_test.go
+++ b/internal/pool/statemachine_test.go
@@ -50,7 +50,7 @@
 	c := m.held[i]
 	m.held = slices.Delete(m.held, i, i+1)
 	if rapid.Bool().Draw(t, "dirty") {
-		c.Spoil()
+		c.MarkUnusable()
 	}
 	m.pool.Release(c)
 	// If there are waiters, the connection may be in use again, and a second Release would
@@ -86,7 +86,7 @@
 	m.members.mu.Lock()
 	m.members.silent[c] = true
 	m.members.mu.Unlock()
-	m.pool.Suspect(c.Address(), c.Opened())
+	m.pool.MarkSuspect(c.Address(), c.Opened())
 }
 
 func (m *stateMachine) setLeaving(t *rapid.T) {
@@ -113,7 +113,7 @@
 			if slices.Contains(m.held, c) {
 				t.Fatalf("one connection was handed out twice")
 			}
-			if !c.Clean() {
+			if !c.Reusable() {
 				t.Fatalf("a connection that is not clean was handed out")
 			}
 			m.held = append(m.held, c)
--- a/internal/pool/suspect_test.go
+++ b/internal/pool/suspect_test.go
@@ -26,8 +26,8 @@
 			members.silent[c] = true
 		}
 		releaseAll(p, old[1:])
-		old[0].Spoil()
-		p.Suspect(firstMember, old[0].Opened())
+		old[0].MarkUnusable()
+		p.MarkSuspect(firstMember, old[0].Opened())
 		p.Release(old[0])
 		began := time.Now()
 		c := acquire(t, p, firstMember)
@@ -77,7 +77,7 @@
 		held := acquireN(t, p, firstMember, 3)
 		members.silent[held[2]] = true
 		releaseAll(p, held[:1])
-		p.Suspect(firstMember, held[2].Opened())
+		p.MarkSuspect(firstMember, held[2].Opened())
 		is.Equal(p.Stats().Probing, 1)
 		releaseAll(p, held[1:])
 		is.Equal(p.Stats().Probing, 3)
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -11,20 +11,20 @@
 	"github.com/topazrock/topazrock/internal/platform"
 )
 
-// limiterPickKey is the key of Fleet.Pick that selects the limiters.
+// limiterPickKey is the key of Fleet.PickInstances that selects the limiters.
 const limiterPickKey = "quota.limit"
 
 // Fleet provides this instance's view of all instances; membership.Members implements it.
 type Fleet interface {
 	Self() platform.Instance
-	// Known reports whether the list of instances has been received at least once.
-	Known() bool
-	// Listed returns all instances that the platform lists, including those that are leaving.
-	Listed() []platform.Instance
+	// IsLoaded reports whether the list of instances has been received at least once.
+	IsLoaded() bool
+	// ListedInstances returns all instances that the platform lists, including those that are leaving.
+	ListedInstances() []platform.Instance
 	// Live returns the instances that are not leaving, ordered by ID.
 	Live() []platform.Instance
-	// Pick returns up to n instances of each failure domain. Different keys pick different ones.
-	Pick(key string, n int) []platform.Instance
+	// PickInstances returns up to n instances of each failure domain. Different keys pick different ones.
+	PickInstances(key string, n int) []platform.Instance
 }
 
 // assignment maps shards to limiters. A new one is computed when the view of the instances
@@ -69,7 +69,7 @@
 		largest = max(largest, sizes[i.FailureDomain])
 	}
 	picked := make(map[string][]platform.Instance)
-	for _, i := range f.Pick(limiterPickKey, limiterCount(largest)) {
+	for _, i := range f.PickInstances(limiterPickKey, limiterCount(largest)) {
 		domain := i.FailureDomain
 		if len(picked[domain]) < limiterCount(sizes[domain]) {
 			picked[domain] = append(picked[domain], i)
--- a/internal/quota/guard.go
+++ b/internal/quota/guard.go
@@ -78,7 +78,7 @@
 }
 
 // Register adds the limiter's method to the peer server.
-func (g *Guard) Register(r peer.Registry) {
+func (g *Guard) Register(r peer.HandlerRegistry) {
 	r.Handle(methodServe, func(_ context.Context, _ string, params json.RawMessage) (any, error) {
 		var received request
 		if err := json.Unmarshal(params, &received); err != nil {
@@ -88,8 +88,8 @@
 	})
 }
 
-// Observe recomputes the assignment of limiters after the view of the instances has changed.
-func (g *Guard) Observe() {
+// UpdateInstances recomputes the assignment of limiters after the view of the instances has changed.
+func (g *Guard) UpdateInstances() {
 	updated := newAssignment(g.Fleet)
 	g.mu.Lock()
 	g.assignment = updated
@@ -108,10 +108,10 @@
 
 // updateOwnership reads the list of instances.
 func (g *Guard) updateOwnership() {
-	if !g.Fleet.Known() {
+	if !g.Fleet.IsLoaded() {
 		return
 	}
-	listed := g.Fleet.Listed()
+	listed := g.Fleet.ListedInstances()
 	ids := make([]string, 0, len(listed))
 	for _, i := range listed {
 		ids = append(ids, i.ID)
--- a/internal/quota/guard_test.go
+++ b/internal/quota/guard_test.go
@@ -99,13 +99,13 @@
 		time.Sleep(5 * time.Second)
 		for n, i := range s.instances {
 			if i.FailureDomain == "z1" {
-				s.net.SetCut(i.PeerAddress, true)
+				s.net.SetDisconnected(i.PeerAddress, true)
 				_ = n
 			}
 		}
 		time.Sleep(7 * time.Second)
 		for _, i := range s.instances {
-			s.net.SetCut(i.PeerAddress, false)
+			s.net.SetDisconnected(i.PeerAddress, false)
 		}
 		load.Wait()
 		s.checkLimit(w)
@@ -166,13 +166,13 @@
 			s.kill(n)
 		}
 		for n := range s.nodes {
-			s.net.SetCut(s.instances[n].PeerAddress, false)
+			s.net.SetDisconnected(s.instances[n].PeerAddress, false)
 			s.start(n, nil)
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, n := range s.nodes {
 			n.fleet.set(s.instances)
-			n.guard.Observe()
+			n.guard.UpdateInstances()
 		}
 		time.Sleep(50 * time.Millisecond)
 		var loads []*sync.WaitGroup
@@ -207,7 +207,7 @@
 					}
 				}
 				node.fleet.set(view)
-				node.guard.Observe()
+				node.guard.UpdateInstances()
 			}
 		}
 		load.Wait()
--- a/internal/quota/harness_test.go
+++ b/internal/quota/harness_test.go
@@ -64,25 +64,25 @@
 // Self implements Fleet.
 func (f *testFleet) Self() platform.Instance { return f.self }
 
-// Known implements Fleet.
-func (f *testFleet) Known() bool { return len(f.Listed()) > 0 }
+// IsLoaded implements Fleet.
+func (f *testFleet) IsLoaded() bool { return len(f.ListedInstances()) > 0 }
 
-// Listed implements Fleet.
-func (f *testFleet) Listed() []platform.Instance {
+// ListedInstances implements Fleet.
+func (f *testFleet) ListedInstances() []platform.Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.all)
 }
 
 // Live implements Fleet.
-func (f *testFleet) Live() []platform.Instance { return f.Listed() }
+func (f *testFleet) Live() []platform.Instance { return f.ListedInstances() }
 
-// Pick implements Fleet. It returns the first n of each failure domain; the tests need no
+// PickInstances implements Fleet. It returns the first n of each failure domain; the tests need no
 // particular order.
-func (f *testFleet) Pick(_ string, n int) []platform.Instance {
+func (f *testFleet) PickInstances(_ string, n int) []platform.Instance {
 	taken := make(map[string]int)
 	var picked []platform.Instance
-	for _, i := range f.Listed() {
+	for _, i := range f.ListedInstances() {
 		if taken[i.FailureDomain]++; taken[i.FailureDomain] <= n {
 			picked = append(picked, i)
 		}
@@ -93,7 +93,7 @@
 // testSystem is a set of instances that limit workspaces together, in virtual time.
 type testSystem struct {
 	t          *testing.T
-	net        *peernet.Net
+	net        *peernet.Network
 	instances  []platform.Instance
 	workspaces *testWorkspaces
 	nodes      []*testNode
@@ -140,14 +140,14 @@
 	s.seed++
 	f := &testFleet{self: s.instances[n]}
 	f.set(view)
-	endpoint := s.net.At(s.instances[n].PeerAddress)
+	endpoint := s.net.Endpoint(s.instances[n].PeerAddress)
 	g := New(Config{
 		Process: fmt.Sprint(n, "-", s.seed), Fleet: f, Workspaces: s.workspaces, Tolerance: testTolerance, Caller: endpoint,
 		Clock: clock.System{}, Rand: rand.New(rand.NewPCG(s.seed, 1)), CutOff: func() bool { return false },
 		Logger: hclog.NewNullLogger(), Metrics: NewMetrics(nil),
 	})
 	g.Register(endpoint)
-	g.Observe()
+	g.UpdateInstances()
 	ctx, stop := context.WithCancel(context.Background())
 	node := &testNode{fleet: f, guard: g, stop: stop, ended: make(chan struct{})}
 	go func() {
@@ -159,14 +159,14 @@
 
 // kill cuts an instance off and stops its process.
 func (s *testSystem) kill(n int) {
-	s.net.SetCut(s.instances[n].PeerAddress, true)
+	s.net.SetDisconnected(s.instances[n].PeerAddress, true)
 	s.nodes[n].stop()
 	<-s.nodes[n].ended
 }
 
 // restart starts a new process of an instance that was killed.
 func (s *testSystem) restart(n int) {
-	s.net.SetCut(s.instances[n].PeerAddress, false)
+	s.net.SetDisconnected(s.instances[n].PeerAddress, false)
 	s.start(n, s.instances)
 }
 
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -99,7 +99,7 @@
 func (l *Limiter) refillBuckets(now time.Time) {
 	table := l.workspaces.Workspaces()
 	for name, b := range l.bucketsByWorkspace {
-		w, ok := table.Named(name)
+		w, ok := table.ByName(name)
 		if !ok {
 			delete(l.bucketsByWorkspace, name)
 			continue
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -68,12 +68,12 @@
 	l.recordPrefetched(r, now)
 	answer := response{Process: l.process, Clock: l.clockMicros(now)}
 	for name, n := range r.Returned {
-		if w, ok := table.Named(name); ok {
+		if w, ok := table.ByName(name); ok {
 			l.refilledBucket(w, now).addTokens(float64(n), l.bucketSize(w))
 		}
 	}
 	for name, n := range r.Waiting {
-		w, ok := table.Named(name)
+		w, ok := table.ByName(name)
 		if !ok {
 			continue
 		}
@@ -85,7 +85,7 @@
 		}
 	}
 	for name, n := range r.Prefetch {
-		if w, ok := table.Named(name); ok {
+		if w, ok := table.ByName(name); ok {
 			setCount(&answer.PrefetchGranted, name, l.grantPrefetch(r.Instance, w, n, now))
 		}
 	}
--- a/internal/quota/tokens.go
+++ b/internal/quota/tokens.go
@@ -23,7 +23,7 @@
 // TakeToken takes a token for an operation that is about to begin for a workspace, or returns
 // why the operation is refused.
 func (g *Guard) TakeToken(ctx context.Context, name string) *result.Error {
-	w, ok := g.Workspaces.Workspaces().Named(name)
+	w, ok := g.Workspaces.Workspaces().ByName(name)
 	if !ok || w.Limit.Unlimited() {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	if now.Sub(takenAt) > maxReturnDelay {
 		return
 	}
-	w, ok := g.Workspaces.Workspaces().Named(name)
+	w, ok := g.Workspaces.Workspaces().ByName(name)
 	if !ok || w.Limit.Unlimited() {
 		return
 	}
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -8,8 +8,8 @@
 	Refused uint64
 }
 
-// UseOf returns this instance's usage of a workspace's limit.
-func (g *Guard) UseOf(name string) Usage {
+// Usage returns this instance's usage of a workspace's limit.
+func (g *Guard) Usage(name string) Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := g.accounts[name]
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -47,11 +47,11 @@
 // Config holds the dependencies and settings of a Registry.
 type Config struct {
 	API platform.API
-	// Entries is the API for following the entries of all instances; API if nil.
-	Entries platform.API
-	Self    platform.Instance
-	List    InstanceSink
-	Clock   clock.Clock
+	// EntriesAPI is the API for following the entries of all instances; API if nil.
+	EntriesAPI   platform.API
+	Self         platform.Instance
+	InstanceSink InstanceSink
+	Clock        clock.Clock
 	// Seed seeds the random source that spreads calls over time.
 	Seed uint64
 	Log  hclog.Logger
@@ -73,8 +73,8 @@
 
 // New returns a Registry; Run starts it.
 func New(c Config) *Registry {
-	if c.Entries == nil {
-		c.Entries = c.API
+	if c.EntriesAPI == nil {
+		c.EntriesAPI = c.API
 	}
 	c.Log = c.Log.Named("registry")
 	return &Registry{Config: c, ownEntryMissing: make(chan struct{}, 1), entries: make(map[string]platform.Instance)}
@@ -102,7 +102,7 @@
 		loops.Go(func() { newSweeper(r).run(ctx) })
 	}
 	objectwatch.New(objectwatch.Config{
-		API: r.Entries, Kind: platform.KindInstances, Sink: r, Clock: r.Clock, Log: r.Log,
+		API: r.EntriesAPI, Kind: platform.KindInstances, Sink: r, Clock: r.Clock, Log: r.Log,
 		Rand: random, WatchPause: watchPause,
 	}).Run(ctx)
 }
@@ -121,7 +121,7 @@
 	}
 	r.mu.Unlock()
 	if r.knowsOtherInstances() {
-		r.List.SetInstances(r.knownInstances())
+		r.InstanceSink.SetInstances(r.knownInstances())
 	}
 }
 
@@ -199,8 +199,8 @@
 	return err
 }
 
-// Withdraw removes this instance's entry.
-func (r *Registry) Withdraw(ctx context.Context) error {
+// RemoveOwnEntry removes this instance's entry.
+func (r *Registry) RemoveOwnEntry(ctx context.Context) error {
 	stored, err := r.API.Get(ctx, platform.KindInstances, r.Self.ID)
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 		default:
 		}
 	}
-	r.List.SetInstances(r.knownInstances())
+	r.InstanceSink.SetInstances(r.knownInstances())
 }
 
 // ownEntryListed reports whether this instance's entry is known with the expected content.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -40,7 +40,7 @@
 func newRegistry(store platform.API, id, address string) (*Registry, *instanceRecorder) {
 	recorder := &instanceRecorder{}
 	return New(Config{
-		API: store, Self: platform.Instance{ID: id, FailureDomain: "a", PeerAddress: address}, List: recorder,
+		API: store, Self: platform.Instance{ID: id, FailureDomain: "a", PeerAddress: address}, InstanceSink: recorder,
 		Clock: clock.System{}, Seed: 1, Log: hclog.NewNullLogger(),
 	}), recorder
 }
@@ -71,7 +71,7 @@
 		is.Equal(len(firstList.last()), 2)
 		is.Equal(firstList.last(), secondList.last())
 		is.Equal(firstList.last()[0].PeerAddress, "10.0.0.1:1")
-		is.NoErr(second.Withdraw(t.Context()))
+		is.NoErr(second.RemoveOwnEntry(t.Context()))
 		time.Sleep(3 * time.Second)
 		is.Equal(len(firstList.last()), 1)
 		cancel()
@@ -96,7 +96,7 @@
 		}()
 		time.Sleep(5 * time.Second)
 		is.Equal(len(list.last()), 0)
-		is.True(errors.Is(r.Withdraw(t.Context()), platform.ErrUnavailable))
+		is.True(errors.Is(r.RemoveOwnEntry(t.Context()), platform.ErrUnavailable))
 		store.SetFaults(standin.Faults{})
 		time.Sleep(5 * time.Second)
 		is.Equal(len(list.last()), 1)
--- a/internal/registry/sweeper.go
+++ b/internal/registry/sweeper.go
@@ -29,8 +29,8 @@
 	Instance string `json:"instance"`
 }
 
-// Register handles the probes of other instances.
-func (r *Registry) Register(s peer.Registry) {
+// RegisterHandlers handles the probes of other instances.
+func (r *Registry) RegisterHandlers(s peer.HandlerRegistry) {
 	s.Handle(methodAlive, func(context.Context, string, json.RawMessage) (any, error) {
 		return aliveMessage{Instance: r.Self.ID}, nil
 	})
--- a/internal/registry/sweeper_test.go
+++ b/internal/registry/sweeper_test.go
@@ -21,7 +21,7 @@
 
 // startInstances starts the registries of n instances and returns a recorder of the list of
 // each.
-func startInstances(t *testing.T, n int) (*peernet.Net, []*instanceRecorder) {
+func startInstances(t *testing.T, n int) (*peernet.Network, []*instanceRecorder) {
 	t.Helper()
 	store := standin.NewStore()
 	net := peernet.New()
@@ -36,10 +36,10 @@
 		recorder := &instanceRecorder{}
 		address := fmt.Sprint("peer-", k)
 		r := New(Config{
-			API: store, Self: platform.Instance{ID: fmt.Sprint("i", k), FailureDomain: "a", PeerAddress: address}, List: recorder,
-			Clock: clock.System{}, Seed: uint64(k), Log: hclog.NewNullLogger(), Peers: net.At(address),
+			API: store, Self: platform.Instance{ID: fmt.Sprint("i", k), FailureDomain: "a", PeerAddress: address}, InstanceSink: recorder,
+			Clock: clock.System{}, Seed: uint64(k), Log: hclog.NewNullLogger(), Peers: net.Endpoint(address),
 		})
-		r.Register(net.At(address))
+		r.RegisterHandlers(net.Endpoint(address))
 		running.Go(func() { r.Run(ctx) })
 		lists = append(lists, recorder)
 	}
@@ -55,7 +55,7 @@
 		is := is.New(t)
 		net, lists := startInstances(t, 8)
 		is.Equal(len(lists[0].last()), 8)
-		net.SetCut("peer-3", true)
+		net.SetDisconnected("peer-3", true)
 		time.Sleep(removeAfter - sweepInterval)
 		is.Equal(len(lists[0].last()), 8)
 		time.Sleep(3 * sweepInterval)
@@ -70,14 +70,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		net, lists := startInstances(t, 8)
-		net.SetCut("peer-3", true)
+		net.SetDisconnected("peer-3", true)
 		fewest := 8
 		for range 60 {
 			time.Sleep(time.Second)
 			fewest = min(fewest, len(lists[0].last()))
 		}
 		is.Equal(fewest, 7)
-		net.SetCut("peer-3", false)
+		net.SetDisconnected("peer-3", false)
 		time.Sleep(3 * sweepInterval)
 		is.Equal(len(lists[0].last()), 8)
 	})
@@ -90,7 +90,7 @@
 		is := is.New(t)
 		net, lists := startInstances(t, 12)
 		for k := range 4 {
-			net.SetCut(fmt.Sprint("peer-", 4+k), true)
+			net.SetDisconnected(fmt.Sprint("peer-", 4+k), true)
 		}
 		time.Sleep(4 * removeAfter)
 		is.Equal(len(lists[0].last()), 8)
@@ -117,11 +117,11 @@
 		is := is.New(t)
 		net := peernet.New()
 		other := New(Config{Self: platform.Instance{ID: "i2", PeerAddress: "peer-2"}, Log: hclog.NewNullLogger()})
-		other.Register(net.At("peer-2"))
+		other.RegisterHandlers(net.Endpoint("peer-2"))
 		api := &putCounter{API: standin.NewStore()}
-		r := New(Config{API: api, Self: platform.Instance{ID: "i1", PeerAddress: "peer-1"}, List: &instanceRecorder{},
-			Clock: clock.System{}, Log: hclog.NewNullLogger(), Peers: net.At("peer-1")})
-		r.Register(net.At("peer-1"))
+		r := New(Config{API: api, Self: platform.Instance{ID: "i1", PeerAddress: "peer-1"}, InstanceSink: &instanceRecorder{},
+			Clock: clock.System{}, Log: hclog.NewNullLogger(), Peers: net.Endpoint("peer-1")})
+		r.RegisterHandlers(net.Endpoint("peer-1"))
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
--- a/internal/result/code.go
+++ b/internal/result/code.go
@@ -12,7 +12,7 @@
 	QueueTimeout        Code = 1003
 	NoPrimary           Code = 1004
 	NoConfirmingReplica Code = 1005
-	NoReplicaFresh      Code = 1006
+	NoFreshReplica      Code = 1006
 	UpstreamUnreachable Code = 1007
 	TooManyConnections  Code = 1008
 	Draining            Code = 1009
--- a/internal/result/table.go
+++ b/internal/result/table.go
@@ -30,7 +30,7 @@
 	{NoConfirmingReplica, "no confirming replica",
 		"no replica of the primary's term was seen lately, so a write could not be confirmed",
 		"come back after the retry-after; operators look at the group's replicas", RetryLater},
-	{NoReplicaFresh, "no fresh replica",
+	{NoFreshReplica, "no fresh replica",
 		"no member could prove that its data is fresh enough",
 		"come back after the retry-after, or use a read class that accepts older data", RetryLater},
 	{UpstreamUnreachable, "upstream unreachable",
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -39,17 +39,17 @@
 	}
 }
 
-// Request counts a first attempt, which adds Config.Ratio tokens.
-func (b *Budget) Request() {
+// RecordRequest counts a first attempt, which adds Config.Ratio tokens.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addTokens(b.cfg.Ratio)
 }
 
-// Next returns the pause before the next attempt of a read, or of a write that was provably
+// ReserveRetry returns the pause before the next attempt of a read, or of a write that was provably
 // not sent. If the request must not be retried, it returns an error with the code
 // RetryBudgetSpent or DeadlineTooShort.
-func (b *Budget) Next(a Attempt) (time.Duration, *result.Error) {
+func (b *Budget) ReserveRetry(a Attempt) (time.Duration, *result.Error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Clock.Now()
@@ -69,10 +69,10 @@
 	return pause, nil
 }
 
-// Wait calls Next and waits for the pause that it returns. It returns nil when the next
+// Wait calls ReserveRetry and waits for the pause that it returns. It returns nil when the next
 // attempt may begin.
 func (b *Budget) Wait(ctx context.Context, a Attempt) error {
-	pause, refusal := b.Next(a)
+	pause, refusal := b.ReserveRetry(a)
 	if refusal != nil {
 		return refusal
 	}
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -16,7 +16,7 @@
 func fullBudget() *Budget {
 	b := initialBudget()
 	for range int(DefaultBurst / DefaultRatio) {
-		b.Request()
+		b.RecordRequest()
 	}
 	return b
 }
@@ -36,7 +36,7 @@
 		b := initialBudget()
 		retried := 0
 		for range DefaultBurst {
-			if _, refusal := b.Next(failedAttempt(1)); refusal == nil {
+			if _, refusal := b.ReserveRetry(failedAttempt(1)); refusal == nil {
 				retried++
 			}
 		}
@@ -57,8 +57,8 @@
 		b := fullBudget()
 		retried := 0
 		for range 1000 {
-			b.Request()
-			_, refusal := b.Next(failedAttempt(1))
+			b.RecordRequest()
+			_, refusal := b.ReserveRetry(failedAttempt(1))
 			if refusal == nil {
 				retried++
 				continue
@@ -112,7 +112,7 @@
 			is.NoErr(b.Wait(t.Context(), failedAttempt(1)))
 		}
 		b.tokens = 0
-		_, refusal := b.Next(failedAttempt(1))
+		_, refusal := b.ReserveRetry(failedAttempt(1))
 		is.Equal(refusal.Code, result.RetryBudgetSpent)
 		_ = clock.Sleep(t.Context(), clock.System{}, refusal.RetryAfter)
 		is.NoErr(b.Wait(t.Context(), failedAttempt(1)))
--- a/internal/retry/reason.go
+++ b/internal/retry/reason.go
@@ -16,16 +16,16 @@
 const (
 	// Unreachable: no connection to the member could be opened.
 	Unreachable Reason = "upstream_unreachable"
-	// Full: the member's connection limit, or this instance's share of it, was reached.
-	Full Reason = "too_many_connections"
+	// ConnectionLimit: the member's connection limit, or this instance's share of it, was reached.
+	ConnectionLimit Reason = "too_many_connections"
 	// ConnectionLost: the connection was lost during a read.
 	ConnectionLost Reason = "connection_lost"
-	// Silent: the member did not answer a read in time.
-	Silent Reason = "statement_timeout"
+	// ReadTimeout: the member did not answer a read in time.
+	ReadTimeout Reason = "statement_timeout"
 	// Busy: the member had no capacity for the statement.
 	Busy Reason = "member_busy"
-	// Failed: the member failed a read that another member may be able to answer.
-	Failed Reason = "read_failed"
+	// ReadFailed: the member failed a read that another member may be able to answer.
+	ReadFailed Reason = "read_failed"
 	// NoPrimary: the group had no primary.
 	NoPrimary Reason = "no_primary"
 	// PrimaryReplaced: the member was found not to be the primary, before the request was
--- a/internal/routing/read.go
+++ b/internal/routing/read.go
@@ -20,9 +20,9 @@
 	// NotBefore is the time as of which the replica's data must be current; zero if
 	// Required is sufficient.
 	NotBefore time.Time
-	// Checked is set if the member itself refuses the read when its log has not reached
+	// MemberChecksPosition is set if the member itself refuses the read when its log has not reached
 	// Required, so that any replica may be tried.
-	Checked bool
+	MemberChecksPosition bool
 	// FailureDomain is the failure domain of the instance; members in it are preferred.
 	FailureDomain string
 	// Exclude holds the addresses of members that have already failed this read.
@@ -36,13 +36,13 @@
 	// shared. Reads of an owner prefer one replica, so that few connections serve many
 	// owners.
 	Owner string
-	// Connected reports whether the owner has an idle connection to a member.
-	Connected func(address string) bool
-	// Behind reports whether a member recently lacked a required position. It may be nil.
-	Behind func(address string) bool
+	// HasIdleConnection reports whether the owner has an idle connection to a member.
+	HasIdleConnection func(address string) bool
+	// Lagging reports whether a member recently lacked a required position. It may be nil.
+	Lagging func(address string) bool
 }
 
-// Replica returns the member with the best score for r, or false if no member may answer.
+// ChooseMember returns the member with the best score for r, or false if no member may answer.
 //
 // Without an owner, the member with the lowest load is chosen. Ties are broken by failure
 // domain, then at random.
@@ -50,7 +50,7 @@
 // failure domain and the random choice: if each owner used all replicas in turn, or all
 // owners used the nearest replica, connections to the other replicas would be idle while
 // owners wait for each other at one replica.
-func Replica(s *group.Snapshot, r Read, random *rand.Rand) (group.MemberView, bool) {
+func ChooseMember(s *group.Snapshot, r Read, random *rand.Rand) (group.MemberView, bool) {
 	var best group.MemberView
 	found := false
 	bestScore := 0
@@ -80,13 +80,13 @@
 	switch {
 	case r.Owner == "" && m.FailureDomain != r.FailureDomain:
 		score++
-	case r.Owner != "" && !r.Connected(m.Address):
+	case r.Owner != "" && !r.HasIdleConnection(m.Address):
 		score += connectionOpenLoad
 	}
 	if m.Address == primary {
 		score += r.SpillToPrimary * 2
 	}
-	if r.Behind != nil && r.Behind(m.Address) {
+	if r.Lagging != nil && r.Lagging(m.Address) {
 		score += laggingPenalty
 	}
 	return score*tieBreakRange + r.tieBreak(m.Address, random)
@@ -107,20 +107,20 @@
 func isEligible(s *group.Snapshot, m group.MemberView, r Read) bool {
 	st := m.Status
 	if m.Address == s.Primary {
-		return r.SpillToPrimary > 0 && !r.Exclude[m.Address] && !m.Leaving && m.Failing.IsZero()
+		return r.SpillToPrimary > 0 && !r.Exclude[m.Address] && !m.Leaving && m.FailingSince.IsZero()
 	}
 	switch {
-	case r.Exclude[m.Address], m.Leaving, !m.Failing.IsZero():
+	case r.Exclude[m.Address], m.Leaving, !m.FailingSince.IsZero():
 		return false
-	case r.Checked:
+	case r.MemberChecksPosition:
 		// Replicas that are reserved for a promotion also answer reads.
 		return st.Role != member.RolePrimary
 	case st.Role != member.RoleReplica:
 		return false
-	case st.Attached != s.Term || st.Entered != s.Term:
+	case st.AttachedTerm != s.Term || st.EnteredTerm != s.Term:
 		// A replica of another term may still have log entries that were discarded.
 		return false
-	case st.Last.Position < r.Required:
+	case st.LastRecord.Position < r.Required:
 		return false
 	}
 	return r.NotBefore.IsZero() || !m.FreshAsOf.Before(r.NotBefore)
--- a/internal/routing/token_test.go
+++ b/internal/routing/token_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	s := &group.Snapshot{Term: 3, TermStart: 500}
 	required := func(term logpos.Term, p logpos.Position) (logpos.Position, bool) {
-		return RequiredPosition(s, logpos.Token{Group: "g", Mark: logpos.Mark{Term: term, Position: p}})
+		return RequiredPosition(s, logpos.Token{Group: "g", TermPosition: logpos.TermPosition{Term: term, Position: p}})
 	}
 	p, ok := required(2, 900)
 	is.True(ok)
--- a/internal/session/repeats.go
+++ b/internal/session/repeats.go
@@ -30,9 +30,9 @@
 	refusedAt        time.Time
 }
 
-// Begin starts an operation, given its first statement, and returns the time since the
+// BeginOperation starts an operation, given its first statement, and returns the time since the
 // caller first tried it. timeout is the statement timeout.
-func (r *RepeatDetector) Begin(statement []byte, now time.Time, timeout time.Duration) time.Duration {
+func (r *RepeatDetector) BeginOperation(statement []byte, now time.Time, timeout time.Duration) time.Duration {
 	operation := xxhash.Sum64(statement)
 	repeated := operation == r.refusedOperation && now.Sub(r.refusedAt) <= maxRepeatPause && now.Sub(r.firstTriedAt) <= maxOperationTimeouts*timeout
 	if !repeated {
@@ -42,5 +42,7 @@
 	return now.Sub(r.firstTriedAt)
 }
 
-// Refused records that the current operation was refused.
-func (r *RepeatDetector) Refused(now time.Time) { r.refusedOperation, r.refusedAt = r.operation, now }
+// RecordRefusal records that the current operation was refused.
+func (r *RepeatDetector) RecordRefusal(now time.Time) {
+	r.refusedOperation, r.refusedAt = r.operation, now
+}
--- a/internal/session/state.go
+++ b/internal/session/state.go
@@ -34,13 +34,13 @@
 	lost bool
 	// values holds the session's values, sorted by name. Changes replace the slice, so
 	// units may keep a reference to it.
-	values []execution.Value
+	values []execution.SessionValue
 	// Repeats detects operations that the caller sends again.
 	Repeats RepeatDetector
 }
 
-// Fill copies the session's state into a unit.
-func (s *State) Fill(u *execution.Unit) {
+// FillUnit copies the session's state into a unit.
+func (s *State) FillUnit(u *execution.Unit) {
 	u.Group = s.Group
 	u.Token = s.Token
 	u.Roaming = s.Roaming
@@ -48,11 +48,11 @@
 	u.Values = s.values
 }
 
-// Adopt updates the session from a reply and reports whether the session's token has
+// ApplyReply updates the session from a reply and reports whether the session's token has
 // changed.
-func (s *State) Adopt(r *execution.Reply) bool {
+func (s *State) ApplyReply(r *execution.Reply) bool {
 	s.Transaction = r.Transaction
-	s.aborted = wire.Status(r.TransactionStatus) == wire.InFailed
+	s.aborted = wire.Status(r.TransactionStatus) == wire.InFailedTransaction
 	// A reply without a token gives no information about the session's earlier writes. For
 	// example, the first read after a bare BEGIN still requires a barrier.
 	s.Roaming = s.Roaming && r.Token.IsZero()
@@ -65,7 +65,7 @@
 func (s *State) Status() wire.Status {
 	switch {
 	case s.lost || s.aborted:
-		return wire.InFailed
+		return wire.InFailedTransaction
 	case s.Transaction != "":
 		return wire.InTransaction
 	default:
@@ -73,23 +73,23 @@
 	}
 }
 
-// Lose marks the open transaction as lost; e rolls it back. The caller must still end it.
-func (s *State) Lose(e execution.Executor) {
-	s.Abandon(e)
+// LoseTransaction marks the open transaction as lost; e rolls it back. The caller must still end it.
+func (s *State) LoseTransaction(e execution.Executor) {
+	s.AbandonTransaction(e)
 	s.aborted = false
 	s.lost = true
 }
 
-// Lost reports whether the transaction was lost and the caller has not ended it yet.
-func (s *State) Lost() bool { return s.lost }
+// TransactionLost reports whether the transaction was lost and the caller has not ended it yet.
+func (s *State) TransactionLost() bool { return s.lost }
 
-// EndLost records that the caller has ended its lost transaction.
-func (s *State) EndLost() { s.lost = false }
+// ClearLostTransaction records that the caller has ended its lost transaction.
+func (s *State) ClearLostTransaction() { s.lost = false }
 
-// Abandon ends the open transaction, if any, without committing it; e rolls it back.
-func (s *State) Abandon(e execution.Executor) {
+// AbandonTransaction ends the open transaction, if any, without committing it; e rolls it back.
+func (s *State) AbandonTransaction(e execution.Executor) {
 	if s.Transaction != "" {
-		e.Abandon(s.Group, s.Transaction)
+		e.AbandonTransaction(s.Group, s.Transaction)
 	}
 	s.Transaction, s.aborted = "", false
 }
@@ -101,11 +101,11 @@
 // Set sets a session value.
 func (s *State) Set(name, value string) {
 	next := slices.Clone(s.values)
-	i, found := slices.BinarySearchFunc(next, name, func(v execution.Value, n string) int { return cmp.Compare(v.Name, n) })
+	i, found := slices.BinarySearchFunc(next, name, func(v execution.SessionValue, n string) int { return cmp.Compare(v.Name, n) })
 	if found {
 		next[i].Value = value
 	} else {
-		next = slices.Insert(next, i, execution.Value{Name: name, Value: value})
+		next = slices.Insert(next, i, execution.SessionValue{Name: name, Value: value})
 	}
 	s.values = next
 }
@@ -113,11 +113,11 @@
 // Unset removes a session value.
 func (s *State) Unset(name string) {
 	// Clone, because units may hold a reference to the array.
-	s.values = slices.DeleteFunc(slices.Clone(s.values), func(v execution.Value) bool { return v.Name == name })
+	s.values = slices.DeleteFunc(slices.Clone(s.values), func(v execution.SessionValue) bool { return v.Name == name })
 }
 
 // UnsetAll removes all session values.
 func (s *State) UnsetAll() { s.values = nil }
 
 // Values returns the session's values. The slice must not be modified.
-func (s *State) Values() []execution.Value { return s.values }
+func (s *State) Values() []execution.SessionValue { return s.values }
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "ops", "install-and-settings.md"))
 	is.NoErr(err)
-	for _, difference := range inifile.ComparePage(string(page), Keys()) {
+	for _, difference := range inifile.CompareDocs(string(page), Keys()) {
 		t.Error(difference)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -36,75 +36,75 @@
 		{Kind: "homes"}, {Kind: "ready"}, {Kind: "metrics"}, {Kind: "promotion"}, {Kind: "drain"}, {Kind: "process"}, {Kind: "quota"}, {Kind: "log"},
 	},
 	Keys: []inifile.Key{
-		{Section: "instance", Name: "id", Kind: inifile.Name{}, Required: true,
-			Meaning: "Name of the instance, unique in the platform's instance list."},
-		{Section: "instance", Name: "failure_domain", Kind: inifile.Name{}, Required: true,
-			Meaning: "Failure domain that the instance stands in."},
-		{Section: "instance", Name: "region", Kind: inifile.Name{}, Required: true,
-			Meaning: "Region that the failure domain belongs to."},
-
-		{Section: "caller", Name: "address", Kind: inifile.Address{}, Required: true,
-			Meaning: "Where callers connect."},
-		{Section: "caller", Name: "wire", Kind: inifile.Enum{WirePostgreSQL, WireLine}, Default: WirePostgreSQL,
-			Meaning: "Protocol that callers and members speak."},
-		{Section: "caller", Name: "max_callers", Kind: inifile.Int{Min: 1, Max: maxCallers}, Default: "5000",
-			Meaning: "How many caller connections may be open."},
-		{Section: "caller", Name: "startup_timeout", Kind: inifile.Duration{Min: minStartupTimeout, Max: maxStartupTimeout}, Default: "10s",
-			Meaning: "Time from accepting a caller's connection to the end of its authentication."},
-
-		{Section: "peer", Name: "address", Kind: inifile.Address{}, Required: true,
-			Meaning: "Where other instances connect."},
-		{Section: "peer", Name: "seeds", Kind: addressList{},
-			Meaning: "Peer addresses, parted by commas, that are asked for documents when the instance starts while the platform is down. May be empty."},
-
-		{Section: "admin", Name: "address", Kind: inifile.Address{}, Required: true,
-			Meaning: "Where the administration API, health and metrics are served."},
-		{Section: "admin", Name: "access_token", Kind: inifile.Text{Max: maxSecretLength}, Secret: true,
-			Meaning: "Token for calls that change something. Empty: such calls are accepted from loopback only."},
-
-		{Section: "platform", Name: "url", Kind: baseURL{}, Required: true,
-			Meaning: "Base URL of the platform."},
-		{Section: "platform", Name: "timeout", Kind: inifile.Duration{Min: minPlatformTimeout, Max: maxPlatformTimeout}, Default: "2s",
-			Meaning: "Time for one call to the platform, apart from a waiting watch."},
-
-		{Section: "upstream", Name: "user", Kind: requiredText, Required: true,
-			Meaning: "Account for connections to members."},
-		{Section: "upstream", Name: "password", Kind: inifile.Text{Max: maxSecretLength}, Secret: true,
-			Meaning: "Password of the account."},
-		{Section: "upstream", Name: "application_name", Kind: inifile.Text{Max: inifile.MaxNameLength}, Default: "topazrock",
-			Meaning: "Application name that members see."},
-
-		{Section: "homes", Name: "per_failure_domain", Kind: inifile.Int{Min: 1, Max: maxHomes}, Default: "1",
-			Meaning: "How many instances of each failure domain hold a group's connections."},
-
-		{Section: "ready", Name: "address", Kind: optional{inifile.Address{}},
-			Meaning: "Where the balancer's readiness probe is answered, apart from the administration API. May be empty."},
-
-		{Section: "metrics", Name: "address", Kind: optional{inifile.Address{}},
-			Meaning: "Where metrics are served besides the administration API, for a collector that knows one port. May be empty."},
-
-		{Section: "promotion", Name: "url", Kind: optional{baseURL{}},
-			Meaning: "Base URL of the service that appoints primaries, for members that do not take the order themselves. May be empty."},
-
-		{Section: "drain", Name: "linger", Kind: inifile.Duration{Max: maxDrain}, Default: "0s",
-			Meaning: "Time from the start of a graceful shutdown in which new callers are still served, because the balancer has not seen it yet."},
-		{Section: "drain", Name: "timeout", Kind: inifile.Duration{Min: minDrain, Max: maxDrain}, Default: "30s",
-			Meaning: "Time of the whole graceful shutdown; what is still at work then is cut off."},
-
-		{Section: "process", Name: "memory_mb", Kind: inifile.Int{Max: maxMemoryMB}, Default: "0",
-			Meaning: "Memory that the process may use, in megabytes; 0 sets no bound."},
-
-		{Section: "quota", Name: "window", Kind: inifile.Duration{Min: minQuotaWindow, Max: maxQuotaWindow}, Default: "5s",
-			Meaning: "Time over which the operations of a workspace are held against its limit."},
-		{Section: "quota", Name: "overage", Kind: inifile.Decimal{Max: maxQuotaOverage}, Default: "0",
-			Meaning: "Part of the limit by which the operations in a window may pass it. Some of it deepens the buckets and lets instances hold tokens ahead, so that fewer operations below the limit are refused or wait."},
-		{Section: "quota", Name: "slack", Kind: inifile.Int{Max: maxQuotaSlack}, Default: "0",
-			Meaning: "Number of operations by which those in a window may pass the limit besides; of use to workspaces with small limits."},
-
-		{Section: "log", Name: "level", Kind: inifile.Enum{"trace", "debug", "info", "warn", "error"}, Default: "info",
-			Meaning: "Least important level that is logged."},
-		{Section: "log", Name: "format", Kind: inifile.Enum{FormatText, FormatJSON}, Default: FormatText,
-			Meaning: "Form of a log line."},
+		{Section: "instance", Name: "id", Type: inifile.Name{}, Required: true,
+			Description: "Name of the instance, unique in the platform's instance list."},
+		{Section: "instance", Name: "failure_domain", Type: inifile.Name{}, Required: true,
+			Description: "Failure domain that the instance stands in."},
+		{Section: "instance", Name: "region", Type: inifile.Name{}, Required: true,
+			Description: "Region that the failure domain belongs to."},
+
+		{Section: "caller", Name: "address", Type: inifile.Address{}, Required: true,
+			Description: "Where callers connect."},
+		{Section: "caller", Name: "wire", Type: inifile.Enum{WirePostgreSQL, WireLine}, Default: WirePostgreSQL,
+			Description: "Protocol that callers and members speak."},
+		{Section: "caller", Name: "max_callers", Type: inifile.Int{Min: 1, Max: maxCallers}, Default: "5000",
+			Description: "How many caller connections may be open."},
+		{Section: "caller", Name: "startup_timeout", Type: inifile.Duration{Min: minStartupTimeout, Max: maxStartupTimeout}, Default: "10s",
+			Description: "Time from accepting a caller's connection to the end of its authentication."},
+
+		{Section: "peer", Name: "address", Type: inifile.Address{}, Required: true,
+			Description: "Where other instances connect."},
+		{Section: "peer", Name: "seeds", Type: addressList{},
+			Description: "Peer addresses, parted by commas, that are asked for documents when the instance starts while the platform is down. May be empty."},
+
+		{Section: "admin", Name: "address", Type: inifile.Address{}, Required: true,
+			Description: "Where the administration API, health and metrics are served."},
+		{Section: "admin", Name: "access_token", Type: inifile.Text{Max: maxSecretLength}, Secret: true,
+			Description: "Token for calls that change something. Empty: such calls are accepted from loopback only."},
+
+		{Section: "platform", Name: "url", Type: baseURL{}, Required: true,
+			Description: "Base URL of the platform."},
+		{Section: "platform", Name: "timeout", Type: inifile.Duration{Min: minPlatformTimeout, Max: maxPlatformTimeout}, Default: "2s",
+			Description: "Time for one call to the platform, apart from a waiting watch."},
+
+		{Section: "upstream", Name: "user", Type: requiredText, Required: true,
+			Description: "Account for connections to members."},
+		{Section: "upstream", Name: "password", Type: inifile.Text{Max: maxSecretLength}, Secret: true,
+			Description: "Password of the account."},
+		{Section: "upstream", Name: "application_name", Type: inifile.Text{Max: inifile.MaxNameLength}, Default: "topazrock",
+			Description: "Application name that members see."},
+
+		{Section: "homes", Name: "per_failure_domain", Type: inifile.Int{Min: 1, Max: maxHomes}, Default: "1",
+			Description: "How many instances of each failure domain hold a group's connections."},
+
+		{Section: "ready", Name: "address", Type: optional{inifile.Address{}},
+			Description: "Where the balancer's readiness probe is answered, apart from the administration API. May be empty."},
+
+		{Section: "metrics", Name: "address", Type: optional{inifile.Address{}},
+			Description: "Where metrics are served besides the administration API, for a collector that knows one port. May be empty."},
+
+		{Section: "promotion", Name: "url", Type: optional{baseURL{}},
+			Description: "Base URL of the service that appoints primaries, for members that do not take the order themselves. May be empty."},
+
+		{Section: "drain", Name: "linger", Type: inifile.Duration{Max: maxDrain}, Default: "0s",
+			Description: "Time from the start of a graceful shutdown in which new callers are still served, because the balancer has not seen it yet."},
+		{Section: "drain", Name: "timeout", Type: inifile.Duration{Min: minDrain, Max: maxDrain}, Default: "30s",
+			Description: "Time of the whole graceful shutdown; what is still at work then is cut off."},
+
+		{Section: "process", Name: "memory_mb", Type: inifile.Int{Max: maxMemoryMB}, Default: "0",
+			Description: "Memory that the process may use, in megabytes; 0 sets no bound."},
+
+		{Section: "quota", Name: "window", Type: inifile.Duration{Min: minQuotaWindow, Max: maxQuotaWindow}, Default: "5s",
+			Description: "Time over which the operations of a workspace are held against its limit."},
+		{Section: "quota", Name: "overage", Type: inifile.Decimal{Max: maxQuotaOverage}, Default: "0",
+			Description: "Part of the limit by which the operations in a window may pass it. Some of it deepens the buckets and lets instances hold tokens ahead, so that fewer operations below the limit are refused or wait."},
+		{Section: "quota", Name: "slack", Type: inifile.Int{Max: maxQuotaSlack}, Default: "0",
+			Description: "Number of operations by which those in a window may pass the limit besides; of use to workspaces with small limits."},
+
+		{Section: "log", Name: "level", Type: inifile.Enum{"trace", "debug", "info", "warn", "error"}, Default: "info",
+			Description: "Least important level that is logged."},
+		{Section: "log", Name: "format", Type: inifile.Enum{FormatText, FormatJSON}, Default: FormatText,
+			Description: "Form of a log line."},
 	},
 }
 
@@ -112,4 +112,4 @@
 type Key = inifile.KeyDoc
 
 // Keys returns every key in the order of the operator documentation.
-func Keys() []Key { return schema.Docs() }
+func Keys() []Key { return schema.KeyDocs() }
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -21,7 +21,7 @@
 // requiredText is a short text that must not be empty.
 var requiredText = nonEmpty{inifile.Text{Max: inifile.MaxNameLength}}
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (k nonEmpty) Parse(text string) (any, error) {
 	if text == "" {
 		return "", errEmpty
@@ -29,25 +29,25 @@
 	return k.Text.Parse(text)
 }
 
-// optional accepts an empty value in addition to the values of Kind.
-type optional struct{ inifile.Kind }
+// optional accepts an empty value in addition to the values of ValueType.
+type optional struct{ inifile.ValueType }
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (k optional) Parse(text string) (any, error) {
 	if text == "" {
 		return "", nil
 	}
-	return k.Kind.Parse(text)
+	return k.ValueType.Parse(text)
 }
 
-// Allowed implements inifile.Kind.
-func (k optional) Allowed() string { return "empty or " + k.Kind.Allowed() }
+// Allowed implements inifile.ValueType.
+func (k optional) Allowed() string { return "empty or " + k.ValueType.Allowed() }
 
 // baseURL is an http or https URL with an IP address and port as its host and
 // without a path; its value is a string.
 type baseURL struct{}
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (baseURL) Parse(text string) (any, error) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") {
@@ -62,7 +62,7 @@
 	return u.Scheme + "://" + u.Host, nil
 }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (baseURL) Allowed() string { return "http://IP:port or https://IP:port" }
 
 // maxSeeds is the maximum number of addresses in an address list.
@@ -72,7 +72,7 @@
 // or tabs; its value is a []string.
 type addressList struct{}
 
-// Parse implements inifile.Kind.
+// Parse implements inifile.ValueType.
 func (addressList) Parse(text string) (any, error) {
 	var list []string
 	for _, item := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' || r == ' ' || r == '\t' }) {
@@ -88,7 +88,7 @@
 	return list, nil
 }
 
-// Allowed implements inifile.Kind.
+// Allowed implements inifile.ValueType.
 func (addressList) Allowed() string {
 	return fmt.Sprintf("up to %d of IP:port, parted by commas", maxSeeds)
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -28,7 +28,7 @@
 }
 
 func newSettings(f *inifile.File) *Settings {
-	section := func(kind string) *inifile.Section { return f.First(&schema, kind) }
+	section := func(kind string) *inifile.Section { return f.FirstSection(&schema, kind) }
 	instance, caller, upstream := section("instance"), section("caller"), section("upstream")
 	seeds, _ := section("peer").Value("seeds").([]string)
 	return &Settings{
@@ -42,7 +42,7 @@
 		Upstream: Upstream{User: upstream.String("user"), Password: upstream.String("password"),
 			ApplicationName: upstream.String("application_name")},
 		Homes:     Homes{PerFailureDomain: section("homes").Int("per_failure_domain")},
-		Ready:     Ready{Address: section("ready").String("address")},
+		Ready:     Readiness{Address: section("ready").String("address")},
 		Metrics:   Metrics{Address: section("metrics").String("address")},
 		Promotion: Promotion{URL: section("promotion").String("url")},
 		Drain:     Drain{Linger: section("drain").Duration("linger"), Timeout: section("drain").Duration("timeout")},
@@ -57,13 +57,13 @@
 func checkAddresses(f *inifile.File) {
 	usedBy := make(map[string]string)
 	for _, kind := range []string{"caller", "peer", "admin", "ready", "metrics"} {
-		s := f.First(&schema, kind)
+		s := f.FirstSection(&schema, kind)
 		address := s.String("address")
 		if address == "" {
 			continue
 		}
 		if other, used := usedBy[address]; used {
-			f.Refuse(s, "address", "the address is taken by ["+other+"]", "an address of its own")
+			f.AddKeyProblem(s, "address", "the address is taken by ["+other+"]", "an address of its own")
 		}
 		usedBy[address] = kind
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,7 +15,7 @@
 	Platform Platform
 	Upstream Upstream
 	Homes    Homes
-	Ready    Ready
+	Ready    Readiness
 	Metrics  Metrics
 	// Promotion is the service that promotes members to primary, if members do
 	// not accept promotions directly. Its URL is empty otherwise.
@@ -86,8 +86,8 @@
 	PerFailureDomain int
 }
 
-// Ready configures a separate listener for the load balancer's readiness probe.
-type Ready struct {
+// Readiness configures a separate listener for the load balancer's readiness probe.
+type Readiness struct {
 	// Address is empty if there is no such listener.
 	Address string
 }
--- a/internal/shares/acquire.go
+++ b/internal/shares/acquire.go
@@ -7,13 +7,13 @@
 // ensureShare applies a newer allocation to the ledger and makes sure that this
 // instance holds a share. It returns false if it should be called again soon.
 func (m *Manager) ensureShare(ctx context.Context) bool {
-	if m.currentAllocation().Document > m.ledger.DocumentVersion {
+	if m.currentAllocation().DocumentVersion > m.ledger.DocumentVersion {
 		m.changeLedger(ctx, changeApplyAllocation, m.applyNewerAllocation)
 	}
 	m.changeLedger(ctx, changeFreeEarlierHolder, m.freeEarlierHolders)
 	mine := m.ledger.shareOf(m.self)
 	switch {
-	case mine == nil && m.Seated():
+	case mine == nil && m.HoldsShare():
 		return m.closeLostShare(ctx)
 	case mine != nil && mine.Target.IsZero():
 		return m.releaseRemovedShare(ctx)
@@ -64,10 +64,10 @@
 // instance whose document is no newer than the ledger's changes nothing.
 func (m *Manager) applyNewerAllocation(l *Ledger) bool {
 	a := m.currentAllocation()
-	if a.Document <= l.DocumentVersion {
+	if a.DocumentVersion <= l.DocumentVersion {
 		return false
 	}
-	if err := l.applyAllocation(a, m.cfg.Control, m.cfg.ReserveShares); err != nil {
+	if err := l.applyAllocation(a, m.cfg.ControlConnections, m.cfg.ReserveShares); err != nil {
 		m.log.Error("Cannot divide the total into shares.", "group", m.cfg.Group, "error", err)
 		return false
 	}
--- a/internal/shares/apply.go
+++ b/internal/shares/apply.go
@@ -23,7 +23,7 @@
 		m.applyLimits(mine.Size)
 		m.setShareHeld(true)
 		m.announceHeld(true)
-	case m.Seated():
+	case m.HoldsShare():
 		// Another instance took the share after this process had been unreachable for
 		// longer than HolderExpiry.
 		m.log.Warn("Lost the share, closing all connections.", "group", m.cfg.Group)
@@ -34,13 +34,13 @@
 	}
 }
 
-// announceHeld calls SeatChanged if the value differs from the last call's.
+// announceHeld calls OnHeldChanged if the value differs from the last call's.
 func (m *Manager) announceHeld(held bool) {
 	if m.announcedHeld == held {
 		return
 	}
 	m.announcedHeld = held
-	m.cfg.SeatChanged(held)
+	m.cfg.OnHeldChanged(held)
 }
 
 // applyLimits sets the limits of the resources.
@@ -48,7 +48,7 @@
 	m.mu.Lock()
 	m.limit = size
 	m.mu.Unlock()
-	m.cfg.Connections.Set(max(size.Connections-m.cfg.Control, 0))
+	m.cfg.Connections.Set(max(size.Connections-m.cfg.ControlConnections, 0))
 	m.cfg.Slots.Set(size.Slots)
 	m.cfg.Metrics.size.WithLabelValues(m.cfg.Group, "connections").Set(float64(size.Connections))
 	m.cfg.Metrics.size.WithLabelValues(m.cfg.Group, "slots").Set(float64(size.Slots))
@@ -56,10 +56,10 @@
 
 // waitWithinLimits waits until usage is within the applied limits.
 func (m *Manager) waitWithinLimits(ctx context.Context) error {
-	if err := m.cfg.Connections.Settle(ctx); err != nil {
+	if err := m.cfg.Connections.WaitWithinLimit(ctx); err != nil {
 		return err
 	}
-	return m.cfg.Slots.Settle(ctx)
+	return m.cfg.Slots.WaitWithinLimit(ctx)
 }
 
 // changeLedger updates the ledger, adopts the result, and counts the change. It reports
--- a/internal/shares/borrowing.go
+++ b/internal/shares/borrowing.go
@@ -17,9 +17,9 @@
 // borrows if this instance is short.
 func (m *Manager) sampleAndBorrow(ctx context.Context) {
 	now := m.cfg.Clock.Now()
-	inUse, waiting := m.cfg.Connections.Use()
+	inUse, waiting := m.cfg.Connections.Usage()
 	m.connectionUsage.addSample(now, inUse, waiting)
-	inUse, waiting = m.cfg.Slots.Use()
+	inUse, waiting = m.cfg.Slots.Usage()
 	m.slotUsage.addSample(now, inUse, waiting)
 	if m.ledger.shareOf(m.self) == nil {
 		return
--- a/internal/shares/config.go
+++ b/internal/shares/config.go
@@ -41,13 +41,13 @@
 	// Connections and Slots are limited by the share. Their initial limit is zero.
 	Connections Resource
 	Slots       Resource
-	// Control is the number of connections that a holder uses in addition to
+	// ControlConnections is the number of connections that a holder uses in addition to
 	// Connections.
-	Control int
-	// SeatChanged is called with true after a share was taken and with false before one
+	ControlConnections int
+	// OnHeldChanged is called with true after a share was taken and with false before one
 	// is released, alternately. The call with false must return only after the control
 	// connections are closed. It may be nil.
-	SeatChanged func(held bool)
+	OnHeldChanged func(held bool)
 	// ReserveShares is the number of shares that belong to no failure domain.
 	ReserveShares int
 	// RefreshInterval is how often the ledger is read when nothing else triggers a
@@ -75,8 +75,8 @@
 	if c.Metrics == nil {
 		c.Metrics = NewMetrics(nil)
 	}
-	if c.SeatChanged == nil {
-		c.SeatChanged = func(bool) {}
+	if c.OnHeldChanged == nil {
+		c.OnHeldChanged = func(bool) {}
 	}
 	if c.ReserveShares <= 0 {
 		c.ReserveShares = DefaultReserveShares
--- a/internal/shares/directory.go
+++ b/internal/shares/directory.go
@@ -53,7 +53,7 @@
 }
 
 // Register registers the handlers of this package's methods.
-func (d *Directory) Register(r peer.Registry) {
+func (d *Directory) Register(r peer.HandlerRegistry) {
 	r.Handle(MethodBorrow, d.handleBorrow)
 	r.Handle(MethodCapacityNotice, d.handleCapacityNotice)
 	r.Handle(MethodHolder, d.handleHolderRequest)
--- a/internal/shares/even.go
+++ b/internal/shares/even.go
@@ -8,7 +8,7 @@
 	"github.com/topazrock/topazrock/internal/clock"
 )
 
-// Even is a share without a ledger: an equal part of the connections that each member
+// EqualShare is a share without a ledger: an equal part of the connections that each member
 // accepts, computed from the number of instances that serve the group. It fits members
 // that limit their connections themselves and refuse excess connections without harm. Two
 // instances may briefly disagree about how many instances serve the group; a member then
@@ -21,25 +21,25 @@
 // refused connection attempt would cost the member a slot, and instances that start a
 // moment later would get nothing. Half fits if the lost instances used no more than the
 // other half.
-type Even struct {
+type EqualShare struct {
 	Clock clock.Clock
-	// Linger is how long a member counts connections whose other end has vanished. The
+	// LostConnectionTimeout is how long a member counts connections whose other end has vanished. The
 	// share has half its size for this time after the start, and its full size
 	// afterwards; with zero it starts with the full size.
-	Linger time.Duration
+	LostConnectionTimeout time.Duration
 	// Connections is limited by the share.
 	Connections Resource
-	// Each is called with the number of connections that the share allows to each
+	// SetPerMember is called with the number of connections that the share allows to each
 	// member.
-	Each func(perMember int)
-	// Control is the number of connections to each member that the instance uses in
+	SetPerMember func(perMember int)
+	// ControlPerMember is the number of connections to each member that the instance uses in
 	// addition to Connections.
-	Control int
-	// Part returns this instance's part of a total number of connections.
-	Part func(total int) int
-	// SeatChanged is called with true when the share is held and with false before it
+	ControlPerMember int
+	// PartOf returns this instance's part of a total number of connections.
+	PartOf func(total int) int
+	// OnHeldChanged is called with true when the share is held and with false before it
 	// is released.
-	SeatChanged func(held bool)
+	OnHeldChanged func(held bool)
 
 	mu sync.Mutex
 	// starting is true until the share has its full size.
@@ -54,17 +54,17 @@
 const minPerMember = 1
 
 // Run holds the share until ctx ends.
-func (e *Even) Run(ctx context.Context) {
-	e.setStarting(e.Linger > 0)
+func (e *EqualShare) Run(ctx context.Context) {
+	e.setStarting(e.LostConnectionTimeout > 0)
 	e.setHeld(true)
-	e.SeatChanged(true)
-	if e.Linger > 0 && clock.Sleep(ctx, e.Clock, e.Linger) == nil {
+	e.OnHeldChanged(true)
+	if e.LostConnectionTimeout > 0 && clock.Sleep(ctx, e.Clock, e.LostConnectionTimeout) == nil {
 		e.setStarting(false)
 	}
 	<-ctx.Done()
 }
 
-func (e *Even) setStarting(starting bool) {
+func (e *EqualShare) setStarting(starting bool) {
 	e.mu.Lock()
 	e.starting = starting
 	e.mu.Unlock()
@@ -72,15 +72,15 @@
 }
 
 // Close releases the share and waits until its connections are closed.
-func (e *Even) Close(ctx context.Context) error {
+func (e *EqualShare) Close(ctx context.Context) error {
 	e.setHeld(false)
-	e.SeatChanged(false)
+	e.OnHeldChanged(false)
 	e.Connections.Set(0)
-	return e.Connections.Settle(ctx)
+	return e.Connections.WaitWithinLimit(ctx)
 }
 
 // SetAllocation replaces the group's limits and recomputes a share that is held.
-func (e *Even) SetAllocation(a Allocation) {
+func (e *EqualShare) SetAllocation(a Allocation) {
 	e.mu.Lock()
 	e.allocation = a
 	held := e.held
@@ -91,11 +91,11 @@
 }
 
 // recompute computes the share and sets the limits.
-func (e *Even) recompute() {
+func (e *EqualShare) recompute() {
 	e.mu.Lock()
 	total, members, starting := e.allocation.PerMember, e.allocation.Members, e.starting
 	e.mu.Unlock()
-	perMember := e.Part(total) - e.Control
+	perMember := e.PartOf(total) - e.ControlPerMember
 	if starting {
 		perMember = (perMember + 1) / 2
 	}
@@ -107,25 +107,25 @@
 	e.mu.Unlock()
 	if changed {
 		e.Connections.Set(next.Connections)
-		e.Each(perMember)
+		e.SetPerMember(perMember)
 	}
 }
 
 // Limit returns what this instance may use, without control connections.
-func (e *Even) Limit() Amount {
+func (e *EqualShare) Limit() Amount {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limit
 }
 
-// Seated reports whether the share is held.
-func (e *Even) Seated() bool {
+// HoldsShare reports whether the share is held.
+func (e *EqualShare) HoldsShare() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
 }
 
-func (e *Even) setHeld(held bool) {
+func (e *EqualShare) setHeld(held bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.held = held
--- a/internal/shares/even_test.go
+++ b/internal/shares/even_test.go
@@ -25,9 +25,9 @@
 	r.total = limit
 }
 
-func (r *recordedLimits) Settle(context.Context) error { return nil }
+func (r *recordedLimits) WaitWithinLimit(context.Context) error { return nil }
 
-func (r *recordedLimits) Use() (inUse, waiting int) { return 0, 0 }
+func (r *recordedLimits) Usage() (inUse, waiting int) { return 0, 0 }
 
 func (r *recordedLimits) setPerMember(perMember int) {
 	r.mu.Lock()
@@ -55,10 +55,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		limits := &recordedLimits{}
-		e := &Even{
-			Clock: clock.System{}, Linger: linger, Connections: limits, Each: limits.setPerMember, Control: 1,
-			Part:        func(total int) int { return total / instances },
-			SeatChanged: func(bool) {},
+		e := &EqualShare{
+			Clock: clock.System{}, LostConnectionTimeout: linger, Connections: limits, SetPerMember: limits.setPerMember, ControlPerMember: 1,
+			PartOf:        func(total int) int { return total / instances },
+			OnHeldChanged: func(bool) {},
 		}
 		e.SetAllocation(Allocation{PerMember: 55, Members: members})
 		ctx, stop := context.WithCancel(t.Context())
@@ -93,10 +93,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		limits := &recordedLimits{}
-		e := &Even{
-			Clock: clock.System{}, Linger: time.Second, Connections: limits, Each: limits.setPerMember, Control: 1,
-			Part:        func(int) int { return 1 },
-			SeatChanged: func(bool) {},
+		e := &EqualShare{
+			Clock: clock.System{}, LostConnectionTimeout: time.Second, Connections: limits, SetPerMember: limits.setPerMember, ControlPerMember: 1,
+			PartOf:        func(int) int { return 1 },
+			OnHeldChanged: func(bool) {},
 		}
 		e.SetAllocation(Allocation{PerMember: 7, Members: 2})
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/shares/fakeinstance_test.go
+++ b/internal/shares/fakeinstance_test.go
@@ -56,20 +56,20 @@
 	inst.slots = &fakeResource{instance: inst, unit: Amount{Slots: 1}}
 	self := Holder{Instance: id, Incarnation: inst.incarnationName(), Address: id, FailureDomain: domain}
 	inst.manager = New(Config{
-		Group:        testGroup,
-		Self:         self,
-		Clock:        clock.System{},
-		Rand:         rand.New(rand.NewPCG(serial, 7)),
-		Platform:     instancePlatform{sim, inst},
-		Peers:        instancePeers{sim, inst},
-		Connections:  inst.connections,
-		Slots:        inst.slots,
-		Control:      testControl,
-		HolderExpiry: sim.holderExpiry,
+		Group:              testGroup,
+		Self:               self,
+		Clock:              clock.System{},
+		Rand:               rand.New(rand.NewPCG(serial, 7)),
+		Platform:           instancePlatform{sim, inst},
+		Peers:              instancePeers{sim, inst},
+		Connections:        inst.connections,
+		Slots:              inst.slots,
+		ControlConnections: testControl,
+		HolderExpiry:       sim.holderExpiry,
 
 		SampleInterval: sim.sampleInterval,
-		SeatChanged:    inst.setControlConnections,
-	}, Allocation{Document: 1, Total: total, FailureDomains: []string{"poa-a", "poa-b", "fln-c"}})
+		OnHeldChanged:  inst.setControlConnections,
+	}, Allocation{DocumentVersion: 1, Total: total, FailureDomains: []string{"poa-a", "poa-b", "fln-c"}})
 	inst.directory = NewDirectory(inst.incarnationName())
 	inst.directory.Add(inst.manager)
 	sim.withLock(func() { sim.instances[id] = inst })
--- a/internal/shares/fakeresource_test.go
+++ b/internal/shares/fakeresource_test.go
@@ -103,7 +103,7 @@
 	r.adjust()
 }
 
-func (r *fakeResource) Settle(ctx context.Context) error {
+func (r *fakeResource) WaitWithinLimit(ctx context.Context) error {
 	for {
 		if err := r.instance.blockWhileFrozen(ctx); err != nil {
 			return err
@@ -127,7 +127,7 @@
 	return r.limit
 }
 
-func (r *fakeResource) Use() (inUse, waiting int) {
+func (r *fakeResource) Usage() (inUse, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return min(r.held, r.demand), max(r.demand-r.held, 0)
--- a/internal/shares/fixedshares_test.go
+++ b/internal/shares/fixedshares_test.go
@@ -21,8 +21,8 @@
 			a.connections.setDemand(30)
 			a.slots.setDemand(5)
 			sleep(3 * peakWindow)
-			inUse, _ := a.connections.Use()
-			running, _ := a.slots.Use()
+			inUse, _ := a.connections.Usage()
+			running, _ := a.slots.Usage()
 			used[kind] = Amount{inUse, running}
 		})
 	}
--- a/internal/shares/layout.go
+++ b/internal/shares/layout.go
@@ -14,9 +14,9 @@
 
 // Allocation holds a group's limits from the service document.
 type Allocation struct {
-	// Document is the document's version; a higher version replaces a lower one.
-	Document int64
-	Total    Amount
+	// DocumentVersion is the document's version; a higher version replaces a lower one.
+	DocumentVersion int64
+	Total           Amount
 	// FailureDomains get one share each.
 	FailureDomains []string
 	// Members is the number of members of the group. PerMember is the number of
@@ -112,7 +112,7 @@
 		}
 	}
 	l.Shares = merged
-	l.DocumentVersion = a.Document
+	l.DocumentVersion = a.DocumentVersion
 	l.Total = a.Total
 	l.raiseToTargets()
 	return nil
--- a/internal/shares/lending.go
+++ b/internal/shares/lending.go
@@ -83,7 +83,7 @@
 // recentNeed returns this instance's recent peak usage plus one spare connection, with
 // at least one slot.
 func (m *Manager) recentNeed() Amount {
-	return Amount{m.cfg.Control + m.connectionUsage.peak() + 1, max(m.slotUsage.peak(), 1)}
+	return Amount{m.cfg.ControlConnections + m.connectionUsage.peak() + 1, max(m.slotUsage.peak(), 1)}
 }
 
 // idleCapacity returns what could be lent: the part of the share above both its floor
--- a/internal/shares/manager.go
+++ b/internal/shares/manager.go
@@ -36,7 +36,7 @@
 	refusedBorrowers map[string]struct{}
 	// changeFailed is set when a change failed, so that the ledger is read again soon.
 	changeFailed bool
-	// announcedHeld is the value last passed to SeatChanged.
+	// announcedHeld is the value last passed to OnHeldChanged.
 	announcedHeld bool
 
 	mu sync.Mutex
@@ -88,7 +88,7 @@
 // SetAllocation replaces the group's limits if a comes from a newer service document.
 func (m *Manager) SetAllocation(a Allocation) {
 	m.mu.Lock()
-	newer := a.Document > m.allocation.Document
+	newer := a.DocumentVersion > m.allocation.DocumentVersion
 	if newer {
 		m.allocation = a
 	}
@@ -105,9 +105,9 @@
 	return m.limit
 }
 
-// Seated reports whether this instance holds a share of the group and so may open
+// HoldsShare reports whether this instance holds a share of the group and so may open
 // connections to its members.
-func (m *Manager) Seated() bool {
+func (m *Manager) HoldsShare() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.shareHeld
--- a/internal/shares/resource.go
+++ b/internal/shares/resource.go
@@ -6,8 +6,8 @@
 type Resource interface {
 	// Set changes the limit without waiting.
 	Set(n int)
-	// Settle waits until usage is within the limit.
-	Settle(ctx context.Context) error
-	// Use returns the number of units in use and the number of waiting requests.
-	Use() (inUse, waiting int)
+	// WaitWithinLimit waits until usage is within the limit.
+	WaitWithinLimit(ctx context.Context) error
+	// Usage returns the number of units in use and the number of waiting requests.
+	Usage() (inUse, waiting int)
 }
--- a/internal/shares/resource_test.go
+++ b/internal/shares/resource_test.go
@@ -56,9 +56,9 @@
 		Close: member.close,
 	})
 	g := admission.New(admission.Config{Group: testGroup, Clock: clock.System{}, Rand: rand.New(rand.NewPCG(2, 2))})
-	inst.manager.cfg.Connections, inst.manager.cfg.Slots = Pool(p), Gate(g)
-	inst.manager.cfg.Control = 0
-	inst.manager.cfg.SeatChanged = func(bool) {}
+	inst.manager.cfg.Connections, inst.manager.cfg.Slots = PoolResource(p), GateResource(g)
+	inst.manager.cfg.ControlConnections = 0
+	inst.manager.cfg.OnHeldChanged = func(bool) {}
 	return p, g
 }
 
--- a/internal/shares/statemachine_test.go
+++ b/internal/shares/statemachine_test.go
@@ -53,7 +53,7 @@
 }
 
 func (f *fleet) allocation() Allocation {
-	return Allocation{Document: f.document, Total: f.total, FailureDomains: domains}
+	return Allocation{DocumentVersion: f.document, Total: f.total, FailureDomains: domains}
 }
 
 func (f *fleet) removeInstance(inst *fakeInstance) {
--- a/internal/shares/totals_test.go
+++ b/internal/shares/totals_test.go
@@ -20,15 +20,15 @@
 		domains := []string{"poa-a", "poa-b", "fln-c"}
 		lower := Amount{Connections: 25, Slots: 3}
 		for _, inst := range []*fakeInstance{a, b} {
-			inst.manager.SetAllocation(Allocation{Document: 2, Total: lower, FailureDomains: domains})
+			inst.manager.SetAllocation(Allocation{DocumentVersion: 2, Total: lower, FailureDomains: domains})
 		}
-		c.manager.SetAllocation(Allocation{Document: 1, Total: total, FailureDomains: domains})
+		c.manager.SetAllocation(Allocation{DocumentVersion: 1, Total: total, FailureDomains: domains})
 		sleep(40 * time.Second)
 		l := sim.readLedger()
 		is.Equal(l.Total, lower)
 		is.True(l.Sum().Within(lower))
 		is.True(sim.heldByMembers().Within(lower))
-		c.manager.SetAllocation(Allocation{Document: 3, Total: total, FailureDomains: domains})
+		c.manager.SetAllocation(Allocation{DocumentVersion: 3, Total: total, FailureDomains: domains})
 		sleep(time.Minute)
 		l = sim.readLedger()
 		is.Equal(l.Sum(), total)
@@ -65,7 +65,7 @@
 		}
 		sleep(time.Second)
 		for _, inst := range []*fakeInstance{a, b, c} {
-			inst.manager.SetAllocation(Allocation{Document: 2, Total: Amount{30, 5}, FailureDomains: []string{"poa-a", "poa-b"}})
+			inst.manager.SetAllocation(Allocation{DocumentVersion: 2, Total: Amount{30, 5}, FailureDomains: []string{"poa-a", "poa-b"}})
 		}
 		sleep(2 * time.Minute)
 		l := sim.readLedger()
@@ -78,7 +78,7 @@
 func TestSmallTotalsAreDivided(t *testing.T) {
 	is := is.New(t)
 	for connections := 4; connections <= 60; connections++ {
-		a := Allocation{Document: 1, Total: Amount{connections, 5}, FailureDomains: []string{"x", "y", "z"}}
+		a := Allocation{DocumentVersion: 1, Total: Amount{connections, 5}, FailureDomains: []string{"x", "y", "z"}}
 		var l Ledger
 		is.NoErr(l.applyAllocation(a, testControl, DefaultReserveShares))
 		is.True(l.Sum().Within(a.Total))
--- a/internal/standin/bench/baselines.go
+++ b/internal/standin/bench/baselines.go
@@ -32,13 +32,13 @@
 type primaryAck struct{ group.Tracker }
 
 // Confirm implements group.Tracker.
-func (primaryAck) Confirm(context.Context, logpos.Mark) error { return nil }
+func (primaryAck) Confirm(context.Context, logpos.TermPosition) error { return nil }
 
 // primaryReads is a tracker whose barrier is a position that no replica reaches, so
 // that every fresh read goes to the primary.
 type primaryReads struct{ group.Tracker }
 
 // Barrier implements group.Tracker.
-func (t primaryReads) Barrier(context.Context) (logpos.Mark, error) {
-	return logpos.Mark{Term: t.Snapshot().Term, Position: math.MaxUint64}, nil
+func (t primaryReads) Barrier(context.Context) (logpos.TermPosition, error) {
+	return logpos.TermPosition{Term: t.Snapshot().Term, Position: math.MaxUint64}, nil
 }
--- a/internal/standin/bench/baselines_test.go
+++ b/internal/standin/bench/baselines_test.go
@@ -17,7 +17,7 @@
 		is := is.New(t)
 		r, err := Run(t.Context(), Config{
 			Profile: ProfileLentes, Duration: 2 * time.Second, Seed: 1, Fault: FaultPrimaryKill, Baseline: baseline,
-			Sessions: 12, Think: 10 * time.Millisecond, Lag: 200 * time.Millisecond, Cost: DefaultStatementCost,
+			Sessions: 12, ThinkTime: 10 * time.Millisecond, ReplicationLag: 200 * time.Millisecond, StatementCost: DefaultStatementCost,
 			Progress: io.Discard, Logs: io.Discard, small: true,
 		})
 		is.NoErr(err)
--- a/internal/standin/bench/bench.go
+++ b/internal/standin/bench/bench.go
@@ -63,13 +63,13 @@
 	Fleets int
 	// Repeat is the number of times that the primary is failed or paused, in sequence.
 	Repeat int
-	// Sessions is the number of callers, and Think their mean pause between requests.
-	Sessions int
-	Think    time.Duration
-	// Lag is the replication lag of every replica.
-	Lag time.Duration
-	// Cost is the time that a member takes to execute a statement.
-	Cost time.Duration
+	// Sessions is the number of callers, and ThinkTime their mean pause between requests.
+	Sessions  int
+	ThinkTime time.Duration
+	// ReplicationLag is the replication lag of every replica.
+	ReplicationLag time.Duration
+	// StatementCost is the time that a member takes to execute a statement.
+	StatementCost time.Duration
 	// Instances is the number of entry instances; zero means the profile's number.
 	Instances int
 	// Progress receives progress messages, and Logs the logs of the instances.
@@ -146,7 +146,7 @@
 	var callers sync.WaitGroup
 	for i := range b.config.Sessions {
 		s := b.newSession(i)
-		callers.Go(func() { s.run(load, b.config.Think) })
+		callers.Go(func() { s.run(load, b.config.ThinkTime) })
 	}
 	sleep(ctx, b.config.Duration/2)
 	err := b.injectFault(ctx)
--- a/internal/standin/bench/demo.go
+++ b/internal/standin/bench/demo.go
@@ -20,7 +20,7 @@
 func Demo(ctx context.Context, seed uint64, out, logs io.Writer) (*Report, error) {
 	r, err := Run(ctx, Config{
 		Profile: ProfileLigacaoSul, Duration: demoDuration, Seed: seed, Fault: FaultPrimaryKill,
-		Sessions: demoSessions, Think: demoThink, Lag: demoLag, Cost: DefaultStatementCost, Progress: out, Logs: logs, small: true,
+		Sessions: demoSessions, ThinkTime: demoThink, ReplicationLag: demoLag, StatementCost: DefaultStatementCost, Progress: out, Logs: logs, small: true,
 	})
 	if r != nil {
 		fmt.Fprint(out, r.Summary())
--- a/internal/standin/bench/faults.go
+++ b/internal/standin/bench/faults.go
@@ -12,7 +12,7 @@
 type gap struct {
 	total time.Duration
 	// phases holds the durations of the failover's phases, as measured by its claimer.
-	phases failover.Gap
+	phases failover.Timings
 }
 
 // injectFault injects the configured fault. A failed or paused primary is repeated
@@ -71,7 +71,7 @@
 		inside, outside := b.splitHosts(domain)
 		b.wan.links.Partition(inside, outside)
 		undo = func() error {
-			b.wan.links.Join(inside, outside)
+			b.wan.links.HealPartition(inside, outside)
 			return nil
 		}
 	}
--- a/internal/standin/bench/fleet.go
+++ b/internal/standin/bench/fleet.go
@@ -58,7 +58,7 @@
 	entryAddresses  []string
 	domainOf        map[string]string
 	// failovers receives the phases of each completed failover from its claimer.
-	failovers chan failover.Gap
+	failovers chan failover.Timings
 	closers   []func()
 }
 
@@ -86,7 +86,7 @@
 // returned. A profile without latency uses plain loopback TCP, which costs less.
 func startFleet(p profile, c Config, wrap func(group.Tracker) group.Tracker) (*fleet, error) {
 	f := &fleet{profile: p, wrapTracker: wrap, wan: &wan{links: memnet.New(), peers: map[string]bool{}}, store: standin.NewStore(), domainOf: map[string]string{}}
-	f.failovers = make(chan failover.Gap, maxUnreadFailovers)
+	f.failovers = make(chan failover.Timings, maxUnreadFailovers)
 	f.network = f.wan.networkOf
 	if p.domainLatency == 0 {
 		f.network = func(string) netio.Network { return netio.TCP{} }
@@ -101,7 +101,7 @@
 		}
 	}
 	f.setLatencies()
-	if err := f.startMembers(c.Lag, c.Cost); err != nil {
+	if err := f.startMembers(c.ReplicationLag, c.StatementCost); err != nil {
 		return f, err
 	}
 	url, err := f.startPlatform()
@@ -129,11 +129,11 @@
 // domain g modulo the number of domains.
 func (f *fleet) startMembers(lag, cost time.Duration) error {
 	base := member.Options{
-		ConnectionTotal: f.profile.connections,
-		Slots:           f.profile.slots,
-		ConnectDelay:    connectDelay,
-		ReplicationLag:  lag,
-		StatementCost:   cost,
+		MaxConnections:          f.profile.connections,
+		MaxConcurrentStatements: f.profile.slots,
+		ConnectDelay:            connectDelay,
+		ReplicationLag:          lag,
+		StatementCost:           cost,
 	}
 	for g := range f.profile.groups {
 		var addresses []string
@@ -228,7 +228,7 @@
 		Registry: prometheus.NewRegistry(),
 
 		WrapTracker: f.wrapTracker,
-		OnFailover: func(g failover.Gap) {
+		OnFailover: func(g failover.Timings) {
 			select {
 			case f.failovers <- g:
 			default:
@@ -261,8 +261,8 @@
 func (f *fleet) primary(group int) int {
 	best, term := 0, -1
 	for i, n := range f.nodes[group] {
-		if s := n.Status(); s.Role == "primary" && int(s.Entered) > term {
-			best, term = i, int(s.Entered)
+		if s := n.Status(); s.Role == "primary" && int(s.EnteredTerm) > term {
+			best, term = i, int(s.EnteredTerm)
 		}
 	}
 	return best
@@ -270,14 +270,14 @@
 
 // primaryTerm returns the term of a group's primary.
 func (f *fleet) primaryTerm(group int) int {
-	return int(f.nodes[group][f.primary(group)].Status().Entered)
+	return int(f.nodes[group][f.primary(group)].Status().EnteredTerm)
 }
 
 // converged reports whether all members of a group follow one primary.
 func (f *fleet) converged(group int) bool {
 	first := f.nodes[group][f.primary(group)].Status()
 	for _, n := range f.nodes[group] {
-		if s := n.Status(); s.Attached != first.Entered || s.Entered != first.Entered {
+		if s := n.Status(); s.AttachedTerm != first.EnteredTerm || s.EnteredTerm != first.EnteredTerm {
 			return false
 		}
 	}
--- a/internal/standin/bench/proxy_test.go
+++ b/internal/standin/bench/proxy_test.go
@@ -31,7 +31,7 @@
 	p := profiles[ProfileLigacaoSul]
 	p.domainLatency, p.callerLatency = 0, 0
 	p.groups, p.instances, p.connections, p.slots = 1, 1, 200, 64
-	f, err := startFleet(p, Config{Cost: cost, Seed: 1, Logs: io.Discard}, nil)
+	f, err := startFleet(p, Config{StatementCost: cost, Seed: 1, Logs: io.Discard}, nil)
 	b.Cleanup(f.close)
 	if err != nil {
 		b.Fatal(err)
@@ -175,7 +175,7 @@
 	is := is.New(t)
 	r, err := Run(t.Context(), Config{
 		Profile: ProfileLigacaoSul, Duration: 2 * time.Second, Seed: 1, Fault: FaultReplicaLag,
-		Sessions: 12, Think: 20 * time.Millisecond, Lag: 5 * time.Millisecond, Cost: DefaultStatementCost,
+		Sessions: 12, ThinkTime: 20 * time.Millisecond, ReplicationLag: 5 * time.Millisecond, StatementCost: DefaultStatementCost,
 		Progress: io.Discard, Logs: io.Discard, small: true,
 	})
 	is.NoErr(err)
--- a/internal/standin/bench/report.go
+++ b/internal/standin/bench/report.go
@@ -121,7 +121,7 @@
 		Profile: b.config.Profile, Fault: b.config.Fault, Seed: b.config.Seed,
 		Baseline: b.config.Baseline, Instances: b.profile.instances, Sessions: b.config.Sessions,
 		FalsePromotions: b.falsePromotions, Fleets: 1,
-		DurationS: round(elapsed.Seconds()), LagMS: milliseconds(b.config.Lag),
+		DurationS: round(elapsed.Seconds()), LagMS: milliseconds(b.config.ReplicationLag),
 		Classes: map[string]Class{}, PlatformCalls: map[standin.Call]float64{},
 		ConnectionsTotal: b.profile.connections,
 	}
@@ -149,7 +149,7 @@
 		for _, n := range nodes {
 			reads := n.Reads()
 			primary, replica = primary+reads.Primary, replica+reads.Replica
-			r.ConnectionsHighest = max(r.ConnectionsHighest, n.Connections().Highest)
+			r.ConnectionsHighest = max(r.ConnectionsHighest, n.Connections().Peak)
 		}
 	}
 	if sum := primary + replica; sum > 0 {
@@ -183,7 +183,7 @@
 		totals = append(totals, g.total)
 		for phase, d := range map[string]time.Duration{
 			"detect": g.phases.Detect, "claim": g.phases.Claim, "fence": g.phases.Fence,
-			"promote": g.phases.Promote, "learn": g.phases.Learn,
+			"promote": g.phases.Promote, "learn": g.phases.Attach,
 		} {
 			split[phase] = append(split[phase], d)
 		}
--- a/internal/standin/command/bench.go
+++ b/internal/standin/command/bench.go
@@ -68,8 +68,8 @@
 func (c *benchCommand) Execute([]string) error {
 	r, err := bench.Run(c.ctx, bench.Config{
 		Profile: c.Profile, Duration: c.Duration, Seed: c.Seed, Fault: bench.Fault(c.Fault), Fleets: c.Fleets, Repeat: c.Repeat,
-		Baseline: bench.Baseline(c.Baseline), Cost: c.Cost, Instances: c.Instances,
-		Sessions: c.Sessions, Think: c.Think, Lag: c.Lag, Progress: c.out, Logs: c.logWriter(c.Logs),
+		Baseline: bench.Baseline(c.Baseline), StatementCost: c.Cost, Instances: c.Instances,
+		Sessions: c.Sessions, ThinkTime: c.Think, ReplicationLag: c.Lag, Progress: c.out, Logs: c.logWriter(c.Logs),
 	})
 	return c.writeReport(r, err)
 }
--- a/internal/standin/command/member.go
+++ b/internal/standin/command/member.go
@@ -23,14 +23,14 @@
 // Execute implements flags.Commander.
 func (c *memberCommand) Execute([]string) error {
 	n := member.New(member.Options{
-		Address:         c.Address,
-		Primary:         c.Primary,
-		Network:         netio.TCP{},
-		ConnectionTotal: c.Connections,
-		Slots:           c.Slots,
-		ConnectDelay:    c.ConnectDelay,
-		ReplicationLag:  c.Lag,
-		StatementCost:   c.StatementCost,
+		Address:                 c.Address,
+		Primary:                 c.Primary,
+		Network:                 netio.TCP{},
+		MaxConnections:          c.Connections,
+		MaxConcurrentStatements: c.Slots,
+		ConnectDelay:            c.ConnectDelay,
+		ReplicationLag:          c.Lag,
+		StatementCost:           c.StatementCost,
 	})
 	if err := n.Start(); err != nil {
 		return err
--- a/internal/standin/command/slopes.go
+++ b/internal/standin/command/slopes.go
@@ -57,7 +57,7 @@
 // printSlope prints one slope and its data points as text.
 func (c *slopesCommand) printSlope(s slopes.Slope) {
 	fmt.Fprintf(c.out, "%s, against %s: %.4g each, %.4g fixed, residual %.1f %%\n",
-		s.Cost, s.Driver, s.PerUnit, s.Fixed, 100*s.Residual)
+		s.Cost, s.Driver, s.PerUnit, s.Intercept, 100*s.Residual)
 	for _, p := range s.Points {
 		fmt.Fprintf(c.out, "    %8.0f  %.5g\n", p.X, p.Y)
 	}
--- a/internal/standin/linedemo/promoter.go
+++ b/internal/standin/linedemo/promoter.go
@@ -51,13 +51,13 @@
 // promoteMember makes a member the primary, notifies the other members and publishes
 // the new roles.
 func (p *promoter) promoteMember(i int, term logpos.Term) {
-	if p.system.nodes[i].Appoint(term) != nil {
+	if p.system.nodes[i].PromoteInTerm(term) != nil {
 		return
 	}
 	p.system.publishMember(i, true)
 	for k, n := range p.system.nodes {
 		if k != i {
-			n.Learn(term, p.system.members[i])
+			n.SetPrimary(term, p.system.members[i])
 			p.system.publishMember(k, false)
 		}
 	}
--- a/internal/standin/linedemo/system.go
+++ b/internal/standin/linedemo/system.go
@@ -89,7 +89,7 @@
 	for i := range failureDomains {
 		n := member.New(member.Options{
 			Address: s.members[i], Primary: s.members[0], Network: netio.TCP{}, ID: memberID(i), Group: groupName,
-			ConnectDelay: connectDelay, ConnectionTotal: connections, Slots: slots,
+			ConnectDelay: connectDelay, MaxConnections: connections, MaxConcurrentStatements: slots,
 			ReplicationLag: replicationLag, StatementCost: statementCost,
 		})
 		if err := n.Start(); err != nil {
@@ -181,7 +181,7 @@
 		Logger:   hclog.New(&hclog.LoggerOptions{Name: "entry-" + failureDomains[i], Output: logs, Level: hclog.Info, JSONFormat: true}),
 		Registry: prometheus.NewRegistry(),
 	}
-	adapter.SpeakLine(&o)
+	adapter.ConfigureLineProtocol(&o)
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	n := instance.New(o)
--- a/internal/standin/member/connections.go
+++ b/internal/standin/member/connections.go
@@ -2,12 +2,12 @@
 
 // Connections holds a node's connection counts since New.
 type Connections struct {
-	// Open is the current number of data connections and Highest its peak, which
-	// never exceeds Options.ConnectionTotal.
-	Open, Highest int
-	// ControlOpen and ControlHighest are the same for control connections.
-	ControlOpen, ControlHighest int
-	// Refused counts data connections rejected because of ConnectionTotal.
+	// Open is the current number of data connections and Peak its maximum, which
+	// never exceeds Options.MaxConnections.
+	Open, Peak int
+	// ControlOpen and ControlPeak are the same for control connections.
+	ControlOpen, ControlPeak int
+	// Refused counts data connections rejected because of MaxConnections.
 	Refused int
 }
 
@@ -19,22 +19,22 @@
 }
 
 // admitConnection counts a new connection. A data connection is refused when
-// ConnectionTotal connections are open.
+// MaxConnections connections are open.
 func (n *Node) admitConnection(control bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := &n.connectionCounts
 	if control {
 		c.ControlOpen++
-		c.ControlHighest = max(c.ControlHighest, c.ControlOpen)
+		c.ControlPeak = max(c.ControlPeak, c.ControlOpen)
 		return nil
 	}
-	if total := n.opts.ConnectionTotal; total > 0 && c.Open >= total {
+	if total := n.opts.MaxConnections; total > 0 && c.Open >= total {
 		c.Refused++
 		return &sqlError{state: stateTooManyConnections, message: "sorry, too many clients already"}
 	}
 	c.Open++
-	c.Highest = max(c.Highest, c.Open)
+	c.Peak = max(c.Peak, c.Open)
 	return nil
 }
 
--- a/internal/standin/member/execute.go
+++ b/internal/standin/member/execute.go
@@ -201,7 +201,7 @@
 func statusResult(s member.Status) *result {
 	cells := []string{string(s.Role)}
 	for _, v := range []uint64{
-		uint64(s.Entered), uint64(s.Last.Term), uint64(s.Last.Position), uint64(s.TermStart), uint64(s.Attached),
+		uint64(s.EnteredTerm), uint64(s.LastRecord.Term), uint64(s.LastRecord.Position), uint64(s.TermStart), uint64(s.AttachedTerm),
 	} {
 		cells = append(cells, strconv.FormatUint(v, 10))
 	}
@@ -210,7 +210,7 @@
 
 func connectionsResult(c Connections) *result {
 	var cells []string
-	for _, v := range []int{c.Open, c.Highest, c.ControlOpen, c.ControlHighest, c.Refused} {
+	for _, v := range []int{c.Open, c.Peak, c.ControlOpen, c.ControlPeak, c.Refused} {
 		cells = append(cells, strconv.Itoa(v))
 	}
 	return rowsResult(connectionColumns, cells)
--- a/internal/standin/member/group_test.go
+++ b/internal/standin/member/group_test.go
@@ -108,9 +108,9 @@
 		v[i], err = strconv.ParseUint(cells[i], 10, 64)
 	}
 	return member.Status{
-		Role: member.Role(cells[0]), Entered: logpos.Term(v[1]),
-		Last:      logpos.Mark{Term: logpos.Term(v[2]), Position: logpos.Position(v[3])},
-		TermStart: logpos.Position(v[4]), Attached: logpos.Term(v[5]),
+		Role: member.Role(cells[0]), EnteredTerm: logpos.Term(v[1]),
+		LastRecord: logpos.TermPosition{Term: logpos.Term(v[2]), Position: logpos.Position(v[3])},
+		TermStart:  logpos.Position(v[4]), AttachedTerm: logpos.Term(v[5]),
 	}, err
 }
 
