--- a/internal/standin/member/linepause.go
+++ b/internal/standin/member/linepause.go
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("%s %d %d.%d %d %d %d %d", role, term, last.Term, last.Position, pausedTerm, 0, len(n.slots), n.connectionCounts.Open)
 }
 
-// Appoint makes the node the primary of a term with the log it has, as the
+// PromoteInTerm makes the node the primary of a term with the log it has, as the
 // platform's call does.
-func (n *Node) Appoint(term logpos.Term) error {
+func (n *Node) PromoteInTerm(term logpos.Term) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
@@ -88,10 +88,10 @@
 	return n.promote(term)
 }
 
-// Learn sets the primary of a term, which members otherwise learn from each other,
+// SetPrimary sets the primary of a term, which members otherwise learn from each other,
 // and makes the node its replica. A pause for a later term remains in effect; the
 // node then follows this primary after RESUME.
-func (n *Node) Learn(term logpos.Term, primary string) {
+func (n *Node) SetPrimary(term logpos.Term, primary string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil || n.role == member.RolePrimary && n.enteredTerm >= term {
--- a/internal/standin/member/lineruns.go
+++ b/internal/standin/member/lineruns.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// Run records one caller statement that a node ran over the line protocol.
-type Run struct {
+// ExecutedStatement records one caller statement that a node ran over the line protocol.
+type ExecutedStatement struct {
 	// ID identifies the statement and is chosen by the caller; Text is its text.
 	ID, Text string
 	// Shape is the shape of the executed prepared statement, or empty if the
@@ -20,11 +20,11 @@
 	Role string
 }
 
-// Runs returns all recorded statements, in execution order.
-func (n *Node) Runs() []Run {
+// ExecutedStatements returns all recorded statements, in execution order.
+func (n *Node) ExecutedStatements() []ExecutedStatement {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]Run(nil), n.runs...)
+	return append([]ExecutedStatement(nil), n.runs...)
 }
 
 // ControlStatements returns how many STATUS, PAUSE, RESUME and STEPDOWN statements
@@ -35,9 +35,9 @@
 	return n.controlStatements
 }
 
-// LoseAnswers makes the node run the next count caller statements and close their
+// DropResponses makes the node run the next count caller statements and close their
 // connections without sending a response.
-func (n *Node) LoseAnswers(count int) {
+func (n *Node) DropResponses(count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropResponses = count
@@ -48,7 +48,7 @@
 	n := s.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r := Run{ID: id, Text: text, Shape: shape, Values: maps.Clone(s.values), Conn: s.connNumber, User: s.user, Role: string(n.role)}
+	r := ExecutedStatement{ID: id, Text: text, Shape: shape, Values: maps.Clone(s.values), Conn: s.connNumber, User: s.user, Role: string(n.role)}
 	if s.tx != nil {
 		r.Transaction = s.transactionCount
 	}
--- a/internal/standin/member/linesession.go
+++ b/internal/standin/member/linesession.go
@@ -16,7 +16,7 @@
 // lineTable is the table that the line protocol reads and writes.
 const lineTable = "items"
 
-// errResponseDropped closes a connection without a response; see LoseAnswers.
+// errResponseDropped closes a connection without a response; see DropResponses.
 var errResponseDropped = errors.New("response dropped")
 
 // lineError is an error with an error code of the line protocol.
@@ -75,7 +75,7 @@
 		return false
 	}
 	if n.admitConnection(false) != nil {
-		fmt.Fprintf(s.out, "ERROR CONNLIMIT %d\r\n", n.opts.ConnectionTotal)
+		fmt.Fprintf(s.out, "ERROR CONNLIMIT %d\r\n", n.opts.MaxConnections)
 		return false
 	}
 	if delay := n.opts.ConnectDelay; delay > 0 && sleep(s.process.ctx, delay) != nil {
@@ -144,7 +144,7 @@
 	case s.tx != nil:
 		state = "T"
 	}
-	m := s.node.Status().Last
+	m := s.node.Status().LastRecord
 	fmt.Fprintf(s.out, "READY %s %d.%d\r\n", state, m.Term, m.Position)
 }
 
@@ -206,7 +206,7 @@
 	term, number, _ := strings.Cut(position, ".")
 	t, _ := strconv.ParseUint(term, 10, 64)
 	p, _ := strconv.ParseUint(number, 10, 64)
-	return statement, s.node.Status().Last.Less(logpos.Mark{Term: logpos.Term(t), Position: logpos.Position(p)})
+	return statement, s.node.Status().LastRecord.Less(logpos.TermPosition{Term: logpos.Term(t), Position: logpos.Position(p)})
 }
 
 func (s *lineSession) beginTransaction(readOnly bool) error {
--- a/internal/standin/member/log.go
+++ b/internal/standin/member/log.go
@@ -20,7 +20,7 @@
 
 // record is one committed transaction, or the start of a term if it has no writes.
 type record struct {
-	Mark   logpos.Mark
+	Mark   logpos.TermPosition
 	At     time.Time
 	Writes []write
 }
@@ -28,9 +28,9 @@
 // recordLog is an in-memory replicated log.
 type recordLog struct{ records []record }
 
-func (l *recordLog) lastMark() logpos.Mark {
+func (l *recordLog) lastMark() logpos.TermPosition {
 	if len(l.records) == 0 {
-		return logpos.Mark{}
+		return logpos.TermPosition{}
 	}
 	return l.records[len(l.records)-1].Mark
 }
@@ -42,7 +42,7 @@
 		size += len(w.Row.Key) + len(w.Value)
 	}
 	position := l.lastMark().Position + logpos.Position(size)
-	return record{Mark: logpos.Mark{Term: term, Position: position}, At: time.Now(), Writes: writes}
+	return record{Mark: logpos.TermPosition{Term: term, Position: position}, At: time.Now(), Writes: writes}
 }
 
 // recordsAfter returns a copy of the records that end after a position.
@@ -61,8 +61,8 @@
 }
 
 // lastMarks returns the last mark of each term, in ascending order.
-func (l *recordLog) lastMarks() []logpos.Mark {
-	var marks []logpos.Mark
+func (l *recordLog) lastMarks() []logpos.TermPosition {
+	var marks []logpos.TermPosition
 	for _, r := range l.records {
 		if k := len(marks); k > 0 && marks[k-1].Term == r.Mark.Term {
 			marks[k-1] = r.Mark
@@ -77,7 +77,7 @@
 // the given last marks. The records of a term come from one primary in one order,
 // so two logs that share a term agree up to the lower of their last positions in
 // that term.
-func (l *recordLog) commonPosition(otherMarks []logpos.Mark) logpos.Position {
+func (l *recordLog) commonPosition(otherMarks []logpos.TermPosition) logpos.Position {
 	ownMarks := l.lastMarks()
 	for i := len(otherMarks) - 1; i >= 0; i-- {
 		for _, ownMark := range ownMarks {
--- a/internal/standin/member/node.go
+++ b/internal/standin/member/node.go
@@ -59,7 +59,7 @@
 	connectionCounts Connections
 	readCounts       Reads
 	// The fields below are used only by the line protocol.
-	runs              []Run
+	runs              []ExecutedStatement
 	controlStatements int
 	dropResponses     int
 	lineConnCount     int
@@ -70,8 +70,8 @@
 func New(o Options) *Node {
 	n := &Node{opts: o, changed: make(chan struct{})}
 	n.lag.Store(int64(o.ReplicationLag))
-	if o.Slots > 0 {
-		n.slots = make(chan struct{}, o.Slots)
+	if o.MaxConcurrentStatements > 0 {
+		n.slots = make(chan struct{}, o.MaxConcurrentStatements)
 	}
 	n.role = member.RoleFenced
 	if o.Primary != "" {
@@ -170,7 +170,7 @@
 }
 
 func (n *Node) currentStatus() member.Status {
-	s := member.Status{Role: n.role, Entered: n.enteredTerm, Last: n.log.lastMark(), Attached: n.attachedTerm}
+	s := member.Status{Role: n.role, EnteredTerm: n.enteredTerm, LastRecord: n.log.lastMark(), AttachedTerm: n.attachedTerm}
 	if n.attachedTerm != 0 {
 		s.TermStart = n.termStart
 	}
--- a/internal/standin/member/node_test.go
+++ b/internal/standin/member/node_test.go
@@ -110,7 +110,7 @@
 }
 
 func TestConnectionLimitSlotsAndDelay(t *testing.T) {
-	o := Options{ConnectionTotal: 2, Slots: 1, ConnectDelay: 10 * time.Millisecond}
+	o := Options{MaxConnections: 2, MaxConcurrentStatements: 1, ConnectDelay: 10 * time.Millisecond}
 	runWithGroup(t, o, func(t *testing.T, g *testGroup) {
 		is := is.New(t)
 		start := time.Now()
@@ -126,7 +126,7 @@
 		is.NoErr(g.exec(second, "SELECT pg_sleep(1)"))
 		is.NoErr(<-done)
 		is.Equal(time.Since(start), 2*time.Second)
-		is.Equal(g.nodes[0].Connections(), Connections{Open: 2, Highest: 2, ControlOpen: 0, ControlHighest: 1, Refused: 1})
+		is.Equal(g.nodes[0].Connections(), Connections{Open: 2, Peak: 2, ControlOpen: 0, ControlPeak: 1, Refused: 1})
 		is.NoErr(first.Close(t.Context()))
 		is.NoErr(second.Close(t.Context()))
 	})
@@ -142,10 +142,10 @@
 		is.NoErr(err)
 		is.Equal(len(g.nodes[1].Rows("kv")), 0)
 		start := time.Now()
-		s, err := g.controlCall(1, "group_wait_position("+strconv.Itoa(int(primaryStatus.Last.Position))+", 2000)")
+		s, err := g.controlCall(1, "group_wait_position("+strconv.Itoa(int(primaryStatus.LastRecord.Position))+", 2000)")
 		is.NoErr(err)
-		is.Equal(s.Last, primaryStatus.Last)
-		is.Equal(s.Attached, logpos.Term(1))
+		is.Equal(s.LastRecord, primaryStatus.LastRecord)
+		is.Equal(s.AttachedTerm, logpos.Term(1))
 		is.Equal(time.Since(start), 500*time.Millisecond)
 		replica := g.mustConnect(1)
 		defer replica.Close(t.Context())
@@ -199,7 +199,7 @@
 		repeated, err := g.controlCall(1, "group_promote(2)")
 		is.NoErr(err)
 		is.Equal(promoted, repeated)
-		is.Equal(promoted.Last.Term, logpos.Term(2))
+		is.Equal(promoted.LastRecord.Term, logpos.Term(2))
 		_, err = g.controlCall(2, "group_follow(2, '"+addresses[1]+"')")
 		is.NoErr(err)
 		for _, ip := range []string{"10.0.1.2", "10.0.1.3"} {
@@ -211,11 +211,11 @@
 		is.NoErr(err)
 		before, err := g.controlCall(0, "group_follow(2, '"+addresses[1]+"')")
 		is.NoErr(err)
-		is.Equal(before.Attached, logpos.Term(0))
+		is.Equal(before.AttachedTerm, logpos.Term(0))
 		g.advanceSecond()
 		for _, n := range g.nodes {
 			is.Equal(n.Rows("kv"), map[string]string{"kept": "1"})
-			is.Equal(n.Status().Attached, logpos.Term(2))
+			is.Equal(n.Status().AttachedTerm, logpos.Term(2))
 			is.Equal(n.Status().TermStart, promoted.TermStart)
 		}
 	})
--- a/internal/standin/member/options.go
+++ b/internal/standin/member/options.go
@@ -18,10 +18,10 @@
 	// ID and Group are the member and group names that clients of the line protocol
 	// give in START.
 	ID, Group string
-	// ConnectionTotal is the maximum number of data connections.
-	ConnectionTotal int
-	// Slots is the maximum number of concurrent statements; others wait.
-	Slots int
+	// MaxConnections is the maximum number of data connections.
+	MaxConnections int
+	// MaxConcurrentStatements is the maximum number of concurrent statements; others wait.
+	MaxConcurrentStatements int
 	// ConnectDelay is how long it takes to set up a connection.
 	ConnectDelay time.Duration
 	// ReplicationLag is how long after its commit a replica applies a record.
--- a/internal/standin/member/replication.go
+++ b/internal/standin/member/replication.go
@@ -28,7 +28,7 @@
 // each term in its log.
 type attachRequest struct {
 	Term logpos.Term
-	Ends []logpos.Mark
+	Ends []logpos.TermPosition
 }
 
 // attachResponse is the primary's response. The replica truncates its log at Common,
--- a/internal/standin/memnet/faults.go
+++ b/internal/standin/memnet/faults.go
@@ -18,8 +18,8 @@
 	n.update(func() { forEachLink(a, b, func(l link) { n.cut[l] = true }) })
 }
 
-// Join heals a Partition and delivers the bytes it held back.
-func (n *Network) Join(a, b []string) {
+// HealPartition heals a Partition and delivers the bytes it held back.
+func (n *Network) HealPartition(a, b []string) {
 	n.update(func() { forEachLink(a, b, func(l link) { delete(n.cut, l) }) })
 }
 
@@ -45,9 +45,9 @@
 	})
 }
 
-// Silence makes the connections that are open now between two hosts drop all bytes
+// BlackholeConnections makes the connections that are open now between two hosts drop all bytes
 // permanently. New connections work.
-func (n *Network) Silence(a, b string) {
+func (n *Network) BlackholeConnections(a, b string) {
 	n.update(func() {
 		for c := range n.conns {
 			if l := c.out.link; l == (link{a, b}) || l == (link{b, a}) {
@@ -88,8 +88,8 @@
 	n.update(func() { delete(n.frozen, host) })
 }
 
-// Reaches reports whether bytes are delivered between two hosts in both directions.
-func (n *Network) Reaches(a, b string) bool {
+// IsConnected reports whether bytes are delivered between two hosts in both directions.
+func (n *Network) IsConnected(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.isBlocked(link{a, b}) && !n.isBlocked(link{b, a})
--- a/internal/standin/memnet/network_test.go
+++ b/internal/standin/memnet/network_test.go
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n, a, b := connectHosts(t)
-		n.Silence(hostA, hostB)
+		n.BlackholeConnections(hostA, hostB)
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
 		is.NoErr(b.SetReadDeadline(time.Now().Add(time.Hour)))
@@ -168,7 +168,7 @@
 	})
 }
 
-// During a partition nothing is delivered between the sides; Join delivers the bytes
+// During a partition nothing is delivered between the sides; HealPartition delivers the bytes
 // that were held back.
 func TestPartitionAndJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -177,7 +177,7 @@
 		n.Partition([]string{hostA}, []string{hostB, "10.0.0.3"})
 		_, err := a.Write([]byte("x"))
 		is.NoErr(err)
-		time.AfterFunc(time.Minute, func() { n.Join([]string{hostA}, []string{hostB, "10.0.0.3"}) })
+		time.AfterFunc(time.Minute, func() { n.HealPartition([]string{hostA}, []string{hostB, "10.0.0.3"}) })
 		start := time.Now()
 		_, err = read(b)
 		is.NoErr(err)
--- a/internal/standin/peernet/net.go
+++ b/internal/standin/peernet/net.go
@@ -10,29 +10,29 @@
 	"github.com/topazrock/topazrock/internal/peer"
 )
 
-// Net connects endpoints. The zero value is not usable; call New.
-type Net struct {
+// Network connects endpoints. The zero value is not usable; call New.
+type Network struct {
 	mu       sync.Mutex
 	handlers map[string]map[string]peer.Handler
 	cut      map[string]bool
 }
 
-// New returns a Net without endpoints.
-func New() *Net {
-	return &Net{handlers: make(map[string]map[string]peer.Handler), cut: make(map[string]bool)}
+// New returns a Network without endpoints.
+func New() *Network {
+	return &Network{handlers: make(map[string]map[string]peer.Handler), cut: make(map[string]bool)}
 }
 
-// SetCut disconnects the endpoint at an address from all others, or reconnects it.
-func (n *Net) SetCut(address string, cut bool) {
+// SetDisconnected disconnects the endpoint at an address from all others, or reconnects it.
+func (n *Network) SetDisconnected(address string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[address] = cut
 }
 
-// At returns the endpoint at an address.
-func (n *Net) At(address string) Endpoint { return Endpoint{net: n, address: address} }
+// Endpoint returns the endpoint at an address.
+func (n *Network) Endpoint(address string) Endpoint { return Endpoint{net: n, address: address} }
 
-func (n *Net) handlerFor(from, to, method string) peer.Handler {
+func (n *Network) handlerFor(from, to, method string) peer.Handler {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cut[from] || n.cut[to] {
@@ -41,13 +41,13 @@
 	return n.handlers[to][method]
 }
 
-// Endpoint is one instance's side of a Net: it implements peer.Registry and peer.Caller.
+// Endpoint is one instance's side of a Network: it implements peer.HandlerRegistry and peer.Caller.
 type Endpoint struct {
-	net     *Net
+	net     *Network
 	address string
 }
 
-// Handle implements peer.Registry.
+// Handle implements peer.HandlerRegistry.
 func (e Endpoint) Handle(method string, h peer.Handler) {
 	e.net.mu.Lock()
 	defer e.net.mu.Unlock()
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -25,18 +25,18 @@
 type Faults struct {
 	// Outage makes every call fail, including watches that are already waiting.
 	Outage bool
-	// Silent makes new calls block until their context ends.
-	Silent bool
-	// DeafWatches makes watches report no changes.
-	DeafWatches bool
-	// LateChanges is the number of upcoming Puts that return ErrOutcomeUnknown at once
-	// and are applied LateBy later, if their version condition still holds then.
-	LateChanges int
-	LateBy      time.Duration
+	// Unresponsive makes new calls block until their context ends.
+	Unresponsive bool
+	// SuppressWatchEvents makes watches report no changes.
+	SuppressWatchEvents bool
+	// DelayedPuts is the number of upcoming Puts that return ErrOutcomeUnknown at once
+	// and are applied PutDelay later, if their version condition still holds then.
+	DelayedPuts int
+	PutDelay    time.Duration
 	// Delay is the latency added to every call.
 	Delay time.Duration
-	// LoseAnswers is the number of upcoming Puts that are applied but return ErrOutcomeUnknown.
-	LoseAnswers int
+	// LoseResponses is the number of upcoming Puts that are applied but return ErrOutcomeUnknown.
+	LoseResponses int
 	// InventoryLag is the delay before a change of the inventory becomes visible.
 	InventoryLag time.Duration
 }
@@ -63,7 +63,7 @@
 	return maps.Clone(s.calls)
 }
 
-// beginCall counts a call and applies the Delay, Silent and Outage faults.
+// beginCall counts a call and applies the Delay, Unresponsive and Outage faults.
 func (s *Store) beginCall(ctx context.Context, c Call) error {
 	s.mu.Lock()
 	s.calls[c]++
@@ -78,7 +78,7 @@
 			return ctx.Err()
 		}
 	}
-	if s.Faults().Silent {
+	if s.Faults().Unresponsive {
 		<-ctx.Done()
 		return platform.ErrUnavailable
 	}
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -134,14 +134,14 @@
 		return
 	}
 	s.SetFaults(Faults{
-		Outage:       f.Outage,
-		Silent:       f.Silent,
-		DeafWatches:  f.DeafWatches,
-		Delay:        time.Duration(f.DelayMS) * time.Millisecond,
-		LoseAnswers:  f.LoseAnswers,
-		LateChanges:  f.LateChanges,
-		LateBy:       time.Duration(f.LateByMS) * time.Millisecond,
-		InventoryLag: time.Duration(f.InventoryLagMS) * time.Millisecond,
+		Outage:              f.Outage,
+		Unresponsive:        f.Silent,
+		SuppressWatchEvents: f.DeafWatches,
+		Delay:               time.Duration(f.DelayMS) * time.Millisecond,
+		LoseResponses:       f.LoseAnswers,
+		DelayedPuts:         f.LateChanges,
+		PutDelay:            time.Duration(f.LateByMS) * time.Millisecond,
+		InventoryLag:        time.Duration(f.InventoryLagMS) * time.Millisecond,
 	})
 	writeReply(w, f, nil)
 }
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -112,7 +112,7 @@
 		if u.Leaving {
 			state = "draining"
 		}
-		if u.Leads {
+		if u.ClaimsPrimary {
 			role = "primary"
 		}
 		value, _ := json.Marshal(map[string]any{
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -114,16 +114,16 @@
 	return o, nil
 }
 
-// deferPut returns false if LateChanges is zero. Otherwise it decrements LateChanges,
-// schedules the change to be applied after LateBy, and returns true.
+// deferPut returns false if DelayedPuts is zero. Otherwise it decrements DelayedPuts,
+// schedules the change to be applied after PutDelay, and returns true.
 func (s *Store) deferPut(kind platform.Kind, name string, value []byte, ifVersion int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.LateChanges == 0 {
+	if s.faults.DelayedPuts == 0 {
 		return false
 	}
-	s.faults.LateChanges--
-	time.AfterFunc(s.faults.LateBy, func() { _, _, _ = s.applyPut(kind, name, value, ifVersion) })
+	s.faults.DelayedPuts--
+	time.AfterFunc(s.faults.PutDelay, func() { _, _, _ = s.applyPut(kind, name, value, ifVersion) })
 	return true
 }
 
@@ -141,9 +141,9 @@
 	c.revision++
 	o = platform.Object{Kind: kind, Name: name, Version: ifVersion + 1, Revision: c.revision, Value: bytes.Clone(value)}
 	c.objects[name] = o
-	responseLost = s.faults.LoseAnswers > 0
+	responseLost = s.faults.LoseResponses > 0
 	if responseLost {
-		s.faults.LoseAnswers--
+		s.faults.LoseResponses--
 	}
 	s.notifyWatchers()
 	return o, responseLost, nil
--- a/internal/standin/platform/store_test.go
+++ b/internal/standin/platform/store_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewStore()
-		s.SetFaults(Faults{LoseAnswers: 1})
+		s.SetFaults(Faults{LoseResponses: 1})
 		_, err := put(s, "a", "1", 0)
 		is.Equal(err, platform.ErrOutcomeUnknown)
 		o, err := s.Get(t.Context(), platform.KindGroup, "a")
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewStore()
-		s.SetFaults(Faults{LateChanges: 2, LateBy: time.Second})
+		s.SetFaults(Faults{DelayedPuts: 2, PutDelay: time.Second})
 		_, err := put(s, "a", "1", 0)
 		is.Equal(err, platform.ErrOutcomeUnknown)
 		_, err = put(s, "b", "1", 0)
--- a/internal/standin/platform/view.go
+++ b/internal/standin/platform/view.go
@@ -28,8 +28,8 @@
 // NewView returns a connected view of a store.
 func NewView(s *Store) *View { return &View{store: s} }
 
-// SetAway disconnects the instance from the platform, or reconnects it.
-func (v *View) SetAway(disconnected bool) {
+// SetDisconnected disconnects the instance from the platform, or reconnects it.
+func (v *View) SetDisconnected(disconnected bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.disconnected = disconnected
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -34,7 +34,7 @@
 	defer timer.Stop()
 	for {
 		objects, revision, changed, err := s.changesAfter(kind, after)
-		suppressEvents := s.Faults().DeafWatches
+		suppressEvents := s.Faults().SuppressWatchEvents
 		if err != nil || len(objects) > 0 && !suppressEvents {
 			return objects, revision, err
 		}
--- a/internal/standin/slopes/callers.go
+++ b/internal/standin/slopes/callers.go
@@ -156,8 +156,8 @@
 	return &execution.Reply{Messages: messages, TransactionStatus: 'I'}, err
 }
 
-// Abandon implements execution.Executor.
-func (emptyExecutor) Abandon(string, string) {}
+// AbandonTransaction implements execution.Executor.
+func (emptyExecutor) AbandonTransaction(string, string) {}
 
-// Cancel implements execution.Executor.
-func (emptyExecutor) Cancel(string, string) {}
+// CancelUnit implements execution.Executor.
+func (emptyExecutor) CancelUnit(string, string) {}
--- a/internal/standin/slopes/failovers.go
+++ b/internal/standin/slopes/failovers.go
@@ -62,13 +62,13 @@
 type failoverGroups struct {
 	platform  *standin.Store
 	groups    [][]*member.Node
-	failovers chan failover.Gap
+	failovers chan failover.Timings
 	stop      func()
 }
 
 func startFailoverGroups(ctx context.Context, o Options, n int) (*failoverGroups, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	g := &failoverGroups{platform: standin.NewStore(), failovers: make(chan failover.Gap, n)}
+	g := &failoverGroups{platform: standin.NewStore(), failovers: make(chan failover.Timings, n)}
 	g.platform.SetFaults(standin.Faults{Delay: platformDelay})
 	var running sync.WaitGroup
 	g.stop = func() {
@@ -91,7 +91,7 @@
 	}
 	_ = clock.Sleep(ctx, clock.System{}, 2*time.Second)
 	for _, w := range watchers {
-		if s := w.Snapshot(); s.Primary == "" || s.ConfirmedAt.IsZero() {
+		if s := w.Snapshot(); s.Primary == "" || s.QuorumAttachedAt.IsZero() {
 			g.stop()
 			return nil, fmt.Errorf("group %s has no confirmed primary 2 s after its start", s.Group)
 		}
@@ -125,7 +125,7 @@
 		Group: name, Self: platform.Instance{ID: "measured", FailureDomain: "fd-1"},
 		View: w, Platform: g.platform, Dialer: dialer, Clock: clock.System{},
 		Rand:       rand.New(rand.NewPCG(o.Seed, uint64(2*i+1))),
-		OnFailover: func(f failover.Gap) { g.failovers <- f },
+		OnFailover: func(f failover.Timings) { g.failovers <- f },
 	})
 	running.Go(func() { w.Run(ctx) })
 	running.Go(func() { c.Run(ctx) })
--- a/internal/standin/slopes/fit.go
+++ b/internal/standin/slopes/fit.go
@@ -14,9 +14,9 @@
 	Driver string  `json:"driver"`
 	Cost   string  `json:"cost"`
 	Points []Point `json:"points"`
-	// PerUnit is the line's slope and Fixed its value at zero.
-	PerUnit float64 `json:"per_unit"`
-	Fixed   float64 `json:"fixed"`
+	// PerUnit is the line's slope and Intercept its value at zero.
+	PerUnit   float64 `json:"per_unit"`
+	Intercept float64 `json:"fixed"`
 	// Residual is the root mean square of the points' distances from the line,
 	// divided by the mean of Y.
 	Residual float64 `json:"residual"`
@@ -35,10 +35,10 @@
 		xy += (p.X - x) * (p.Y - y)
 	}
 	s.PerUnit = xy / xx
-	s.Fixed = y - s.PerUnit*x
+	s.Intercept = y - s.PerUnit*x
 	var squares float64
 	for _, p := range points {
-		d := p.Y - s.Fixed - s.PerUnit*p.X
+		d := p.Y - s.Intercept - s.PerUnit*p.X
 		squares += d * d
 	}
 	if y != 0 {
--- a/internal/standin/slopes/fit_test.go
+++ b/internal/standin/slopes/fit_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	exact := fitLine("x", "y", []Point{{1, 5}, {2, 7}, {4, 11}})
 	is.True(math.Abs(exact.PerUnit-2) < 1e-9)
-	is.True(math.Abs(exact.Fixed-3) < 1e-9)
+	is.True(math.Abs(exact.Intercept-3) < 1e-9)
 	is.True(exact.Residual < 1e-9)
 	bent := fitLine("x", "y", []Point{{1, 0}, {2, 3}, {3, 0}})
 	is.True(math.Abs(bent.PerUnit) < 1e-9)
--- a/internal/standin/slopes/loans.go
+++ b/internal/standin/slopes/loans.go
@@ -111,18 +111,18 @@
 	m := shares.New(shares.Config{
 		Group: fmt.Sprintf("measured-%d", g), Self: self, Clock: clock.System{},
 		Rand:     rand.New(rand.NewPCG(o.Seed, uint64(2*g+i))),
-		Platform: p.platform, Peers: c, Connections: d, Slots: &fakeResource{}, Control: membersPerGroup,
+		Platform: p.platform, Peers: c, Connections: d, Slots: &fakeResource{}, ControlConnections: membersPerGroup,
 	}, shares.Allocation{
-		Document:       1,
-		Total:          shares.Amount{Connections: connectionsPerGroup, Slots: slotsPerGroup},
-		FailureDomains: []string{"fd-0", "fd-1"},
+		DocumentVersion: 1,
+		Total:           shares.Amount{Connections: connectionsPerGroup, Slots: slotsPerGroup},
+		FailureDomains:  []string{"fd-0", "fd-1"},
 	})
 	return m, d
 }
 
 func (p *sharePair) allHoldShares() bool {
 	for i := range p.lenders {
-		if !p.lenders[i].Seated() || !p.borrowers[i].Seated() {
+		if !p.lenders[i].HoldsShare() || !p.borrowers[i].HoldsShare() {
 			return false
 		}
 	}
@@ -157,8 +157,8 @@
 // Set implements shares.Resource.
 func (d *fakeResource) Set(int) {}
 
-// Settle implements shares.Resource.
-func (d *fakeResource) Settle(context.Context) error { return nil }
+// WaitWithinLimit implements shares.Resource.
+func (d *fakeResource) WaitWithinLimit(context.Context) error { return nil }
 
-// Use implements shares.Resource.
-func (d *fakeResource) Use() (inUse, waiting int) { return 0, int(d.waiting.Load()) }
+// Usage implements shares.Resource.
+func (d *fakeResource) Usage() (inUse, waiting int) { return 0, int(d.waiting.Load()) }
--- a/internal/standin/slopes/stores.go
+++ b/internal/standin/slopes/stores.go
@@ -168,9 +168,9 @@
 // Live implements config.Fleet.
 func (f *pairFleet) Live() []platform.Instance { return f.instances }
 
-// Pick implements config.Fleet. It returns the first instance for relay duties and both
+// PickInstances implements config.Fleet. It returns the first instance for relay duties and both
 // for any other duty.
-func (f *pairFleet) Pick(duty string, _ int) []platform.Instance {
+func (f *pairFleet) PickInstances(duty string, _ int) []platform.Instance {
 	if strings.Contains(duty, "relay") {
 		return slices.Clone(f.instances[:1])
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -47,13 +47,13 @@
 // Opened returns when the connection was opened.
 func (c *Conn) Opened() time.Time { return c.opened }
 
-// Clean reports whether another unit may use the connection. A late response that is still
+// Reusable reports whether another unit may use the connection. A late response that is still
 // on the wire would reach the next unit as its own, so a connection with responses
 // outstanding is never clean.
-func (c *Conn) Clean() bool { return !c.unusable && c.pendingReady == 0 }
+func (c *Conn) Reusable() bool { return !c.unusable && c.pendingReady == 0 }
 
-// Spoil marks the connection as unusable for further units.
-func (c *Conn) Spoil() { c.unusable = true }
+// MarkUnusable marks the connection as unusable for further units.
+func (c *Conn) MarkUnusable() { c.unusable = true }
 
 // Close closes the network connection at once.
 func (c *Conn) Close() error { return c.netConn.Close() }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -31,8 +31,8 @@
 	if applied, err := x.applySessionValues(request.Unit); err != nil || !applied {
 		return err
 	}
-	c.expectsParameterChanges = request.Unit.Sets
-	x.response = response{remainingSteps: request.Unit.Shape, setsValues: request.Unit.Sets, flushThreshold: request.AnswerBuffer, sendPartial: request.Partial}
+	c.expectsParameterChanges = request.Unit.OnlySetsValues
+	x.response = response{remainingSteps: request.Unit.Shape, setsValues: request.Unit.OnlySetsValues, flushThreshold: request.ResponseBuffer, sendPartial: request.Partial}
 	parts := make([]part, 0, len(request.Steps)+1)
 	if prepare, names, ok := preparePart(c, request.Unit); ok {
 		x.preparedNames = names
@@ -63,7 +63,7 @@
 	}
 	for _, p := range parts {
 		if err := x.readPart(p.kind); err != nil {
-			x.conn.Spoil()
+			x.conn.MarkUnusable()
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 		// The unit's own error only reports that the prepared statement does not exist;
 		// the prepare part's error is the cause.
 		x.response.replaceWithError(x.prepareFailure)
-		x.conn.Spoil()
+		x.conn.MarkUnusable()
 	} else {
 		for _, name := range x.preparedNames {
 			x.conn.MarkPrepared(name)
@@ -87,7 +87,7 @@
 		x.response.replaceWithError(x.transactionFailure)
 	}
 	if x.response.leavesState {
-		x.conn.Spoil()
+		x.conn.MarkUnusable()
 	}
 }
 
@@ -112,11 +112,11 @@
 }
 
 func (x *exchange) finishPart(kind wire.StepKind, ready *pgproto3.ReadyForQuery, row [][]byte) {
-	if kind == wire.StepReport {
-		x.outcome.Report = parseStatus(row)
+	if kind == wire.StepMemberStatus {
+		x.outcome.MemberStatus = parseStatus(row)
 		return
 	}
-	x.outcome.Final = wire.Status(ready.TxStatus)
+	x.outcome.TxStatus = wire.Status(ready.TxStatus)
 	if kind == wire.StepFindKey && len(row) == 1 {
 		x.outcome.KeyOutcome = wire.KeyOutcome(row[0])
 	}
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -41,7 +41,7 @@
 		return queryPart(s.Kind, "COMMIT")
 	case wire.StepRollback:
 		return queryPart(s.Kind, "ROLLBACK")
-	case wire.StepReport:
+	case wire.StepMemberStatus:
 		return queryPart(s.Kind, pgcontrol.StatusStatement)
 	default:
 		return part{kind: wire.StepUnit, bytes: u.Messages}
--- a/internal/upstream/values.go
+++ b/internal/upstream/values.go
@@ -28,7 +28,7 @@
 		return false, err
 	}
 	if x.response.failure != nil {
-		x.conn.Spoil()
+		x.conn.MarkUnusable()
 		x.outcome.Messages, x.outcome.Failure = x.response.messages, failureOf(x.response.failure)
 		return false, nil
 	}
@@ -38,7 +38,7 @@
 
 // buildSetStatements returns the SET and RESET statements that change the connection's
 // session values to the given ones; empty when nothing differs.
-func (c *Conn) buildSetStatements(values []execution.Value) string {
+func (c *Conn) buildSetStatements(values []execution.SessionValue) string {
 	var statements []string
 	wanted := make(map[string]struct{}, len(values))
 	for _, v := range values {
@@ -55,7 +55,7 @@
 	return strings.Join(statements, "; ")
 }
 
-func (c *Conn) replaceSessionValues(values []execution.Value) {
+func (c *Conn) replaceSessionValues(values []execution.SessionValue) {
 	clear(c.sessionValues)
 	for _, v := range values {
 		c.sessionValues[v.Name] = v.Value
@@ -66,11 +66,11 @@
 // failed, it is unknown which of its statements took effect, so the connection is not
 // reused.
 func (c *Conn) recordSessionValues(u *execution.Unit, r *response) {
-	if !u.Sets {
+	if !u.OnlySetsValues {
 		return
 	}
 	if r.failure != nil {
-		c.Spoil()
+		c.MarkUnusable()
 		return
 	}
 	c.replaceSessionValues(u.NextValues)
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -20,7 +20,7 @@
 	// none from this attempt.
 	ErrRefused = errors.New("member refused the connection")
 	// ErrFull reports that the member currently accepts no more connections.
-	ErrFull = fmt.Errorf("%w: too many connections", ErrRefused)
+	ErrFull = fmt.Errorf("%w: it takes no more", ErrRefused)
 	// ErrNotSupported reports that the member's protocol has no such step. Nothing was
 	// sent.
 	ErrNotSupported = errors.New("the member's protocol has no such step")
@@ -33,12 +33,12 @@
 	Address() string
 	// Opened returns when the connection was opened.
 	Opened() time.Time
-	// Clean reports whether another unit may use the connection. A late response that is
+	// Reusable reports whether another unit may use the connection. A late response that is
 	// still on the wire would reach the next unit as its own, so a connection with
 	// responses outstanding is never clean.
-	Clean() bool
-	// Spoil marks the connection as unusable for further units.
-	Spoil()
+	Reusable() bool
+	// MarkUnusable marks the connection as unusable for further units.
+	MarkUnusable()
 	// SetDeadline sets the deadline of all reads and writes until the next call.
 	SetDeadline(t time.Time) error
 	// Run sends the exchange's steps and reads the responses. After an error the connection
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -12,13 +12,13 @@
 	Unit  *execution.Unit
 	Steps []Step
 	// Required is the minimum position of the member's log, for protocols in which the
-	// member checks it: a read fails with FailureBehind if the log has not reached it.
+	// member checks it: a read fails with FailureLagging if the log has not reached it.
 	// Zero means no requirement.
-	Required logpos.Mark
-	// AnswerBuffer is how many bytes of the unit's response are buffered before they are
+	Required logpos.TermPosition
+	// ResponseBuffer is how many bytes of the unit's response are buffered before they are
 	// passed to Partial.
-	AnswerBuffer int
-	Partial      func([]byte) error
+	ResponseBuffer int
+	Partial        func([]byte) error
 
 	Outcome
 }
@@ -41,14 +41,14 @@
 	// The commit was either its StepCommit or done by the unit itself, if the protocol
 	// reports that.
 	Committed bool
-	// Report is the member's status after the unit; nil when it was not requested or not
+	// MemberStatus is the member's status after the unit; nil when it was not requested or not
 	// received.
-	Report *member.Status
-	// Final is the transaction status after the last step other than StepReport.
-	Final Status
-	// Log is the end of the member's log as reported in its response to the unit; zero if
+	MemberStatus *member.Status
+	// TxStatus is the transaction status after the last step other than StepMemberStatus.
+	TxStatus Status
+	// LogPosition is the end of the member's log as reported in its response to the unit; zero if
 	// the protocol does not report it.
-	Log logpos.Mark
+	LogPosition logpos.TermPosition
 }
 
 // Status is the transaction status of a connection.
@@ -60,8 +60,8 @@
 	Idle Status = 'I'
 	// InTransaction: a transaction is open.
 	InTransaction Status = 'T'
-	// InFailed: the open transaction failed and can only be rolled back.
-	InFailed Status = 'E'
+	// InFailedTransaction: the open transaction failed and can only be rolled back.
+	InFailedTransaction Status = 'E'
 )
 
 // FailureKind classifies a member's error by how the core handles it.
@@ -75,13 +75,13 @@
 	FailureReadOnly
 	// FailureKeyExists: a row for the request key exists already.
 	FailureKeyExists
-	// FailureBehind: the member's log has not reached the required position. Nothing ran.
-	FailureBehind
+	// FailureLagging: the member's log has not reached the required position. Nothing ran.
+	FailureLagging
 	// FailureBusy: the member has no capacity for the statement. Nothing ran.
 	FailureBusy
-	// FailureRan: the statement ran and failed at this member; the same read may succeed at
+	// FailureAtMember: the statement ran and failed at this member; the same read may succeed at
 	// another one.
-	FailureRan
+	FailureAtMember
 )
 
 // Failure is a member's error.
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -17,8 +17,8 @@
 	StepCommit
 	// StepRollback rolls back the transaction that is open on the connection.
 	StepRollback
-	// StepReport requests the member's status.
-	StepReport
+	// StepMemberStatus requests the member's status.
+	StepMemberStatus
 )
 
 // KeyOutcome is the outcome of a request as stored with its request key.
--- a/internal/workspace/digest.go
+++ b/internal/workspace/digest.go
@@ -12,8 +12,8 @@
 // KeyDigest represents a key everywhere except in the session that received it from the caller.
 type KeyDigest [digestSize]byte
 
-// Digest returns the digest of a key.
-func Digest(key string) KeyDigest {
+// DigestKey returns the digest of a key.
+func DigestKey(key string) KeyDigest {
 	sum := sha256.Sum256([]byte(key))
 	return KeyDigest(sum[:digestSize])
 }
--- a/internal/workspace/table.go
+++ b/internal/workspace/table.go
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Find returns the workspace that the key belongs to.
-func (t *Table) Find(k KeyDigest) (Workspace, bool) {
+// ByKey returns the workspace that the key belongs to.
+func (t *Table) ByKey(k KeyDigest) (Workspace, bool) {
 	if t == nil {
 		return Workspace{}, false
 	}
@@ -117,8 +117,8 @@
 	return w, ok
 }
 
-// Named returns the workspace with the given name.
-func (t *Table) Named(name string) (Workspace, bool) {
+// ByName returns the workspace with the given name.
+func (t *Table) ByName(name string) (Workspace, bool) {
 	if t == nil {
 		return Workspace{}, false
 	}
@@ -134,5 +134,5 @@
 	return t.all
 }
 
-// Required reports whether callers need a key.
-func (t *Table) Required() bool { return t != nil }
+// RequiresKey reports whether callers need a key.
+func (t *Table) RequiresKey() bool { return t != nil }
