--- a/internal/objectwatch/sharing.go
+++ b/internal/objectwatch/sharing.go
@@ -214,7 +214,7 @@
 func (s *Sharing) decodeRequest(params json.RawMessage) (*feed, request, error) {
 	var req request
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, req, fmt.Errorf("objectwatch: decode request: %w", err)
+		return nil, req, fmt.Errorf("objectwatch: question: %w", err)
 	}
 	f := s.feed(req.Kind)
 	if f == nil {
