--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -47,7 +47,7 @@
 		<-ctx.Done()
 		s.shutdown(server)
 	}()
-	s.log.Info("Administration API is listening.", "address", listener.Addr().String())
+	s.log.Info("serving", "address", listener.Addr().String())
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/internal/document/service.go
+++ b/internal/document/service.go
@@ -14,7 +14,7 @@
 	Name   string
 	Groups []Group
 	Users  []User
-	// Workspaces are the tenants that users can belong to.
+	// Workspaces are the workspaces that users can belong to.
 	Workspaces     []Workspace
 	Limits         Limits
 	ReadClasses    []ReadClass
